--- a/internal/balancer/backoff.go
+++ b/internal/balancer/backoff.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// AskBackoff notes that an incarnation of a replica wants nothing from this entry for a
+// StartBackoff notes that an incarnation of a replica wants nothing from this entry for a
 // time, and returns when that ends here.
-func (fleet *Fleet) AskBackoff(incarnation string, span timekeeper.Span, now timekeeper.Instant) timekeeper.Instant {
+func (fleet *Fleet) StartBackoff(incarnation string, span timekeeper.Span, now timekeeper.Instant) timekeeper.Instant {
 	if span <= 0 {
 		return now
 	}
--- a/internal/balancer/backoff_test.go
+++ b/internal/balancer/backoff_test.go
@@ -15,7 +15,7 @@
 	list := plannersBorn(count, 1000)
 	fleet.SetReplicas(list, 5)
 	for _, replica := range list[:asking] {
-		fleet.AskBackoff(replica.Incarnation(), span, start)
+		fleet.StartBackoff(replica.Incarnation(), span, start)
 	}
 	return fleet, list
 }
@@ -51,13 +51,13 @@
 	}{
 		{"one", func(*Fleet, []Replica) {}, span},
 		{"a shorter one follows", func(fleet *Fleet, list []Replica) {
-			fleet.AskBackoff(list[0].Incarnation(), 100, start.Add(10))
+			fleet.StartBackoff(list[0].Incarnation(), 100, start.Add(10))
 		}, span},
 		{"a longer one follows", func(fleet *Fleet, list []Replica) {
-			fleet.AskBackoff(list[0].Incarnation(), 2*span, start.Add(10))
+			fleet.StartBackoff(list[0].Incarnation(), 2*span, start.Add(10))
 		}, 2*span + 10},
 		{"one of nothing follows", func(fleet *Fleet, list []Replica) {
-			fleet.AskBackoff(list[0].Incarnation(), 0, start.Add(10))
+			fleet.StartBackoff(list[0].Incarnation(), 0, start.Add(10))
 		}, span},
 		{"the row lapses and comes back", func(fleet *Fleet, list []Replica) {
 			fleet.SetReplicas(list[1:], 6)
@@ -65,14 +65,14 @@
 		}, span},
 		{"it is asked for while the row has lapsed", func(fleet *Fleet, list []Replica) {
 			fleet.SetReplicas(list[1:], 6)
-			fleet.AskBackoff(list[0].Incarnation(), 2*span, start.Add(10))
+			fleet.StartBackoff(list[0].Incarnation(), 2*span, start.Add(10))
 			fleet.SetReplicas(list, 7)
 		}, 2*span + 10},
 		{"a newer list has it ready", func(fleet *Fleet, list []Replica) { fleet.SetReplicas(list, 8) }, span},
 		{"an earlier life asked for more", func(fleet *Fleet, list []Replica) {
 			earlier := list[0]
 			earlier.Born = 500
-			fleet.AskBackoff(earlier.Incarnation(), timekeeper.Hour, start)
+			fleet.StartBackoff(earlier.Incarnation(), timekeeper.Hour, start)
 		}, span},
 	}
 	for _, test := range tests {
@@ -88,7 +88,7 @@
 	Convey("an answer to a request that was under way before does not end it", t, func() {
 		fleet, list := refusing(1, 0, span)
 		placement, _ := fleet.Choose(promptAsk(1, 1), start)
-		fleet.AskBackoff(list[0].Incarnation(), span, start)
+		fleet.StartBackoff(list[0].Incarnation(), span, start)
 		fleet.Began(placement, start.Add(20))
 		fleet.End(placement, Served, start.Add(200))
 		So(chosenAt(fleet, start.Add(span-1)), ShouldEqual, 0)
@@ -155,7 +155,7 @@
 		So(chosenAt(fleet, over.Add(trialSpan)), ShouldEqual, 1)
 	})
 	Convey("none, where it is refused again", t, func() {
-		fleet.AskBackoff(list[0].Incarnation(), span, over)
+		fleet.StartBackoff(list[0].Incarnation(), span, over)
 		fleet.End(trial, Refused, over)
 		So(chosenAt(fleet, over.Add(span-1)), ShouldEqual, 0)
 	})
@@ -172,7 +172,7 @@
 	// sent after the refusal.
 	fleet, list := refusing(2, 0, 0)
 	chosen := fillPlanners(fleet)
-	fleet.AskBackoff(list[0].Incarnation(), timekeeper.Second, start)
+	fleet.StartBackoff(list[0].Incarnation(), timekeeper.Second, start)
 	Convey("they go elsewhere unsent", t, func() {
 		So(len(chosen), ShouldBeGreaterThan, 50)
 		for _, placement := range chosen {
@@ -221,7 +221,7 @@
 		waiter := waiterFor(span / 2)
 		fleet.Join(waiter, start)
 		So(waiter.Reason, ShouldBeEmpty)
-		fleet.AskBackoff(list[1].Incarnation(), span, start)
+		fleet.StartBackoff(list[1].Incarnation(), span, start)
 		decided := fleet.Dispatch(start)
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].Reason, ShouldEqual, AllBackingOff)
@@ -282,7 +282,7 @@
 	for number := range entries {
 		fleet := New(Settings{Seed: uint64(number)})
 		fleet.SetReplicas(replicasOf("planner", 1, slots), 5)
-		fleet.AskBackoff("planner-0", span, start)
+		fleet.StartBackoff("planner-0", span, start)
 		for now := start; now <= latest(span).Add(trialSpan); now = now.Add(10) {
 			// Five requests wait at each entry.
 			for ask := range 5 {
--- a/internal/relayer/statement.go
+++ b/internal/relayer/statement.go
@@ -35,7 +35,7 @@
 	if head.Backoff > 0 {
 		ends := now
 		task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) {
-			ends = fleet.AskBackoff(replica.Incarnation(), head.Backoff, now)
+			ends = fleet.StartBackoff(replica.Incarnation(), head.Backoff, now)
 		})
 		fields["backoff-ms"], fields["kept-ms"] = int64(head.Backoff), int64(ends.Since(now))
 		task.state(fields, statementBackoff, "answer asks for a backoff")
--- a/internal/relayer/statement_test.go
+++ b/internal/relayer/statement_test.go
@@ -72,7 +72,7 @@
 			fleet.AnnounceLeave("i-1", now)
 		}, http.StatusServiceUnavailable},
 		{"it asks for a backoff", func(fleet *balancer.Fleet, now timekeeper.Instant) {
-			fleet.AskBackoff("i-1", timekeeper.Minute, now)
+			fleet.StartBackoff("i-1", timekeeper.Minute, now)
 		}, http.StatusServiceUnavailable},
 		{"its data centre is evacuated", func(fleet *balancer.Fleet, now timekeeper.Instant) {
 			fleet.Evacuate(balancer.NewEvacuations(1, []string{""}), now)
