--- a/internal/balancer/backoff.go
+++ b/internal/balancer/backoff.go
@@ -45,9 +45,9 @@
 	return said.backoff.until
 }
 
-// BackoffLeft returns how long it takes until a replica of a service may get a request,
+// BackoffRemaining returns how long it takes until a replica of a service may get a request,
 // where all that could get some are in a backoff; zero where one isn't.
-func (fleet *Fleet) BackoffLeft(service string, now timekeeper.Instant) timekeeper.Span {
+func (fleet *Fleet) BackoffRemaining(service string, now timekeeper.Instant) timekeeper.Span {
 	least := timekeeper.Span(0)
 	for _, known := range fleet.services[service] {
 		if _, closed := fleet.closed(known); closed {
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -79,7 +79,7 @@
 	if first && fleet.try(waiter, now) {
 		return
 	}
-	if first && !fleet.waits(waiter, now) || fleet.backsOffFor(waiter, fleet.BackoffLeft(waiter.Ask.Service, now), now) {
+	if first && !fleet.waits(waiter, now) || fleet.backsOffFor(waiter, fleet.BackoffRemaining(waiter.Ask.Service, now), now) {
 		return
 	}
 	waiter.Reason = noReason
@@ -98,7 +98,7 @@
 	case AllFull, AllUnreached:
 		return true
 	case AllBackingOff:
-		left := fleet.BackoffLeft(waiter.Ask.Service, now)
+		left := fleet.BackoffRemaining(waiter.Ask.Service, now)
 		return left > 0 && !fleet.backsOffFor(waiter, left, now)
 	}
 	return false
@@ -183,7 +183,7 @@
 
 func (fleet *Fleet) dispatch(queue *serviceQueue, now timekeeper.Instant) []*Waiter {
 	var decided []*Waiter
-	left := fleet.BackoffLeft(queue.waiting[0].Ask.Service, now)
+	left := fleet.BackoffRemaining(queue.waiting[0].Ask.Service, now)
 	queue.waiting = slices.DeleteFunc(queue.waiting, func(waiter *Waiter) bool {
 		switch {
 		case now >= waiter.Until:
--- a/internal/relayer/task.go
+++ b/internal/relayer/task.go
@@ -274,7 +274,7 @@
 // takes work.
 func (task *task) backoffLeft() (left timekeeper.Span) {
 	now := task.entry.settings.Clock.Now()
-	task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { left = fleet.BackoffLeft(task.service, now) })
+	task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { left = fleet.BackoffRemaining(task.service, now) })
 	return left
 }
 
