--- a/internal/assembler/direct_sharing_test.go
+++ b/internal/assembler/direct_sharing_test.go
@@ -44,7 +44,7 @@
 	for range 50 * engines {
 		now = now.Add(10)
 		direct.fleet.With(func(fleet *balancer.Fleet) {
-			if placement, _ := fleet.Choose(balancer.Ask{Service: "planner"}, now); placement != nil {
+			if placement, _ := fleet.Choose(balancer.Request{Service: "planner"}, now); placement != nil {
 				used[placement.Replica.ID] = true
 				fleet.End(placement, balancer.Served, now)
 			}
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -31,7 +31,7 @@
 
 // holdings returns what the replicas of a service are believed to have cached of a
 // prompt.
-func (fleet *Fleet) holdings(ask Ask) []holding {
+func (fleet *Fleet) holdings(ask Request) []holding {
 	members := fleet.services[ask.Service]
 	held := make([]holding, len(members))
 	total, own := TokensOf(ask.Parts), TokensOf(ask.Parts)-TokensOf(SharedParts(ask.Parts))
@@ -46,7 +46,7 @@
 }
 
 // look notes what peers have at the replicas, and for how long a prompt would wait there.
-func (fleet *Fleet) look(ask Ask, held []holding, now timekeeper.Instant) {
+func (fleet *Fleet) look(ask Request, held []holding, now timekeeper.Instant) {
 	fleet.dropSilent(now)
 	for i := range held {
 		held[i].peers = fleet.peersAt(held[i].key)
@@ -58,7 +58,7 @@
 }
 
 // candidates returns the replicas that may get the request.
-func (fleet *Fleet) candidates(ask Ask, held []holding, now timekeeper.Instant) ([]candidate, Reason) {
+func (fleet *Fleet) candidates(ask Request, held []holding, now timekeeper.Instant) ([]candidate, Reason) {
 	fleet.look(ask, held, now)
 	sources := fleet.sourcesOf(ask, held, now)
 	pool := pool{open: make([]candidate, 0, len(held))}
@@ -182,7 +182,7 @@
 // useful takes out engines where the request would wait for too long, and crowded
 // ones that would have to read a prompt which another engine has cached: reading stops
 // all streams there, so that in an overload each engine in turn fills up.
-func (fleet *Fleet) useful(open []candidate, ask Ask) []candidate {
+func (fleet *Fleet) useful(open []candidate, ask Request) []candidate {
 	if len(ask.Parts) == 0 || len(open) == 0 {
 		return open
 	}
@@ -197,7 +197,7 @@
 }
 
 // weigh returns a replica with its expected time.
-func (fleet *Fleet) weigh(member holding, access Access, ask Ask, sources sources, now timekeeper.Instant) candidate {
+func (fleet *Fleet) weigh(member holding, access Access, ask Request, sources sources, now timekeeper.Instant) candidate {
 	held := member.load
 	cost := member.doubt.penalty(now) + member.pace.over(fleet.paceOf(member.Service), now)
 	cost += float64(member.overdue(now)) * float64(failurePenalty)
@@ -234,7 +234,7 @@
 // bounded takes out replicas that hold more than their share: a multiple of the service's
 // mean, set by the operator, plus what few requests may lie unevenly. An even share is
 // always allowed. For the mean see spread.
-func (fleet *Fleet) bounded(open []candidate, ask Ask, spread spread, now timekeeper.Instant) ([]candidate, Reason) {
+func (fleet *Fleet) bounded(open []candidate, ask Request, spread spread, now timekeeper.Instant) ([]candidate, Reason) {
 	if len(open) == 0 {
 		return nil, AllFull
 	}
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -69,8 +69,8 @@
 	reportLife = 40 * timekeeper.Millisecond
 )
 
-// Ask is a request that needs a replica.
-type Ask struct {
+// Request is a request that needs a replica.
+type Request struct {
 	Service string
 	// Parts is the prompt, root first; nil for plain services.
 	Parts []Part
@@ -105,7 +105,7 @@
 // Choose gives the request to a replica, and counts it there at once. Without a
 // choice the placement is nil and the reason says why. A request goes where its prompt is
 // cached, unless the wait there costs more than reading it elsewhere.
-func (fleet *Fleet) Choose(ask Ask, now timekeeper.Instant) (*Placement, Reason) {
+func (fleet *Fleet) Choose(ask Request, now timekeeper.Instant) (*Placement, Reason) {
 	held := fleet.holdings(ask)
 	candidates, reason := fleet.candidates(ask, held, now)
 	if reason != noReason {
@@ -146,7 +146,7 @@
 // pick chooses among candidates: for plain calls one of the cheapest, for prompts
 // one of the engines that share a hot part, or else the one that is cheapest with
 // the price of its place in the preference order of the prompt.
-func (fleet *Fleet) pick(candidates []candidate, ask Ask, now timekeeper.Instant) candidate {
+func (fleet *Fleet) pick(candidates []candidate, ask Request, now timekeeper.Instant) candidate {
 	shared := SharedParts(ask.Parts)
 	if len(shared) == 0 {
 		equals := within(plainBand, candidates)
--- a/internal/balancer/evacuation_test.go
+++ b/internal/balancer/evacuation_test.go
@@ -95,7 +95,7 @@
 
 // fill gives a replica of a service one more request, and reports whether one took it.
 func (fleet *Fleet) fill(service string, now timekeeper.Instant) bool {
-	placement, _ := fleet.Choose(Ask{Service: service, Parts: chain(0, 0)}, now)
+	placement, _ := fleet.Choose(Request{Service: service, Parts: chain(0, 0)}, now)
 	return placement != nil
 }
 
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -42,10 +42,10 @@
 	return []Part{{ID: thing % 4, Tokens: 2500}, {ID: 100 + thing, Tokens: 6000}, {ID: 1000 + own, Tokens: 580}}
 }
 
-func promptAsk(thing, own uint64) Ask { return Ask{Service: "planner", Parts: chain(thing, own)} }
+func promptAsk(thing, own uint64) Request { return Request{Service: "planner", Parts: chain(thing, own)} }
 
 // choose gives a request to a replica and fails the test when there is none.
-func choose(t *testing.T, fleet *Fleet, ask Ask, now timekeeper.Instant) *Placement {
+func choose(t *testing.T, fleet *Fleet, ask Request, now timekeeper.Instant) *Placement {
 	t.Helper()
 	placement, reason := fleet.Choose(ask, now)
 	if placement == nil {
@@ -68,7 +68,7 @@
 	Convey("a part counts only if all before it are cached", t, func() {
 		parts := chain(1, 3)
 		parts[0].ID = 77
-		third := choose(t, fleet, Ask{Service: "planner", Parts: parts}, start.Add(600))
+		third := choose(t, fleet, Request{Service: "planner", Parts: parts}, start.Add(600))
 		So(third.Uncached, ShouldEqual, 9080)
 	})
 }
@@ -200,7 +200,7 @@
 	// A replica refuses connections. It gets nothing for a moment; then one request
 	// finds out whether it is back, and only when it is do others follow.
 	fleet := orders(1)
-	ask := Ask{Service: "orders"}
+	ask := Request{Service: "orders"}
 	first := choose(t, fleet, ask, start)
 	fleet.End(first, Unreachable, start)
 	Convey("it gets nothing until the pause is over", t, func() {
@@ -221,7 +221,7 @@
 	// A replica takes requests and never answers. Before the first caller has left,
 	// new requests go to the others.
 	fleet := orders(4)
-	ask := Ask{Service: "orders"}
+	ask := Request{Service: "orders"}
 	silent := choose(t, fleet, ask, start).Replica.ID
 	Convey("overdue answers count while they wait", t, func() {
 		now := start.Add(overdueSlack + 100)
@@ -247,7 +247,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := orders(2)
-			ask := Ask{Service: "orders"}
+			ask := Request{Service: "orders"}
 			first := choose(t, fleet, ask, start)
 			fleet.End(first, test.ending, start.Add(30))
 			count := 0
@@ -279,7 +279,7 @@
 	fleet := orders(4)
 	held := map[string]int{}
 	for {
-		placement, reason := fleet.Choose(Ask{Service: "orders"}, start)
+		placement, reason := fleet.Choose(Request{Service: "orders"}, start)
 		if placement == nil {
 			Convey("all are full", t, func() { So(reason, ShouldEqual, AllFull) })
 			break
@@ -298,9 +298,9 @@
 	fleet.Report("orders-0", LoadReport{Running: 6, Waiting: 5, Slots: 6}, start)
 	Convey("others that nobody has told of count", t, func() {
 		for range 5 {
-			So(choose(t, fleet, Ask{Service: "orders"}, start.Add(10)).Replica.ID, ShouldEqual, "orders-1")
+			So(choose(t, fleet, Request{Service: "orders"}, start.Add(10)).Replica.ID, ShouldEqual, "orders-1")
 		}
-		So(choose(t, fleet, Ask{Service: "orders"}, start.Add(reportLife+1)).Replica.ID, ShouldEqual, "orders-0")
+		So(choose(t, fleet, Request{Service: "orders"}, start.Add(reportLife+1)).Replica.ID, ShouldEqual, "orders-0")
 	})
 }
 
@@ -308,12 +308,12 @@
 	fleet := orders(2)
 	fleet.SetPeer("entry-2", map[Key]Held{KeyOf("orders-0"): {Running: 9}}, 800, start)
 	Convey("while it lives", t, func() {
-		So(choose(t, fleet, Ask{Service: "orders"}, start.Add(800)).Replica.ID, ShouldEqual, "orders-1")
+		So(choose(t, fleet, Request{Service: "orders"}, start.Add(800)).Replica.ID, ShouldEqual, "orders-1")
 	})
 	Convey("and not after", t, func() {
 		where := map[string]bool{}
 		for range 6 {
-			where[choose(t, fleet, Ask{Service: "orders"}, start.Add(801)).Replica.ID] = true
+			where[choose(t, fleet, Request{Service: "orders"}, start.Add(801)).Replica.ID] = true
 		}
 		So(where["orders-0"], ShouldBeTrue)
 		fleet.SetPeer("entry-3", nil, 800, start.Add(2*timekeeper.Minute))
--- a/internal/balancer/preference_test.go
+++ b/internal/balancer/preference_test.go
@@ -41,7 +41,7 @@
 			held := map[Key]Held{first.key: {Running: crowd}}
 			fleet.SetPeer("peer", held, timekeeper.Second, start)
 			fleet.SetPeer("peer", held, timekeeper.Second, start.Add(test.gap))
-			placement := choose(t, fleet, Ask{Service: "planner", Parts: chain(1, 2)}, start.Add(test.gap))
+			placement := choose(t, fleet, Request{Service: "planner", Parts: chain(1, 2)}, start.Add(test.gap))
 			So(placement.Replica.ID == second.ID, ShouldEqual, test.moves)
 		})
 	}
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -20,7 +20,7 @@
 // who can still be on time, then the team that has had least of late, then who came first.
 // Whoever can't be served in time is told so at once.
 type Waiter struct {
-	Ask Ask
+	Ask Request
 	// Rank orders who waits: the lowest is the most urgent.
 	Rank int
 	Team string
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -12,11 +12,11 @@
 // fill takes all places of a fleet of one plain replica and returns them.
 func fill(t *testing.T, fleet *Fleet, now timekeeper.Instant) []*Placement {
 	t.Helper()
-	return fillBy(fleet, func(uint64) Ask { return Ask{Service: "orders"} }, now)
+	return fillBy(fleet, func(uint64) Request { return Request{Service: "orders"} }, now)
 }
 
 // fillBy gives requests to a fleet until it takes no more, and returns their placements.
-func fillBy(fleet *Fleet, ask func(number uint64) Ask, now timekeeper.Instant) (taken []*Placement) {
+func fillBy(fleet *Fleet, ask func(number uint64) Request, now timekeeper.Instant) (taken []*Placement) {
 	for number := uint64(0); ; number++ {
 		placement, _ := fleet.Choose(ask(number), now)
 		if placement == nil {
@@ -27,7 +27,7 @@
 }
 
 func waiterOf(rank int, team string, now timekeeper.Instant) *Waiter {
-	return &Waiter{Ask: Ask{Service: "orders"}, Rank: rank, Team: team, Due: now.Add(300), Until: now.Add(600)}
+	return &Waiter{Ask: Request{Service: "orders"}, Rank: rank, Team: team, Due: now.Add(300), Until: now.Add(600)}
 }
 
 func TestWhoGetsThePlacesThatComeFree(t *testing.T) {
@@ -118,12 +118,12 @@
 	tests := []struct {
 		name   string
 		fleet  *Fleet
-		ask    Ask
+		ask    Request
 		reason Reason
 	}{
-		{"no replica", orders(0), Ask{Service: "orders"}, NoReplicas},
-		{"another service", orders(1), Ask{Service: "planner"}, NoReplicas},
-		{"every replica has had it", orders(1), Ask{Service: "orders", Excluded: []string{"orders-0"}}, AllTried},
+		{"no replica", orders(0), Request{Service: "orders"}, NoReplicas},
+		{"another service", orders(1), Request{Service: "planner"}, NoReplicas},
+		{"every replica has had it", orders(1), Request{Service: "orders", Excluded: []string{"orders-0"}}, AllTried},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -186,7 +186,7 @@
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			fleet := orders(4)
 			for {
-				if placement, _ := fleet.Choose(Ask{Service: "orders"}, start); placement == nil {
+				if placement, _ := fleet.Choose(Request{Service: "orders"}, start); placement == nil {
 					break
 				}
 			}
@@ -228,7 +228,7 @@
 			}
 			fleet.SetPeer("peer", map[Key]Held{KeyOf("planner-0"): {Running: test.held}}, timekeeper.Minute, start)
 			waiter := &Waiter{
-				Ask: Ask{Service: "planner", Parts: chain(1, 1), Priority: test.priority}, Rank: test.priority,
+				Ask: Request{Service: "planner", Parts: chain(1, 1), Priority: test.priority}, Rank: test.priority,
 				Due: start.Add(300), Until: start.Add(600),
 			}
 			fleet.Join(waiter, start)
--- a/internal/balancer/statement_test.go
+++ b/internal/balancer/statement_test.go
@@ -25,7 +25,7 @@
 
 // fillPlanners takes all places of a fleet of planners and returns them.
 func fillPlanners(fleet *Fleet) []*Placement {
-	return fillBy(fleet, func(number uint64) Ask { return promptAsk(number, number) }, start)
+	return fillBy(fleet, func(number uint64) Request { return promptAsk(number, number) }, start)
 }
 
 func TestAnAnnouncedLeaveHoldsForItsLife(t *testing.T) {
--- a/internal/balancer/time_weight.go
+++ b/internal/balancer/time_weight.go
@@ -32,7 +32,7 @@
 // timeWeight returns the weight for a request, by what waits at the engines, and by how
 // much later than expected answers of the service begin: engines may read more slowly
 // than they are taken to.
-func (fleet *Fleet) timeWeight(ask Ask, held []holding, now timekeeper.Instant) timeWeight {
+func (fleet *Fleet) timeWeight(ask Request, held []holding, now timekeeper.Instant) timeWeight {
 	if ask.Within <= 0 || len(held) == 0 {
 		return timeWeight{}
 	}
--- a/internal/balancer/transfer.go
+++ b/internal/balancer/transfer.go
@@ -55,7 +55,7 @@
 // sourcesOf finds who may hand on parts of a prompt. An engine that leaves still hands on
 // what it has; one that can't be reached, has failed of late or kept others waiting for a
 // transfer doesn't count.
-func (fleet *Fleet) sourcesOf(ask Ask, held []holding, now timekeeper.Instant) sources {
+func (fleet *Fleet) sourcesOf(ask Request, held []holding, now timekeeper.Instant) sources {
 	engine := fleet.engines[ask.Service]
 	found := sources{
 		engine: engine, rate: fleet.settings.ReadRate, price: fleet.movePrice(engine), weight: fleet.timeWeight(ask, held, now),
@@ -77,7 +77,7 @@
 }
 
 // lends reports whether a replica may be named as a source.
-func (known *replica) lends(ask Ask, now timekeeper.Instant) bool {
+func (known *replica) lends(ask Request, now timekeeper.Instant) bool {
 	return known.doubt.open(now) && known.doubt.penalty(now) < float64(failurePenalty) &&
 		known.lending.excess.now(paceMemory, now) < mostBlamed && !slices.Contains(ask.Excluded, known.ID)
 }
@@ -150,7 +150,7 @@
 // more than half of what is missing would have to be read: a root is shared by many
 // prompts, so nearly always some engine is known to have that much. Entries that have
 // started again know nothing; a source that has nothing costs the setup of a transfer.
-func (fleet *Fleet) guess(ask Ask, chosen candidate, held []holding, now timekeeper.Instant) *replica {
+func (fleet *Fleet) guess(ask Request, chosen candidate, held []holding, now timekeeper.Instant) *replica {
 	shared := SharedParts(ask.Parts)
 	engine := fleet.engines[ask.Service]
 	if len(shared) == 0 || !engine.hands() {
--- a/internal/balancer/transfer_test.go
+++ b/internal/balancer/transfer_test.go
@@ -211,7 +211,7 @@
 		So(choose(t, plannersWith(slowLink, 5), promptAsk(1, 1), start).Source, ShouldEqual, "")
 	})
 	Convey("not for a prompt that nobody shares", t, func() {
-		ask := Ask{Service: "planner", Parts: []Part{{ID: 7, Tokens: 9000}}}
+		ask := Request{Service: "planner", Parts: []Part{{ID: 7, Tokens: 9000}}}
 		So(choose(t, plannersWith(quickLink, 5), ask, start).Source, ShouldEqual, "")
 	})
 }
