--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -188,7 +188,7 @@
 	}
 	least := slices.MinFunc(open, func(a, b candidate) int { return a.uncached - b.uncached }).uncached
 	return slices.DeleteFunc(open, func(c candidate) bool {
-		if ask.Within > 0 && c.waiting > float64(ask.Within) {
+		if ask.MaxEngineWait > 0 && c.waiting > float64(ask.MaxEngineWait) {
 			return true
 		}
 		extra := float64(c.uncached-least) / fleet.settings.ReadRate
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -82,9 +82,9 @@
 	// Priority is the one that engines read the prompt in, from 0, which is first,
 	// to Priorities-1.
 	Priority int
-	// Within is how long the prompt may wait at an engine before it is read; zero
+	// MaxEngineWait is how long the prompt may wait at an engine before it is read; zero
 	// means any time.
-	Within timekeeper.Span
+	MaxEngineWait timekeeper.Span
 }
 
 // Reason says why there is no choice.
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -154,7 +154,7 @@
 	// fifty requests, which reading 8,500 tokens would hold up for a fifth of a
 	// second each. The caller waits for the first, or reads at an idle one.
 	ask := promptAsk(1, 1)
-	ask.Within = 600
+	ask.MaxEngineWait = 600
 	crowd := func(fleet *Fleet, id string, running, unread int) {
 		fleet.SetPeer("peer-"+id, map[Key]Held{KeyOf(id): {Running: running, Unread: unread}}, timekeeper.Minute, start)
 	}
--- a/internal/balancer/time_weight.go
+++ b/internal/balancer/time_weight.go
@@ -33,7 +33,7 @@
 // much later than expected answers of the service begin: engines may read more slowly
 // than they are taken to.
 func (fleet *Fleet) timeWeight(ask Request, held []holding, now timekeeper.Instant) timeWeight {
-	if ask.Within <= 0 || len(held) == 0 {
+	if ask.MaxEngineWait <= 0 || len(held) == 0 {
 		return timeWeight{}
 	}
 	waiting := 0.0
@@ -42,7 +42,7 @@
 	}
 	late := max(0, fleet.paceOf(ask.Service).excess.now(paceMemory, now))
 	mean := waiting/float64(len(held)) + late
-	return timeWeight{within: ask.Within, full: mean / (fullTargets * float64(ask.Within))}
+	return timeWeight{within: ask.MaxEngineWait, full: mean / (fullTargets * float64(ask.MaxEngineWait))}
 }
 
 // at returns the weight where the first part of the answer is expected after a time in
--- a/internal/balancer/time_weight_test.go
+++ b/internal/balancer/time_weight_test.go
@@ -33,7 +33,7 @@
 	// peers, and by answers that begin later than expected: engines that read more slowly
 	// than they are taken to look idle otherwise, while their callers leave.
 	ask := promptAsk(1, 1)
-	ask.Within = 600
+	ask.MaxEngineWait = 600
 	weightAfter := func(happen func(fleet *Fleet)) float64 {
 		fleet := plannersWith(quickLink, 3)
 		happen(fleet)
@@ -89,7 +89,7 @@
 			}
 			fleet.SetPeer("crowd", held, timekeeper.Minute, start)
 			ask := promptAsk(1, 1)
-			ask.Within = 2 * timekeeper.Second
+			ask.MaxEngineWait = 2 * timekeeper.Second
 			placement := choose(t, fleet, ask, start)
 			So(placement.Replica.ID, ShouldNotEqual, "planner-0")
 			So(placement.Fetched > 0, ShouldEqual, test.moved)
--- a/internal/relayer/task.go
+++ b/internal/relayer/task.go
@@ -217,7 +217,7 @@
 	waiter := &balancer.Waiter{
 		Ask: balancer.Request{
 			Service: task.service, Parts: task.call.Parts, Excluded: task.excluded, Connections: task.connections(),
-			Priority: task.rank().EnginePriority(), Within: task.route.Target,
+			Priority: task.rank().EnginePriority(), MaxEngineWait: task.route.Target,
 		},
 		Rank: int(task.rank()), Team: task.team.Name,
 		Due: task.arrived.Add(task.route.Target), Until: task.arrived.Add(task.wait()),
