--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -169,7 +169,7 @@
 	case pool.willing == 0:
 		return AllBackingOff
 	case pool.reached == 0:
-		return AllUnreached
+		return AllUnreachable
 	}
 	return noReason
 }
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -93,7 +93,7 @@
 // The reasons. The zero value means that there is a choice.
 const (
 	NoReplicas   Reason = "no-replicas"
-	AllUnreached Reason = "all-unreachable"
+	AllUnreachable Reason = "all-unreachable"
 	AllFull      Reason = "all-full"
 	AllTried     Reason = "all-tried"
 	AllEvacuated Reason = "all-evacuated"
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -205,13 +205,13 @@
 	fleet.End(first, Unreachable, start)
 	Convey("it gets nothing until the pause is over", t, func() {
 		_, reason := fleet.Choose(ask, start.Add(firstPause-1))
-		So(reason, ShouldEqual, AllUnreached)
+		So(reason, ShouldEqual, AllUnreachable)
 	})
 	Convey("then one request tries, and the others wait for it", t, func() {
 		now := start.Add(firstPause)
 		trial := choose(t, fleet, ask, now)
 		_, reason := fleet.Choose(ask, now.Add(1))
-		So(reason, ShouldEqual, AllUnreached)
+		So(reason, ShouldEqual, AllUnreachable)
 		fleet.Began(trial, now.Add(20))
 		So(choose(t, fleet, ask, now.Add(21)), ShouldNotBeNil)
 	})
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -95,7 +95,7 @@
 // replicas that it has not met back off, others behind it find a place.
 func (fleet *Fleet) waits(waiter *Waiter, now timekeeper.Instant) bool {
 	switch waiter.Reason {
-	case AllFull, AllUnreached:
+	case AllFull, AllUnreachable:
 		return true
 	case AllBackingOff:
 		left := fleet.BackoffRemaining(waiter.Ask.Service, now)
