--- a/internal/balancer/backoff_test.go
+++ b/internal/balancer/backoff_test.go
@@ -190,7 +190,7 @@
 	// Guards against callers who are held, or refused, although it is known what waiting
 	// brings.
 	waiterFor := func(use timekeeper.Span) *Waiter {
-		return &Waiter{Ask: promptAsk(1, 1), Due: start.Add(use / 2), Until: start.Add(use)}
+		return &Waiter{Request: promptAsk(1, 1), Due: start.Add(use / 2), Until: start.Add(use)}
 	}
 	const span = timekeeper.Second
 	Convey("where all do, whoever can't wait for so long is told at once when to come", t, func() {
@@ -229,7 +229,7 @@
 	Convey("where some do, the others serve", t, func() {
 		fleet, _ := refusing(9, 3, span)
 		for number := range 60 {
-			waiter := &Waiter{Ask: promptAsk(uint64(number), uint64(number)), Due: start.Add(300), Until: start.Add(600)}
+			waiter := &Waiter{Request: promptAsk(uint64(number), uint64(number)), Due: start.Add(300), Until: start.Add(600)}
 			fleet.Join(waiter, start)
 			So(waiter.Placement, ShouldNotBeNil)
 			So(waiter.Placement.Replica.ID, ShouldNotBeIn, "planner-0", "planner-1", "planner-2")
@@ -238,7 +238,7 @@
 	Convey("who has met all but those that back off is told, and holds up nobody", t, func() {
 		fleet, _ := refusing(2, 1, span)
 		waiter := waiterFor(2 * span)
-		waiter.Ask.Excluded = []string{"planner-1"}
+		waiter.Request.Excluded = []string{"planner-1"}
 		fleet.Join(waiter, start)
 		So(waiter.Reason, ShouldEqual, AllBackingOff)
 	})
--- a/internal/balancer/evacuation_test.go
+++ b/internal/balancer/evacuation_test.go
@@ -66,7 +66,7 @@
 	for fleet.fill("planner", now) {
 		continue
 	}
-	waiter := &Waiter{Ask: promptAsk(1, 1), Until: now.Add(600)}
+	waiter := &Waiter{Request: promptAsk(1, 1), Until: now.Add(600)}
 	fleet.Join(waiter, now)
 	Convey("who waits is told at once, and who comes then does not wait", t, func() {
 		So(waiter.Reason, ShouldEqual, noReason)
@@ -74,7 +74,7 @@
 		decided := fleet.Dispatch(now.Add(20))
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].Reason, ShouldEqual, AllEvacuated)
-		late := &Waiter{Ask: promptAsk(2, 2), Until: now.Add(600)}
+		late := &Waiter{Request: promptAsk(2, 2), Until: now.Add(600)}
 		fleet.Join(late, now.Add(30))
 		So(late.Reason, ShouldEqual, AllEvacuated)
 	})
@@ -84,7 +84,7 @@
 		for fleet.fill("planner", now) {
 			continue
 		}
-		waiter := &Waiter{Ask: promptAsk(1, 1), Until: now.Add(600)}
+		waiter := &Waiter{Request: promptAsk(1, 1), Until: now.Add(600)}
 		fleet.Join(waiter, now)
 		So(fleet.Dispatch(now.Add(10)), ShouldBeEmpty)
 		fleet.Evacuate(NewEvacuations(6, nil), now.Add(20))
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -20,7 +20,7 @@
 // who can still be on time, then the team that has had least of late, then who came first.
 // Whoever can't be served in time is told so at once.
 type Waiter struct {
-	Ask Request
+	Request Request
 	// Rank orders who waits: the lowest is the most urgent.
 	Rank int
 	Team string
@@ -73,13 +73,13 @@
 func (fleet *Fleet) Join(waiter *Waiter, now timekeeper.Instant) {
 	fleet.number++
 	waiter.number = fleet.number
-	queue := fleet.queue(waiter.Ask.Service)
-	queue.arrivals[waiter.Ask.Priority].add(1, rateMemory, now)
+	queue := fleet.queue(waiter.Request.Service)
+	queue.arrivals[waiter.Request.Priority].add(1, rateMemory, now)
 	first := len(queue.waiting) == 0 || waiter.Rank < queue.mostUrgent()
 	if first && fleet.try(waiter, now) {
 		return
 	}
-	if first && !fleet.waits(waiter, now) || fleet.backsOffFor(waiter, fleet.BackoffRemaining(waiter.Ask.Service, now), now) {
+	if first && !fleet.waits(waiter, now) || fleet.backsOffFor(waiter, fleet.BackoffRemaining(waiter.Request.Service, now), now) {
 		return
 	}
 	waiter.Reason = noReason
@@ -98,7 +98,7 @@
 	case AllFull, AllUnreachable:
 		return true
 	case AllBackingOff:
-		left := fleet.BackoffRemaining(waiter.Ask.Service, now)
+		left := fleet.BackoffRemaining(waiter.Request.Service, now)
 		return left > 0 && !fleet.backsOffFor(waiter, left, now)
 	}
 	return false
@@ -116,7 +116,7 @@
 
 // try gives a waiter a replica if there is one.
 func (fleet *Fleet) try(waiter *Waiter, now timekeeper.Instant) bool {
-	waiter.Placement, waiter.Reason = fleet.Choose(waiter.Ask, now)
+	waiter.Placement, waiter.Reason = fleet.Choose(waiter.Request, now)
 	if waiter.Placement == nil {
 		return false
 	}
@@ -156,7 +156,7 @@
 
 // Quit takes a waiter out whose caller has left.
 func (fleet *Fleet) Quit(waiter *Waiter) {
-	queue := fleet.queue(waiter.Ask.Service)
+	queue := fleet.queue(waiter.Request.Service)
 	queue.waiting = slices.DeleteFunc(queue.waiting, func(other *Waiter) bool { return other == waiter })
 }
 
@@ -183,7 +183,7 @@
 
 func (fleet *Fleet) dispatch(queue *serviceQueue, now timekeeper.Instant) []*Waiter {
 	var decided []*Waiter
-	left := fleet.BackoffRemaining(queue.waiting[0].Ask.Service, now)
+	left := fleet.BackoffRemaining(queue.waiting[0].Request.Service, now)
 	queue.waiting = slices.DeleteFunc(queue.waiting, func(waiter *Waiter) bool {
 		switch {
 		case now >= waiter.Until:
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -27,7 +27,7 @@
 }
 
 func waiterOf(rank int, team string, now timekeeper.Instant) *Waiter {
-	return &Waiter{Ask: Request{Service: "orders"}, Rank: rank, Team: team, Due: now.Add(300), Until: now.Add(600)}
+	return &Waiter{Request: Request{Service: "orders"}, Rank: rank, Team: team, Due: now.Add(300), Until: now.Add(600)}
 }
 
 func TestWhoGetsThePlacesThatComeFree(t *testing.T) {
@@ -127,7 +127,7 @@
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			waiter := &Waiter{Ask: test.ask, Until: start.Add(500)}
+			waiter := &Waiter{Request: test.ask, Until: start.Add(500)}
 			test.fleet.Join(waiter, start)
 			So(waiter.Reason, ShouldEqual, test.reason)
 			So(test.fleet.Waiting(), ShouldEqual, 0)
@@ -228,7 +228,7 @@
 			}
 			fleet.SetPeer("peer", map[Key]Held{KeyOf("planner-0"): {Running: test.held}}, timekeeper.Minute, start)
 			waiter := &Waiter{
-				Ask: Request{Service: "planner", Parts: chain(1, 1), Priority: test.priority}, Rank: test.priority,
+				Request: Request{Service: "planner", Parts: chain(1, 1), Priority: test.priority}, Rank: test.priority,
 				Due: start.Add(300), Until: start.Add(600),
 			}
 			fleet.Join(waiter, start)
--- a/internal/relayer/task.go
+++ b/internal/relayer/task.go
@@ -215,7 +215,7 @@
 // place gets a replica for the request, or the reason why there is none.
 func (task *task) place(ctx context.Context) *balancer.Waiter {
 	waiter := &balancer.Waiter{
-		Ask: balancer.Request{
+		Request: balancer.Request{
 			Service: task.service, Parts: task.call.Parts, Excluded: task.excluded, Connections: task.connections(),
 			Priority: task.rank().EnginePriority(), MaxEngineWait: task.route.Target,
 		},
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -219,7 +219,7 @@
 	}
 	class, left := fresh.class, float64(fresh.class.Patience)
 	waiter := &balancer.Waiter{
-		Ask: balancer.Request{
+		Request: balancer.Request{
 			Service: "planner", Parts: fresh.parts, Priority: class.Urgency, MaxEngineWait: class.Target,
 		},
 		Rank: class.Urgency, Team: "team", Due: instant(now).Add(class.Target),
