--- a/internal/balancer/backoff_test.go
+++ b/internal/balancer/backoff_test.go
@@ -196,7 +196,7 @@
 	Convey("where all do, whoever can't wait for so long is told at once when to come", t, func() {
 		fleet, _ := refusing(3, 3, span)
 		waiter := waiterFor(span / 2)
-		fleet.Join(waiter, start)
+		fleet.Enqueue(waiter, start)
 		So(waiter.Reason, ShouldEqual, AllBackingOff)
 		So(waiter.Wait, ShouldBeBetweenOrEqual, span, latest(span).Since(start))
 		So(fleet.Waiting(), ShouldEqual, 0)
@@ -204,8 +204,8 @@
 	Convey("also who comes behind others that can", t, func() {
 		fleet, _ := refusing(3, 3, span)
 		patient, hasty := waiterFor(2*span), waiterFor(span/2)
-		fleet.Join(patient, start)
-		fleet.Join(hasty, start)
+		fleet.Enqueue(patient, start)
+		fleet.Enqueue(hasty, start)
 		So(patient.Reason, ShouldBeEmpty)
 		So(hasty.Reason, ShouldEqual, AllBackingOff)
 		Convey("who waits is served by the first that ends", func() {
@@ -219,7 +219,7 @@
 		fleet, list := refusing(2, 1, span)
 		fillPlanners(fleet)
 		waiter := waiterFor(span / 2)
-		fleet.Join(waiter, start)
+		fleet.Enqueue(waiter, start)
 		So(waiter.Reason, ShouldBeEmpty)
 		fleet.StartBackoff(list[1].Incarnation(), span, start)
 		decided := fleet.Dispatch(start)
@@ -230,7 +230,7 @@
 		fleet, _ := refusing(9, 3, span)
 		for number := range 60 {
 			waiter := &Waiter{Request: promptAsk(uint64(number), uint64(number)), Due: start.Add(300), Until: start.Add(600)}
-			fleet.Join(waiter, start)
+			fleet.Enqueue(waiter, start)
 			So(waiter.Placement, ShouldNotBeNil)
 			So(waiter.Placement.Replica.ID, ShouldNotBeIn, "planner-0", "planner-1", "planner-2")
 		}
@@ -239,7 +239,7 @@
 		fleet, _ := refusing(2, 1, span)
 		waiter := waiterFor(2 * span)
 		waiter.Request.Excluded = []string{"planner-1"}
-		fleet.Join(waiter, start)
+		fleet.Enqueue(waiter, start)
 		So(waiter.Reason, ShouldEqual, AllBackingOff)
 	})
 	Convey("those that leave or are evacuated don't count", t, func() {
@@ -250,7 +250,7 @@
 		fleet.AnnounceLeave(list[0].Incarnation(), start)
 		So(fleet.BackoffRemaining("planner", start), ShouldEqual, 0)
 		waiter := waiterFor(2 * span)
-		fleet.Join(waiter, start)
+		fleet.Enqueue(waiter, start)
 		So(waiter.Reason, ShouldEqual, NoReplicas)
 	})
 }
--- a/internal/balancer/evacuation_test.go
+++ b/internal/balancer/evacuation_test.go
@@ -67,7 +67,7 @@
 		continue
 	}
 	waiter := &Waiter{Request: promptAsk(1, 1), Until: now.Add(600)}
-	fleet.Join(waiter, now)
+	fleet.Enqueue(waiter, now)
 	Convey("who waits is told at once, and who comes then does not wait", t, func() {
 		So(waiter.Reason, ShouldEqual, noReason)
 		fleet.Evacuate(NewEvacuations(5, centres), now.Add(10))
@@ -75,7 +75,7 @@
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].Reason, ShouldEqual, AllEvacuated)
 		late := &Waiter{Request: promptAsk(2, 2), Until: now.Add(600)}
-		fleet.Join(late, now.Add(30))
+		fleet.Enqueue(late, now.Add(30))
 		So(late.Reason, ShouldEqual, AllEvacuated)
 	})
 	Convey("who waits looks again when a data centre is taken back", t, func() {
@@ -85,7 +85,7 @@
 			continue
 		}
 		waiter := &Waiter{Request: promptAsk(1, 1), Until: now.Add(600)}
-		fleet.Join(waiter, now)
+		fleet.Enqueue(waiter, now)
 		So(fleet.Dispatch(now.Add(10)), ShouldBeEmpty)
 		fleet.Evacuate(NewEvacuations(6, nil), now.Add(20))
 		So(fleet.Dispatch(now.Add(30)), ShouldHaveLength, 1)
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -68,9 +68,9 @@
 	return entryOf(fleet.queues, service)
 }
 
-// Join asks for a replica, now or when there is a place. The waiter is decided
+// Enqueue asks for a replica, now or when there is a place. The waiter is decided
 // when it has a placement or a reason; else it waits, and Dispatch decides it.
-func (fleet *Fleet) Join(waiter *Waiter, now timekeeper.Instant) {
+func (fleet *Fleet) Enqueue(waiter *Waiter, now timekeeper.Instant) {
 	fleet.number++
 	waiter.number = fleet.number
 	queue := fleet.queue(waiter.Request.Service)
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -43,7 +43,7 @@
 		waiterOf(5, "greedy", start),
 	}
 	for _, waiter := range waiters {
-		fleet.Join(waiter, start)
+		fleet.Enqueue(waiter, start)
 	}
 	Convey("all wait", t, func() {
 		So(fleet.Waiting(), ShouldEqual, len(waiters))
@@ -65,7 +65,7 @@
 	fleet := orders(1)
 	fill(t, fleet, start)
 	waiter := waiterOf(1, "bole", start)
-	fleet.Join(waiter, start)
+	fleet.Enqueue(waiter, start)
 	Convey("at the end of its time", t, func() {
 		So(fleet.Dispatch(start.Add(599)), ShouldBeEmpty)
 		decided := fleet.Dispatch(start.Add(600))
@@ -85,11 +85,11 @@
 	for range 30 {
 		waiter := waiterOf(10, "bole", start)
 		waiter.Until = start.Add(timekeeper.Minute)
-		fleet.Join(waiter, start)
+		fleet.Enqueue(waiter, start)
 	}
 	late, urgent := waiterOf(10, "bole", start), waiterOf(5, "bole", start)
-	fleet.Join(late, start)
-	fleet.Join(urgent, start)
+	fleet.Enqueue(late, start)
+	fleet.Enqueue(urgent, start)
 	Convey("the late one is refused with the time to come back", t, func() {
 		So(late.Reason, ShouldEqual, AllFull)
 		So(late.Wait, ShouldBeBetween, 2900, 3300)
@@ -105,7 +105,7 @@
 	fleet := orders(1)
 	taken := fill(t, fleet, start)
 	waiter := waiterOf(1, "bole", start)
-	fleet.Join(waiter, start)
+	fleet.Enqueue(waiter, start)
 	fleet.Quit(waiter)
 	fleet.End(taken[0], Served, start)
 	Convey("it gets no place", t, func() {
@@ -128,7 +128,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			waiter := &Waiter{Request: test.ask, Until: start.Add(500)}
-			test.fleet.Join(waiter, start)
+			test.fleet.Enqueue(waiter, start)
 			So(waiter.Reason, ShouldEqual, test.reason)
 			So(test.fleet.Waiting(), ShouldEqual, 0)
 		})
@@ -139,10 +139,10 @@
 	fleet := orders(1)
 	fill(t, fleet, start)
 	for range mostWaiting {
-		fleet.Join(waiterOf(1, "bole", start), start)
+		fleet.Enqueue(waiterOf(1, "bole", start), start)
 	}
 	beyond := waiterOf(1, "bole", start)
-	fleet.Join(beyond, start)
+	fleet.Enqueue(beyond, start)
 	Convey("one too many is refused", t, func() {
 		So(beyond.Reason, ShouldEqual, AllFull)
 		So(fleet.Waiting(), ShouldEqual, mostWaiting)
@@ -193,7 +193,7 @@
 			for number := range waiting {
 				waiter := waiterOf(number%3, fmt.Sprint(number%10), start)
 				waiter.Until = start.Add(timekeeper.Hour)
-				fleet.Join(waiter, start)
+				fleet.Enqueue(waiter, start)
 			}
 			for b.Loop() {
 				fleet.Dispatch(start)
@@ -231,7 +231,7 @@
 				Request: Request{Service: "planner", Parts: chain(1, 1), Priority: test.priority}, Rank: test.priority,
 				Due: start.Add(300), Until: start.Add(600),
 			}
-			fleet.Join(waiter, start)
+			fleet.Enqueue(waiter, start)
 			So(waiter.Placement != nil, ShouldEqual, test.placed)
 			So(fleet.Waiting() == 1, ShouldEqual, test.waitsForAPlace)
 		})
--- a/internal/balancer/statement_test.go
+++ b/internal/balancer/statement_test.go
@@ -148,7 +148,7 @@
 	waiters := make([]*Waiter, 50)
 	for i := range waiters {
 		waiters[i] = &Waiter{Request: promptAsk(uint64(i), uint64(1000+i)), Due: start.Add(300), Until: start.Add(600)}
-		fleet.Join(waiters[i], start)
+		fleet.Enqueue(waiters[i], start)
 	}
 	fleet.AnnounceLeave(list[0].Incarnation(), start)
 	Convey("none that was chosen for it may still be sent", t, func() {
--- a/internal/relayer/queue.go
+++ b/internal/relayer/queue.go
@@ -47,7 +47,7 @@
 	defer queue.forget(waiter)
 	done := false
 	queue.fleet.With(func(fleet *balancer.Fleet) {
-		fleet.Join(waiter, queue.clock.Now())
+		fleet.Enqueue(waiter, queue.clock.Now())
 		done = waiter.Placement != nil || waiter.Reason != ""
 	})
 	if done {
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -225,7 +225,7 @@
 		Rank: class.Urgency, Team: "team", Due: instant(now).Add(class.Target),
 		Until: instant(now + math.Min(waitTargets*float64(class.Target), waitShare*left)),
 	}
-	fresh.entry.fleet.Join(waiter, instant(now))
+	fresh.entry.fleet.Enqueue(waiter, instant(now))
 	if !run.decided(fresh, waiter, now) {
 		fresh.entry.waiting[waiter] = fresh
 	}
