--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -154,8 +154,8 @@
 	return timekeeper.Span(float64(ahead) * steady * float64(rateMemory) / ends)
 }
 
-// Quit takes a waiter out whose caller has left.
-func (fleet *Fleet) Quit(waiter *Waiter) {
+// Dequeue takes a waiter out whose caller has left.
+func (fleet *Fleet) Dequeue(waiter *Waiter) {
 	queue := fleet.queue(waiter.Request.Service)
 	queue.waiting = slices.DeleteFunc(queue.waiting, func(other *Waiter) bool { return other == waiter })
 }
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -106,7 +106,7 @@
 	taken := fill(t, fleet, start)
 	waiter := waiterOf(1, "bole", start)
 	fleet.Enqueue(waiter, start)
-	fleet.Quit(waiter)
+	fleet.Dequeue(waiter)
 	fleet.End(taken[0], Served, start)
 	Convey("it gets no place", t, func() {
 		So(fleet.Waiting(), ShouldEqual, 0)
--- a/internal/relayer/queue.go
+++ b/internal/relayer/queue.go
@@ -86,7 +86,7 @@
 // meanwhile is given back.
 func (queue *queue) quit(waiter *balancer.Waiter) {
 	queue.fleet.With(func(fleet *balancer.Fleet) {
-		fleet.Quit(waiter)
+		fleet.Dequeue(waiter)
 		if waiter.Placement != nil {
 			fleet.End(waiter.Placement, balancer.Abandoned, queue.clock.Now())
 			waiter.Placement = nil
