--- a/internal/assembler/direct_sharing.go
+++ b/internal/assembler/direct_sharing.go
@@ -37,5 +37,5 @@
 	}
 	own := addressOf(fellows.direct.listeners.peers)
 	others := fellows.gossiper.Known(sharerMemory)
-	fellows.direct.fleet.With(func(fleet *balancer.Fleet) { fleet.SetSharers(own, others) })
+	fellows.direct.fleet.With(func(fleet *balancer.Fleet) { fleet.SetEntries(own, others) })
 }
--- a/internal/balancer/backoff_test.go
+++ b/internal/balancer/backoff_test.go
@@ -260,7 +260,7 @@
 	const span = timekeeper.Second
 	fleet, list := refusing(1, 1, span)
 	fleet.SetWarming("planner", Warming{Span: 5 * span, Rate: 12})
-	fleet.SetSharers("a", nil)
+	fleet.SetEntries("a", nil)
 	list[0].WarmAt = start.Add(5 * span)
 	fleet.SetReplicas(list, 6)
 	fleet.Evacuate(NewEvacuations(1, []string{list[0].DataCentre}), start)
--- a/internal/balancer/cold.go
+++ b/internal/balancer/cold.go
@@ -35,12 +35,12 @@
 	number int
 }
 
-// SetSharers says which entries there are: this one and the others, by names that all know
+// SetEntries says which entries there are: this one and the others, by names that all know
 // them by. Until it is called cold replicas get nothing from this entry.
 //
 // Those that are silent count for as long as they may be cut off from this entry and not
 // from replicas: an entry that takes itself for one of few takes more than its part.
-func (fleet *Fleet) SetSharers(own string, others []string) {
+func (fleet *Fleet) SetEntries(own string, others []string) {
 	digests := make([]uint64, len(others))
 	for i, other := range others {
 		digests[i] = xxhash.Sum64String(other)
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -81,7 +81,7 @@
 				others = append(others, site.names[other])
 			}
 		}
-		site.entries[number].SetSharers(site.names[number], others)
+		site.entries[number].SetEntries(site.names[number], others)
 	}
 }
 
