--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -157,7 +157,7 @@
 			fleet.Cached(placed.Replica, placed.Parts, now)
 		}
 		for _, cold := range heard.Cold {
-			fleet.Chill(cold.Replica, cold.Until)
+			fleet.MarkCold(cold.Replica, cold.Until)
 		}
 		for _, replica := range heard.Unreachable {
 			fleet.Suspect(replica, now)
--- a/internal/balancer/cold.go
+++ b/internal/balancer/cold.go
@@ -73,8 +73,8 @@
 	return news
 }
 
-// Chill notes that a peer has read of an incarnation that it is cold until an instant.
-func (fleet *Fleet) Chill(key Key, until timekeeper.Instant) {
+// MarkCold notes that a peer has read of an incarnation that it is cold until an instant.
+func (fleet *Fleet) MarkCold(key Key, until timekeeper.Instant) {
 	if known, found := fleet.keys[key]; found {
 		known.chill(until)
 	}
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -284,9 +284,9 @@
 		changes := fleet.SetReplicas(warmAt(replicasOf("planner", 1, 64), start.Add(5000)), 5)
 		So(changes, ShouldHaveLength, 1)
 		So(changes[0].Chilled, ShouldBeTrue)
-		fleet.Chill(list[0].Key(), start.Add(7000))
+		fleet.MarkCold(list[0].Key(), start.Add(7000))
 		So(eligible(start.Add(6999)).Access, ShouldEqual, Limited)
-		fleet.Chill(list[0].Key(), start.Add(6000))
+		fleet.MarkCold(list[0].Key(), start.Add(6000))
 		So(eligible(start.Add(6999)).Access, ShouldEqual, Limited)
 	})
 	Convey("a service that tolerates any rate has no cold replicas", t, func() {
