--- a/internal/balancer/cold.go
+++ b/internal/balancer/cold.go
@@ -6,9 +6,9 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Warming says how replicas of a service behave after a start. The zero value stands for
+// WarmUp says how replicas of a service behave after a start. The zero value stands for
 // replicas that are warm at once.
-type Warming struct {
+type WarmUp struct {
 	// Span is for how long a replica is cold.
 	Span timekeeper.Span
 	// Rate is how many requests a second a cold replica tolerates from all entries; zero
@@ -25,7 +25,7 @@
 )
 
 // SetWarming says how replicas of a service behave after a start.
-func (fleet *Fleet) SetWarming(service string, warming Warming) { fleet.warming[service] = warming }
+func (fleet *Fleet) SetWarming(service string, warming WarmUp) { fleet.warming[service] = warming }
 
 // sharers are the entries that share what cold replicas tolerate.
 type sharers struct {
@@ -97,7 +97,7 @@
 
 // shareOf returns how entries share a cold replica: so that all users together, each with
 // its burst and its rate, stay within what the operators allow in any second.
-func (settings Settings) shareOf(warming Warming, entries int) coldShare {
+func (settings Settings) shareOf(warming WarmUp, entries int) coldShare {
 	allowed := warming.Rate*settings.ColdOver + settings.ColdSlack
 	users := min(entries, max(1, int(coldLeft*(allowed-warming.Rate)/coldBurst)))
 	return coldShare{users: users, rate: max(0, min(warming.Rate, allowed-coldBurst*float64(users))) / float64(users)}
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -13,7 +13,7 @@
 
 // warming is how the engines of the tests here warm up, and what the operators allow.
 var (
-	warming  = Warming{Span: 3 * timekeeper.Second, Rate: 12}
+	warming  = WarmUp{Span: 3 * timekeeper.Second, Rate: 12}
 	allowing = Settings{Seed: 1, ColdOver: 1.5, ColdSlack: 5}
 )
 
@@ -290,7 +290,7 @@
 		So(eligible(start.Add(6999)).Access, ShouldEqual, Limited)
 	})
 	Convey("a service that tolerates any rate has no cold replicas", t, func() {
-		fleet.SetWarming("planner", Warming{})
+		fleet.SetWarming("planner", WarmUp{})
 		So(eligible(start).Access, ShouldEqual, Open)
 	})
 }
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -45,7 +45,7 @@
 	unlisted archive
 	services map[string][]*replica
 	engines  map[string]Engine
-	warming  map[string]Warming
+	warming  map[string]WarmUp
 	sharers  sharers
 	peers    map[string]peerDigest
 	// peerSums are what all peers have under way, by replica.
@@ -88,7 +88,7 @@
 		unlisted: archive{},
 		services: map[string][]*replica{},
 		engines:  map[string]Engine{},
-		warming:  map[string]Warming{},
+		warming:  map[string]WarmUp{},
 		peers:    map[string]peerDigest{},
 		peerSums: map[Key]Held{},
 		paces:    map[string]*pace{},
