--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -93,7 +93,7 @@
 	direct.fellows.gossiper.Configured()
 	direct.fleet.With(func(fleet *balancer.Fleet) {
 		for _, service := range config.Services() {
-			fleet.SetWarming(service.Name, balancer.WarmUp{Span: service.ColdTime, Rate: service.ColdRate})
+			fleet.SetWarmUp(service.Name, balancer.WarmUp{Span: service.ColdTime, Rate: service.ColdRate})
 			if service.Engine != nil {
 				fleet.SetEngine(service.Name, engineOf(*service.Engine))
 			}
--- a/internal/balancer/backoff_test.go
+++ b/internal/balancer/backoff_test.go
@@ -259,7 +259,7 @@
 	// Guards against a replica that gets work when the first of several reasons ends.
 	const span = timekeeper.Second
 	fleet, list := refusing(1, 1, span)
-	fleet.SetWarming("planner", WarmUp{Span: 5 * span, Rate: 12})
+	fleet.SetWarmUp("planner", WarmUp{Span: 5 * span, Rate: 12})
 	fleet.SetEntries("a", nil)
 	list[0].WarmAt = start.Add(5 * span)
 	fleet.SetReplicas(list, 6)
--- a/internal/balancer/cold.go
+++ b/internal/balancer/cold.go
@@ -24,8 +24,8 @@
 	coldBurst = 1.0
 )
 
-// SetWarming says how replicas of a service behave after a start.
-func (fleet *Fleet) SetWarming(service string, warming WarmUp) { fleet.warming[service] = warming }
+// SetWarmUp says how replicas of a service behave after a start.
+func (fleet *Fleet) SetWarmUp(service string, warming WarmUp) { fleet.warming[service] = warming }
 
 // sharers are the entries that share what cold replicas tolerate.
 type sharers struct {
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -60,7 +60,7 @@
 	settings.Seed = uint64(len(site.entries))
 	fleet := New(settings)
 	fleet.SetEngine("planner", Engine{Memory: 300000})
-	fleet.SetWarming("planner", warming)
+	fleet.SetWarmUp("planner", warming)
 	fleet.SetReplicas(slices.Concat(site.warm, site.cold), 1)
 	site.entries = append(site.entries, fleet)
 	site.names = append(site.names, fmt.Sprintf("10.0.0.%d:7000", len(site.names)))
@@ -228,7 +228,7 @@
 		settings.Seed = uint64(number)
 		entries[number] = New(settings)
 		entries[number].SetEngine("planner", Engine{Memory: 300000})
-		entries[number].SetWarming("planner", warming)
+		entries[number].SetWarmUp("planner", warming)
 		entries[number].SetReplicas(spreadOf("planner", count, 64), 1)
 		entries[number].Evacuate(NewEvacuations(3, []string{"kality"}), start)
 	}
@@ -264,7 +264,7 @@
 	// Guards against a replica that turns cold without a start, and is not treated so, and
 	// against one that counts as cold for good.
 	fleet := New(allowing)
-	fleet.SetWarming("planner", warming)
+	fleet.SetWarmUp("planner", warming)
 	list := replicasOf("planner", 1, 64)
 	fleet.SetReplicas(list, 1)
 	eligible := func(now timekeeper.Instant) Eligibility { return fleet.eligibility(fleet.replicas["planner-0"], now) }
@@ -290,7 +290,7 @@
 		So(eligible(start.Add(6999)).Access, ShouldEqual, Limited)
 	})
 	Convey("a service that tolerates any rate has no cold replicas", t, func() {
-		fleet.SetWarming("planner", WarmUp{})
+		fleet.SetWarmUp("planner", WarmUp{})
 		So(eligible(start).Access, ShouldEqual, Open)
 	})
 }
