--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -114,7 +114,7 @@
 	var changes []balancer.Change
 	direct.fleet.With(func(fleet *balancer.Fleet) { changes = fleet.SetReplicas(list, uint64(version)) })
 	for _, change := range changes {
-		if change.Chilled {
+		if change.TurnedCold {
 			direct.chilled(change.Replica)
 			continue
 		}
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -283,7 +283,7 @@
 	Convey("cold again, before a row said that it was warm, is news for peers", t, func() {
 		changes := fleet.SetReplicas(warmAt(replicasOf("planner", 1, 64), start.Add(5000)), 5)
 		So(changes, ShouldHaveLength, 1)
-		So(changes[0].Chilled, ShouldBeTrue)
+		So(changes[0].TurnedCold, ShouldBeTrue)
 		fleet.MarkCold(list[0].Key(), start.Add(7000))
 		So(eligible(start.Add(6999)).Access, ShouldEqual, Limited)
 		fleet.MarkCold(list[0].Key(), start.Add(6000))
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -104,9 +104,9 @@
 	// Restarted reports that the replica started again under its ID.
 	Restarted bool
 	Gone      bool
-	// Chilled reports that nothing has changed but that the replica has turned cold, or
+	// TurnedCold reports that nothing has changed but that the replica has turned cold, or
 	// stays so for longer than was known.
-	Chilled bool
+	TurnedCold bool
 }
 
 // SetReplicas takes in the platform's list of a version and returns what changed
@@ -126,7 +126,7 @@
 		}
 		if found && listing.same(known.Replica) {
 			if known.chill(listing.WarmAt) {
-				changes = append(changes, Change{Replica: listing, Chilled: true})
+				changes = append(changes, Change{Replica: listing, TurnedCold: true})
 			}
 			continue
 		}
