--- a/internal/balancer/cold.go
+++ b/internal/balancer/cold.go
@@ -98,7 +98,7 @@
 // shareOf returns how entries share a cold replica: so that all users together, each with
 // its burst and its rate, stay within what the operators allow in any second.
 func (settings Settings) shareOf(warming WarmUp, entries int) coldShare {
-	allowed := warming.Rate*settings.ColdOver + settings.ColdSlack
+	allowed := warming.Rate*settings.ColdRateFactor + settings.ColdSlack
 	users := min(entries, max(1, int(coldLeft*(allowed-warming.Rate)/coldBurst)))
 	return coldShare{users: users, rate: max(0, min(warming.Rate, allowed-coldBurst*float64(users))) / float64(users)}
 }
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -14,7 +14,7 @@
 // warming is how the engines of the tests here warm up, and what the operators allow.
 var (
 	warming  = WarmUp{Span: 3 * timekeeper.Second, Rate: 12}
-	allowing = Settings{Seed: 1, ColdOver: 1.5, ColdSlack: 5}
+	allowing = Settings{Seed: 1, ColdRateFactor: 1.5, ColdSlack: 5}
 )
 
 // allowedCold is how many requests a cold engine may get in a second by these.
@@ -304,8 +304,8 @@
 	}{
 		{"many entries", allowing, 28, 7, 1.5, 1.8},
 		{"few entries", allowing, 3, 3, 3.9, 4.1},
-		{"no more than the rate is allowed", Settings{ColdOver: 1}, 28, 1, 10.9, 11.1},
-		{"less than a request is left", Settings{ColdOver: 1, ColdSlack: 0.5}, 1, 1, 11.4, 11.6},
+		{"no more than the rate is allowed", Settings{ColdRateFactor: 1}, 28, 1, 10.9, 11.1},
+		{"less than a request is left", Settings{ColdRateFactor: 1, ColdSlack: 0.5}, 1, 1, 11.4, 11.6},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -18,10 +18,10 @@
 	// Bound is how many times the mean of its service a replica may hold; zero
 	// means 2. See bounded.
 	Bound float64
-	// ColdOver is how many times the rate that a cold replica tolerates all entries
+	// ColdRateFactor is how many times the rate that a cold replica tolerates all entries
 	// together may send in a second, and ColdSlack how many requests more. Zero means once,
 	// and none.
-	ColdOver, ColdSlack float64
+	ColdRateFactor, ColdSlack float64
 	// MovePrice is how many prompt tokens that are read cost as much as a gigabyte
 	// that engines hand on; zero means 2,300. See DefaultMovePrice.
 	MovePrice float64
@@ -67,8 +67,8 @@
 	if settings.Bound == 0 {
 		settings.Bound = 2
 	}
-	if settings.ColdOver == 0 {
-		settings.ColdOver = 1
+	if settings.ColdRateFactor == 0 {
+		settings.ColdRateFactor = 1
 	}
 	if settings.MovePrice == 0 {
 		settings.MovePrice = DefaultMovePrice
