--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -78,7 +78,7 @@
 		return Eligibility{Access: Closed, Cause: Leaving, Version: max(fleet.version, known.left)}, true
 	case known.said.leaving != 0:
 		return Eligibility{Access: Closed, Cause: LeaveAnnounced, Since: known.said.leaving}, true
-	case fleet.evacuations.Has(known.DataCentre):
+	case fleet.evacuations.Contains(known.DataCentre):
 		return Eligibility{Access: Closed, Cause: Evacuated, Version: fleet.evacuations.Version, Since: fleet.evacuated}, true
 	}
 	return Eligibility{}, false
--- a/internal/balancer/evacuation.go
+++ b/internal/balancer/evacuation.go
@@ -24,8 +24,8 @@
 	return slices.Equal(evacuations.Centres, other.Centres)
 }
 
-// Has reports whether a data centre is evacuated.
-func (evacuations Evacuations) Has(centre string) bool {
+// Contains reports whether a data centre is evacuated.
+func (evacuations Evacuations) Contains(centre string) bool {
 	return slices.Contains(evacuations.Centres, centre)
 }
 
@@ -46,7 +46,7 @@
 	}
 	fleet.evacuated = now
 	for _, known := range fleet.replicas {
-		if before.Has(known.DataCentre) && !evacuations.Has(known.DataCentre) {
+		if before.Contains(known.DataCentre) && !evacuations.Contains(known.DataCentre) {
 			known.chill(now.Add(fleet.warming[known.Service].Span))
 		}
 	}
