--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -113,7 +113,7 @@
 
 func (spread *spread) add(eligibility Eligibility, held int) {
 	switch eligibility.Cause {
-	case Leaving, LeaveAnnounced, Unreached:
+	case Leaving, LeaveAnnounced, NoConnection:
 		return
 	case Evacuated, BackingOff, Cold:
 		spread.narrowed = true
@@ -150,7 +150,7 @@
 		return false
 	}
 	pool.willing++
-	if eligibility.Cause == Unreached {
+	if eligibility.Cause == NoConnection {
 		return false
 	}
 	pool.reached++
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -32,8 +32,8 @@
 	Evacuated Cause = "evacuated"
 	// BackingOff: it has refused a request and wants nothing from this entry for a time.
 	BackingOff Cause = "backing-off"
-	// Unreached: it took no connection.
-	Unreached Cause = "unreachable"
+	// NoConnection: it took no connection.
+	NoConnection Cause = "unreachable"
 	// Cold: it has started a moment ago, or may have.
 	Cold Cause = "cold"
 )
@@ -62,7 +62,7 @@
 		return known.backingOff()
 	}
 	if !known.doubt.open(now) {
-		return Eligibility{Access: Closed, Cause: Unreached, Until: known.doubt.ends()}
+		return Eligibility{Access: Closed, Cause: NoConnection, Until: known.doubt.ends()}
 	}
 	if now < known.cold.until && fleet.warming[known.Service].Rate > 0 {
 		return Eligibility{Access: Limited, Cause: Cold, Until: known.cold.until}
--- a/internal/balancer/survey.go
+++ b/internal/balancer/survey.go
@@ -45,7 +45,7 @@
 				survey.Evacuated++
 			case BackingOff:
 				survey.BackingOff++
-			case Unreached:
+			case NoConnection:
 				survey.Unreachable++
 			case Cold:
 				survey.Cold++
