--- a/internal/balancer/backoff_test.go
+++ b/internal/balancer/backoff_test.go
@@ -89,7 +89,7 @@
 		fleet, list := refusing(1, 0, span)
 		placement, _ := fleet.Choose(promptAsk(1, 1), start)
 		fleet.StartBackoff(list[0].Incarnation(), span, start)
-		fleet.Began(placement, start.Add(20))
+		fleet.AnswerStarted(placement, start.Add(20))
 		fleet.End(placement, Served, start.Add(200))
 		So(chosenAt(fleet, start.Add(span-1)), ShouldEqual, 0)
 	})
@@ -162,7 +162,7 @@
 	Convey("all, once it is served", t, func() {
 		now := over.Add(2 * span)
 		placement, _ := fleet.Choose(promptAsk(2, 2), now)
-		fleet.Began(placement, now.Add(20))
+		fleet.AnswerStarted(placement, now.Add(20))
 		So(chosenAt(fleet, now.Add(20)), ShouldBeGreaterThan, 10)
 	})
 }
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -103,7 +103,7 @@
 	if placement.Replica.WarmAt != 0 {
 		site.sent[placement.Replica.ID] = append(site.sent[placement.Replica.ID], now)
 	}
-	entry.Began(placement, now)
+	entry.AnswerStarted(placement, now)
 	entry.End(placement, Served, now)
 	return placement
 }
@@ -249,7 +249,7 @@
 			if placement == nil {
 				continue
 			}
-			entry.Began(placement, now)
+			entry.AnswerStarted(placement, now)
 			entry.End(placement, Served, now)
 			if placement.Replica.DataCentre == "kality" {
 				sent[placement.Replica.ID] = append(sent[placement.Replica.ID], now)
--- a/internal/balancer/evacuation_test.go
+++ b/internal/balancer/evacuation_test.go
@@ -113,7 +113,7 @@
 			thing = 7
 		}
 		placement := choose(t, fleet, promptAsk(thing, uint64(i)), start.Add(timekeeper.Span(i)))
-		fleet.Began(placement, start.Add(timekeeper.Span(i)))
+		fleet.AnswerStarted(placement, start.Add(timekeeper.Span(i)))
 		held[placement.Replica.ID]++
 	}
 	Convey("the fullest one is within twice the mean of all, and three", t, func() {
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -248,8 +248,8 @@
 	source *replica
 }
 
-// Began notes the first part of an answer: the prompt has been read.
-func (fleet *Fleet) Began(placement *Placement, now timekeeper.Instant) {
+// AnswerStarted notes the first part of an answer: the prompt has been read.
+func (fleet *Fleet) AnswerStarted(placement *Placement, now timekeeper.Instant) {
 	if !fleet.read(placement) {
 		return
 	}
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -57,7 +57,7 @@
 func TestAPromptGoesWhereItIsCached(t *testing.T) {
 	fleet := planners(9)
 	first := choose(t, fleet, promptAsk(1, 1), start)
-	fleet.Began(first, start.Add(230))
+	fleet.AnswerStarted(first, start.Add(230))
 	fleet.End(first, Served, start.Add(400))
 	Convey("the second request reads only its own part", t, func() {
 		second := choose(t, fleet, promptAsk(1, 2), start.Add(500))
@@ -212,7 +212,7 @@
 		trial := choose(t, fleet, ask, now)
 		_, reason := fleet.Choose(ask, now.Add(1))
 		So(reason, ShouldEqual, AllUnreachable)
-		fleet.Began(trial, now.Add(20))
+		fleet.AnswerStarted(trial, now.Add(20))
 		So(choose(t, fleet, ask, now.Add(21)), ShouldNotBeNil)
 	})
 }
@@ -228,7 +228,7 @@
 		for range 20 {
 			placement := choose(t, fleet, ask, now)
 			So(placement.Replica.ID, ShouldNotEqual, silent)
-			fleet.Began(placement, now)
+			fleet.AnswerStarted(placement, now)
 			fleet.End(placement, Served, now)
 		}
 	})
@@ -339,7 +339,7 @@
 				}
 			case 2:
 				if len(open) > 0 {
-					fleet.Began(open[rapid.IntRange(0, len(open)-1).Draw(t, "began")], now)
+					fleet.AnswerStarted(open[rapid.IntRange(0, len(open)-1).Draw(t, "began")], now)
 				}
 			default:
 				if len(open) > 0 {
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -42,7 +42,7 @@
 		So(fleet.cacheOf(fresh).uncached(chain(1, 1)), ShouldEqual, 9080)
 	})
 	Convey("a request of the earlier life that ends changes nothing", t, func() {
-		fleet.Began(placement, start.Add(10))
+		fleet.AnswerStarted(placement, start.Add(10))
 		fleet.End(placement, Failed, start.Add(10))
 		fresh := fleet.replicas["planner-0"]
 		So(fresh.running, ShouldEqual, 0)
--- a/internal/balancer/transfer_test.go
+++ b/internal/balancer/transfer_test.go
@@ -118,7 +118,7 @@
 				delete(fleet.replicas[id].cache.parts, 101)
 			}
 			now = now.Add(1500)
-			fleet.Began(placement, now)
+			fleet.AnswerStarted(placement, now)
 			fleet.End(placement, Served, now)
 		}
 		crowd(fleet, "planner-0", now)
--- a/internal/relayer/relay.go
+++ b/internal/relayer/relay.go
@@ -83,7 +83,7 @@
 	if task.first == 0 {
 		task.first = now
 	}
-	task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.Began(task.placement, now) })
+	task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.AnswerStarted(task.placement, now) })
 }
 
 // markPause notes the time since the last part of a stream, and returns now. No
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -354,7 +354,7 @@
 // first notes the first event of an answer.
 func (run *run) first(request *request, placement *balancer.Placement, now float64) {
 	if placement != nil {
-		request.entry.fleet.Began(placement, instant(now))
+		request.entry.fleet.AnswerStarted(placement, instant(now))
 	}
 	request.answered = true
 	onTime := now-request.arrived <= float64(request.class.Target)
