--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -290,12 +290,12 @@
 	return found
 }
 
-// Ending says how a request at a replica ended.
-type Ending uint8
+// Outcome says how a request at a replica ended.
+type Outcome uint8
 
 const (
 	// Served means that the replica gave a whole answer.
-	Served Ending = iota + 1
+	Served Outcome = iota + 1
 	// Failed means that it broke off or gave an error.
 	Failed
 	// Refused means that the replica said that it did not run the request.
@@ -307,7 +307,7 @@
 )
 
 // End notes how a request ended.
-func (fleet *Fleet) End(placement *Placement, ending Ending, now timekeeper.Instant) {
+func (fleet *Fleet) End(placement *Placement, ending Outcome, now timekeeper.Instant) {
 	silent := !placement.began && placement.late(now)
 	fleet.read(placement)
 	known, found := fleet.placed(placement)
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -237,7 +237,7 @@
 func TestFailuresAreForgiven(t *testing.T) {
 	tests := []struct {
 		name    string
-		ending  Ending
+		ending  Outcome
 		avoided bool
 	}{
 		{"a failure", Failed, true},
@@ -344,7 +344,7 @@
 			default:
 				if len(open) > 0 {
 					last := len(open) - 1
-					fleet.End(open[last], Ending(rapid.IntRange(int(Served), int(Abandoned)).Draw(t, "ending")), now)
+					fleet.End(open[last], Outcome(rapid.IntRange(int(Served), int(Abandoned)).Draw(t, "ending")), now)
 					open = open[:last]
 				}
 			}
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -284,7 +284,7 @@
 	run.count(request, chosen, placement)
 	run.numbers++
 	work := &job{parts: request.parts, output: request.class.Output, priority: request.class.Urgency, number: run.numbers}
-	end := func(ending balancer.Ending, now float64) {
+	end := func(ending balancer.Outcome, now float64) {
 		request.over = true
 		entry.running[chosen]--
 		if placement != nil {
