--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -160,7 +160,7 @@
 			fleet.MarkCold(cold.Replica, cold.Until)
 		}
 		for _, replica := range heard.Unreachable {
-			fleet.Suspect(replica, now)
+			fleet.MarkUnreachable(replica, now)
 		}
 	})
 	fellows.hearLeaves(heard, now)
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -337,8 +337,8 @@
 	}
 }
 
-// Suspect notes that a replica can't be reached, as this entry or a peer saw.
-func (fleet *Fleet) Suspect(id string, now timekeeper.Instant) {
+// MarkUnreachable notes that a replica can't be reached, as this entry or a peer saw.
+func (fleet *Fleet) MarkUnreachable(id string, now timekeeper.Instant) {
 	if known, found := fleet.replicas[id]; found {
 		known.doubt.unreachable(now)
 	}
--- a/internal/balancer/survey_test.go
+++ b/internal/balancer/survey_test.go
@@ -19,7 +19,7 @@
 	fleet.SetPeer("peer", map[Key]Held{KeyOf("planner-2"): {Running: 5}}, timekeeper.Minute, start)
 	placement := choose(t, fleet, promptAsk(1, 1), start)
 	fleet.AnswerStarted(placement, start.Add(placement.Expected+200))
-	fleet.Suspect("planner-1", start.Add(placement.Expected+100))
+	fleet.MarkUnreachable("planner-1", start.Add(placement.Expected+100))
 	Convey("each state, the load and the drift of the model", t, func() {
 		survey := fleet.Survey(start.Add(placement.Expected + 200))
 		So(survey, ShouldHaveLength, 1)
--- a/internal/balancer/transfer_test.go
+++ b/internal/balancer/transfer_test.go
@@ -71,7 +71,7 @@
 		}, "planner-0:1"},
 		{"not one that takes no connections", func(fleet *Fleet) {
 			crowd(fleet, "planner-0", start)
-			fleet.Suspect("planner-0", start)
+			fleet.MarkUnreachable("planner-0", start)
 		}, ""},
 		{"not one that fails", func(fleet *Fleet) {
 			crowd(fleet, "planner-0", start)
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -312,7 +312,7 @@
 // suspect takes a replica out of service for a while.
 func (entry *Entry) suspect(replica balancer.Replica, why string) {
 	now := entry.settings.Clock.Now()
-	entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.Suspect(replica.ID, now) })
+	entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.MarkUnreachable(replica.ID, now) })
 	entry.settings.Pool.Retire(replica.ID)
 	entry.settings.Unreachable(replica.ID)
 	entry.settings.Log.WithFields(logrus.Fields{
