--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -186,7 +186,7 @@
 	var announced []string
 	fellows.direct.fleet.With(func(fleet *balancer.Fleet) {
 		for _, leave := range heard.Leaves {
-			if fleet.Leave(leave.Replica, leave.Version) {
+			if fleet.MarkLeaving(leave.Replica, leave.Version) {
 				leaves = append(leaves, leave)
 			}
 		}
--- a/internal/balancer/backoff_test.go
+++ b/internal/balancer/backoff_test.go
@@ -245,7 +245,7 @@
 	Convey("those that leave or are evacuated don't count", t, func() {
 		fleet, list := refusing(3, 1, span)
 		fleet.AnnounceLeave(list[1].Incarnation(), start)
-		fleet.Leave(list[2].ID, 99)
+		fleet.MarkLeaving(list[2].ID, 99)
 		So(fleet.BackoffRemaining("planner", start), ShouldBeGreaterThanOrEqualTo, span)
 		fleet.AnnounceLeave(list[0].Incarnation(), start)
 		So(fleet.BackoffRemaining("planner", start), ShouldEqual, 0)
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -347,9 +347,9 @@
 // mostLeaves bounds the replicas that peers saw leave and the own list still has.
 const mostLeaves = 4096
 
-// Leave notes that a peer has seen a replica leave at a version of the list, and reports
+// MarkLeaving notes that a peer has seen a replica leave at a version of the list, and reports
 // whether that is news. It holds until the own list is as new.
-func (fleet *Fleet) Leave(id string, version uint64) bool {
+func (fleet *Fleet) MarkLeaving(id string, version uint64) bool {
 	if version <= fleet.version {
 		return false
 	}
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -184,7 +184,7 @@
 		for own := range uint64(5) {
 			So(choose(t, fleet, promptAsk(1, own), start).Replica.ID, ShouldEqual, "planner-1")
 		}
-		fleet.Leave("planner-1", 2)
+		fleet.MarkLeaving("planner-1", 2)
 		_, reason := fleet.Choose(promptAsk(1, 9), start)
 		So(reason, ShouldEqual, NoReplicas)
 		So(fleet.Count("planner"), ShouldEqual, 0)
--- a/internal/balancer/leave_test.go
+++ b/internal/balancer/leave_test.go
@@ -31,7 +31,7 @@
 			fleet := planners(2)
 			list := replicasOf("planner", 2, 64)
 			fleet.SetReplicas(list, 8)
-			fleet.Leave("planner-0", test.told)
+			fleet.MarkLeaving("planner-0", test.told)
 			list[0].Leaving = test.leaving
 			fleet.SetReplicas(list, test.listed)
 			want := 1
@@ -43,7 +43,7 @@
 	}
 	Convey("also one that the own list did not have yet", t, func() {
 		fleet := planners(1)
-		fleet.Leave("planner-1", 12)
+		fleet.MarkLeaving("planner-1", 12)
 		fleet.SetReplicas(replicasOf("planner", 2, 64), 9)
 		So(fleet.Count("planner"), ShouldEqual, 1)
 	})
@@ -72,7 +72,7 @@
 			fleet := planners(2)
 			list := replicasOf("planner", 2, 64)
 			fleet.SetReplicas(list, 8)
-			So(fleet.Leave("planner-0", test.told), ShouldBeTrue)
+			So(fleet.MarkLeaving("planner-0", test.told), ShouldBeTrue)
 			list[0].Leaving = test.leaving
 			if test.listed > 0 {
 				fleet.SetReplicas(list, test.listed)
@@ -85,7 +85,7 @@
 				So(back, ShouldBeEmpty)
 			}
 			So(fleet.Count("planner"), ShouldEqual, want)
-			So(fleet.Leave("planner-0", test.confirmed), ShouldBeFalse)
+			So(fleet.MarkLeaving("planner-0", test.confirmed), ShouldBeFalse)
 		})
 	}
 	Convey("a listing of an earlier life says nothing of the later one", t, func() {
@@ -93,7 +93,7 @@
 		list := replicasOf("planner", 1, 64)
 		list[0].Born = 20
 		fleet.SetReplicas(list, 8)
-		fleet.Leave("planner-0", 12)
+		fleet.MarkLeaving("planner-0", 12)
 		list[0].Born = 10
 		fleet.SetReplicas(list, 10)
 		So(fleet.Count("planner"), ShouldEqual, 0)
@@ -166,7 +166,7 @@
 // tell lets a peer tell of a replica that has left.
 func (play *leaver) tell(id string) {
 	if at := play.left[id]; at != 0 {
-		play.fleet.Leave(id, at)
+		play.fleet.MarkLeaving(id, at)
 		play.known[id] = true
 	}
 }
--- a/internal/balancer/statement_test.go
+++ b/internal/balancer/statement_test.go
@@ -49,7 +49,7 @@
 		}, false},
 		{"a peer's word that it leaves is corrected", func(fleet *Fleet) {
 			fleet.AnnounceLeave(life(first), start)
-			fleet.Leave("planner-0", 12)
+			fleet.MarkLeaving("planner-0", 12)
 			So(fleet.Confirm(13), ShouldBeEmpty)
 		}, false},
 		{"its row lapses and comes back", func(fleet *Fleet) {
@@ -211,7 +211,7 @@
 			case "restart":
 				list[which].Born++
 			case "leave":
-				fleet.Leave(list[which].ID, version+rapid.Uint64Range(0, 3).Draw(t, "ahead"))
+				fleet.MarkLeaving(list[which].ID, version+rapid.Uint64Range(0, 3).Draw(t, "ahead"))
 			case "confirm":
 				version += 2
 				fleet.Confirm(version)
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -307,7 +307,7 @@
 	one.heard[in.member.Address], one.at[in.member.Address] = in.member, one.clock.Now()
 	one.served = append(one.served, in.served)
 	for _, leave := range in.leaves {
-		one.balancer.Leave(leave.replica, uint64(leave.version))
+		one.balancer.MarkLeaving(leave.replica, uint64(leave.version))
 	}
 	one.fewest = min(one.fewest, one.balancer.Count("planner"))
 	one.mu.Unlock()
