--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -139,7 +139,7 @@
 // confirmList notes that the list of replicas is also that of a newer version.
 func (direct *Direct) confirmList(version follower.Version) {
 	var back []string
-	direct.fleet.With(func(fleet *balancer.Fleet) { back = fleet.Confirm(uint64(version)) })
+	direct.fleet.With(func(fleet *balancer.Fleet) { back = fleet.ConfirmVersion(uint64(version)) })
 	for _, replica := range back {
 		direct.log.WithFields(logrus.Fields{
 			labelReplica: replica, "version": uint64(version),
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -365,10 +365,10 @@
 	return news
 }
 
-// Confirm notes that the list which was taken in last is also that of a version. It
+// ConfirmVersion notes that the list which was taken in last is also that of a version. It
 // returns the replicas that get work again: a peer saw them leave at that version or
 // before it, and the list has them ready.
-func (fleet *Fleet) Confirm(version uint64) (back []string) {
+func (fleet *Fleet) ConfirmVersion(version uint64) (back []string) {
 	fleet.version = version
 	for id, seen := range fleet.left {
 		if seen > version {
--- a/internal/balancer/leave_test.go
+++ b/internal/balancer/leave_test.go
@@ -77,7 +77,7 @@
 			if test.listed > 0 {
 				fleet.SetReplicas(list, test.listed)
 			}
-			back, want := fleet.Confirm(test.confirmed), 1
+			back, want := fleet.ConfirmVersion(test.confirmed), 1
 			if test.works {
 				want = 2
 				So(back, ShouldResemble, []string{"planner-0"})
@@ -157,7 +157,7 @@
 	for version := uint64(len(play.history)); version > play.read; version-- {
 		if slices.Equal(play.history[version-1], own) {
 			play.read = version
-			play.fleet.Confirm(version)
+			play.fleet.ConfirmVersion(version)
 			return
 		}
 	}
--- a/internal/balancer/statement_test.go
+++ b/internal/balancer/statement_test.go
@@ -50,7 +50,7 @@
 		{"a peer's word that it leaves is corrected", func(fleet *Fleet) {
 			fleet.AnnounceLeave(life(first), start)
 			fleet.MarkLeaving("planner-0", 12)
-			So(fleet.Confirm(13), ShouldBeEmpty)
+			So(fleet.ConfirmVersion(13), ShouldBeEmpty)
 		}, false},
 		{"its row lapses and comes back", func(fleet *Fleet) {
 			fleet.AnnounceLeave(life(first), start)
@@ -214,7 +214,7 @@
 				fleet.MarkLeaving(list[which].ID, version+rapid.Uint64Range(0, 3).Draw(t, "ahead"))
 			case "confirm":
 				version += 2
-				fleet.Confirm(version)
+				fleet.ConfirmVersion(version)
 			case "ask":
 				placement, _ := fleet.Choose(promptAsk(uint64(step), uint64(step)), now)
 				if placement != nil && announced[placement.Replica.Incarnation()] {
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -187,7 +187,7 @@
 func (one *process) confirm(version follower.Version) {
 	one.mu.Lock()
 	defer one.mu.Unlock()
-	one.balancer.Confirm(uint64(version))
+	one.balancer.ConfirmVersion(uint64(version))
 }
 
 // works returns how many replicas could get work, and how many at the least since the
