--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -382,8 +382,8 @@
 	return back
 }
 
-// Report takes in what a replica said of itself with an answer.
-func (fleet *Fleet) Report(id string, report LoadReport, now timekeeper.Instant) {
+// RecordReport takes in what a replica said of itself with an answer.
+func (fleet *Fleet) RecordReport(id string, report LoadReport, now timekeeper.Instant) {
 	if known, found := fleet.replicas[id]; found {
 		known.report, known.reported = report, now
 	}
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -295,7 +295,7 @@
 
 func TestAReplicasOwnCountIsBelievedForAMoment(t *testing.T) {
 	fleet := orders(2)
-	fleet.Report("orders-0", LoadReport{Running: 6, Waiting: 5, Slots: 6}, start)
+	fleet.RecordReport("orders-0", LoadReport{Running: 6, Waiting: 5, Slots: 6}, start)
 	Convey("others that nobody has told of count", t, func() {
 		for range 5 {
 			So(choose(t, fleet, Request{Service: "orders"}, start.Add(10)).Replica.ID, ShouldEqual, "orders-1")
--- a/internal/relayer/statement.go
+++ b/internal/relayer/statement.go
@@ -21,7 +21,7 @@
 	}
 	now := task.entry.settings.Clock.Now()
 	if head.Load != nil {
-		task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.Report(replica.ID, *head.Load, now) })
+		task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.RecordReport(replica.ID, *head.Load, now) })
 	}
 	// The lines are about the replica: the story of each request that met it has them.
 	fields := logrus.Fields{
