--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -76,7 +76,7 @@
 func (fellows *fellows) readers() int { return 1 + len(fellows.gossiper.Up()) }
 
 // held returns what this entry has under way.
-func (direct *Direct) held() (held map[balancer.Key]balancer.Held) {
+func (direct *Direct) held() (held map[balancer.Key]balancer.InFlight) {
 	direct.fleet.With(func(fleet *balancer.Fleet) { held = fleet.Held() })
 	return held
 }
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -262,7 +262,7 @@
 
 // held returns how many requests a replica is believed to hold: what this entry
 // and its peers have there, or what the replica said a moment ago.
-func (known *replica) held(peers Held, now timekeeper.Instant) int {
+func (known *replica) held(peers InFlight, now timekeeper.Instant) int {
 	held := known.running + peers.Running
 	if known.reported != 0 && now.Since(known.reported) <= reportLife {
 		held = max(held, known.report.Running+known.report.Waiting)
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -49,7 +49,7 @@
 	sharers  sharers
 	peers    map[string]peerDigest
 	// peerSums are what all peers have under way, by replica.
-	peerSums map[Key]Held
+	peerSums map[Key]InFlight
 	paces    map[string]*pace
 	queues   map[string]*serviceQueue
 	teams    map[string]*decaying
@@ -90,7 +90,7 @@
 		engines:  map[string]Engine{},
 		warming:  map[string]WarmUp{},
 		peers:    map[string]peerDigest{},
-		peerSums: map[Key]Held{},
+		peerSums: map[Key]InFlight{},
 		paces:    map[string]*pace{},
 		queues:   map[string]*serviceQueue{},
 		teams:    map[string]*decaying{},
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -157,9 +157,9 @@
 		Convey(test.name, t, func() {
 			fleet := planners(4)
 			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
-			held := map[Key]Held{KeyOf("planner-0"): {Running: test.held}}
+			held := map[Key]InFlight{KeyOf("planner-0"): {Running: test.held}}
 			for _, other := range []string{"planner-1", "planner-2", "planner-3"} {
-				held[KeyOf(other)] = Held{Running: test.rest}
+				held[KeyOf(other)] = InFlight{Running: test.rest}
 			}
 			fleet.SetPeer("peer", held, timekeeper.Minute, start)
 			open, reason := fleet.candidates(promptAsk(1, 1), fleet.holdings(promptAsk(1, 1)), start)
@@ -306,7 +306,7 @@
 
 func TestAPeersRequestsCountForTheLifeOfItsDigest(t *testing.T) {
 	fleet := orders(2)
-	fleet.SetPeer("entry-2", map[Key]Held{KeyOf("orders-0"): {Running: 9}}, 800, start)
+	fleet.SetPeer("entry-2", map[Key]InFlight{KeyOf("orders-0"): {Running: 9}}, 800, start)
 	Convey("while it lives", t, func() {
 		So(choose(t, fleet, Request{Service: "orders"}, start.Add(800)).Replica.ID, ShouldEqual, "orders-1")
 	})
--- a/internal/balancer/heats_test.go
+++ b/internal/balancer/heats_test.go
@@ -93,11 +93,11 @@
 		for thing := range uint64(50) {
 			usual := choose(t, planners(9), promptAsk(thing, 1), start).Replica.ID
 			fresh := planners(9)
-			held := map[Key]Held{}
+			held := map[Key]InFlight{}
 			for _, other := range replicasOf("planner", 9, 64) {
-				held[KeyOf(other.ID)] = Held{Running: 4}
+				held[KeyOf(other.ID)] = InFlight{Running: 4}
 			}
-			held[KeyOf(usual)] = Held{Running: 7, Unread: 6000}
+			held[KeyOf(usual)] = InFlight{Running: 7, Unread: 6000}
 			fresh.SetPeer("peer", held, timekeeper.Minute, start)
 			So(choose(t, fresh, promptAsk(thing, 2), start).Replica.ID, ShouldEqual, usual)
 		}
--- a/internal/balancer/peers.go
+++ b/internal/balancer/peers.go
@@ -6,8 +6,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Held is what one entry has under way at one replica.
-type Held struct {
+// InFlight is what one entry has under way at one replica.
+type InFlight struct {
 	// Running counts requests.
 	Running int
 	// Unread are prompt tokens whose first event is due.
@@ -16,7 +16,7 @@
 
 // peerDigest is what a peer has under way everywhere.
 type peerDigest struct {
-	held map[Key]Held
+	held map[Key]InFlight
 	// until is when it no longer counts: the peer is down, and so are its requests.
 	until timekeeper.Instant
 	// heard is when it came, and gap how long after the one before; for the first
@@ -38,7 +38,7 @@
 
 // SetPeer takes in what a peer has under way, by the keys of the replicas, and
 // for how long that counts.
-func (fleet *Fleet) SetPeer(peer string, held map[Key]Held, life timekeeper.Span, now timekeeper.Instant) {
+func (fleet *Fleet) SetPeer(peer string, held map[Key]InFlight, life timekeeper.Span, now timekeeper.Instant) {
 	digest := peerDigest{held: held, until: now.Add(life), heard: now, gap: life / gapsOfLife}
 	if before, found := fleet.peers[peer]; found {
 		digest.gap = now.Since(before.heard)
@@ -56,7 +56,7 @@
 		sum := fleet.peerSums[key]
 		sum.Running += sign * held.Running
 		sum.Unread += sign * held.Unread
-		if sum == (Held{}) {
+		if sum == (InFlight{}) {
 			delete(fleet.peerSums, key)
 			continue
 		}
@@ -95,12 +95,12 @@
 }
 
 // Held returns what this entry has under way, by the keys of the replicas.
-func (fleet *Fleet) Held() map[Key]Held {
-	held := make(map[Key]Held)
+func (fleet *Fleet) Held() map[Key]InFlight {
+	held := make(map[Key]InFlight)
 	for _, known := range fleet.replicas {
 		unread := known.unreadBefore(Priorities - 1)
 		if known.running > 0 || unread > 0 {
-			held[known.key] = Held{Running: known.running, Unread: unread}
+			held[known.key] = InFlight{Running: known.running, Unread: unread}
 		}
 	}
 	return held
@@ -108,4 +108,4 @@
 
 // peersAt returns what peers have under way at a replica. Peers that no longer count
 // must have been taken out.
-func (fleet *Fleet) peersAt(key Key) Held { return fleet.peerSums[key] }
+func (fleet *Fleet) peersAt(key Key) InFlight { return fleet.peerSums[key] }
--- a/internal/balancer/peers_test.go
+++ b/internal/balancer/peers_test.go
@@ -16,7 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		fleet, now := planners(4), start
 		type told struct {
-			held  map[Key]Held
+			held  map[Key]InFlight
 			until timekeeper.Instant
 		}
 		all := map[string]told{}
@@ -24,16 +24,16 @@
 			now = now.Add(timekeeper.Span(rapid.IntRange(0, 400).Draw(t, "pause")))
 			peer := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "peer")
 			life := timekeeper.Span(rapid.IntRange(1, 1500).Draw(t, "life"))
-			held := map[Key]Held{}
+			held := map[Key]InFlight{}
 			for _, key := range rapid.SliceOfDistinct(rapid.Uint32Range(1, 4), rapid.ID[uint32]).Draw(t, "keys") {
-				held[Key(key)] = Held{Running: rapid.IntRange(0, 9).Draw(t, "running"), Unread: rapid.IntRange(0, 9).Draw(t, "unread")}
+				held[Key(key)] = InFlight{Running: rapid.IntRange(0, 9).Draw(t, "running"), Unread: rapid.IntRange(0, 9).Draw(t, "unread")}
 			}
 			fleet.SetPeer(peer, held, life, now)
 			all[peer] = told{held: held, until: now.Add(life)}
 			now = now.Add(timekeeper.Span(rapid.IntRange(0, 400).Draw(t, "wait")))
 			fleet.dropSilent(now)
 			for key := range Key(5) {
-				var want Held
+				var want InFlight
 				for _, digest := range all {
 					if now <= digest.until {
 						want.Running += digest.held[key].Running
@@ -54,9 +54,9 @@
 			fleet := planners(size.replicas)
 			list := replicasOf("planner", size.replicas, 64)
 			for peer := range size.entries - 1 {
-				held := map[Key]Held{}
+				held := map[Key]InFlight{}
 				for number := range 20 {
-					held[list[(peer*7+number*13)%len(list)].Key()] = Held{Running: 1, Unread: 100}
+					held[list[(peer*7+number*13)%len(list)].Key()] = InFlight{Running: 1, Unread: 100}
 				}
 				fleet.SetPeer(fmt.Sprint(peer), held, timekeeper.Hour, start)
 			}
--- a/internal/balancer/preference_test.go
+++ b/internal/balancer/preference_test.go
@@ -38,7 +38,7 @@
 			if test.holders > 1 {
 				fleet.Cached(second.key, parts, start)
 			}
-			held := map[Key]Held{first.key: {Running: crowd}}
+			held := map[Key]InFlight{first.key: {Running: crowd}}
 			fleet.SetPeer("peer", held, timekeeper.Second, start)
 			fleet.SetPeer("peer", held, timekeeper.Second, start.Add(test.gap))
 			placement := choose(t, fleet, Request{Service: "planner", Parts: chain(1, 2)}, start.Add(test.gap))
--- a/internal/balancer/transfer.go
+++ b/internal/balancer/transfer.go
@@ -28,7 +28,7 @@
 	shared, uncached int
 	// peers is what peers have under way there, load how many requests it is believed to
 	// hold, and waiting for how long the prompt would wait, in milliseconds.
-	peers   Held
+	peers   InFlight
 	load    int
 	waiting float64
 }
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -41,7 +41,7 @@
 	// Conn carries the datagrams; its address is the one that peers know.
 	Conn net.PacketConn
 	// Held returns what this entry has under way.
-	Held func() map[balancer.Key]balancer.Held
+	Held func() map[balancer.Key]balancer.InFlight
 	// Version returns the version of the configuration in force.
 	Version func() uint64
 	// StoreAnswered returns when the store answered this entry last; zero means never.
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -21,7 +21,7 @@
 type listener struct {
 	*Gossiper
 	conn net.PacketConn
-	held map[balancer.Key]balancer.Held
+	held map[balancer.Key]balancer.InFlight
 
 	mu    sync.Mutex
 	heard []Heard
@@ -35,10 +35,10 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	entry := &listener{conn: conn, held: map[balancer.Key]balancer.Held{}}
+	entry := &listener{conn: conn, held: map[balancer.Key]balancer.InFlight{}}
 	entry.Gossiper = New(Settings{
 		Incarnation: incarnation, Clock: clock, Log: log, Scope: tally.NoopScope, Conn: conn,
-		Held: func() map[balancer.Key]balancer.Held { return entry.held }, Version: func() uint64 { return 7 },
+		Held: func() map[balancer.Key]balancer.InFlight { return entry.held }, Version: func() uint64 { return 7 },
 		StoreAnswered: func() timekeeper.Instant { return clock.Now().Add(-250) },
 		Hear: func(heard Heard) {
 			entry.mu.Lock()
@@ -74,7 +74,7 @@
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	first, second := newListener(t, 1, clock.Clock()), newListener(t, 2, clock.Clock())
 	first.Learn(second.address())
-	first.held[balancer.KeyOf("planner-1")] = balancer.Held{Running: 3, Unread: 9200}
+	first.held[balancer.KeyOf("planner-1")] = balancer.InFlight{Running: 3, Unread: 9200}
 	parts := []balancer.Part{{ID: 1 << 60, Tokens: 2500}, {ID: 2, Tokens: 580}}
 	first.Placed(balancer.KeyOf("planner-1"), parts, false)
 	first.Placed(balancer.KeyOf("planner-2"), parts, true)
@@ -89,7 +89,7 @@
 		So(heard.Address, ShouldEqual, first.address())
 		So(heard.Configuration, ShouldEqual, 7)
 		So(heard.StoreAnswered, ShouldEqual, clock.Now().Add(-250))
-		So(heard.Held, ShouldResemble, map[balancer.Key]balancer.Held{balancer.KeyOf("planner-1"): {Running: 3, Unread: 9200}})
+		So(heard.Held, ShouldResemble, map[balancer.Key]balancer.InFlight{balancer.KeyOf("planner-1"): {Running: 3, Unread: 9200}})
 		So(heard.Placements, ShouldResemble, []Placement{
 			{Replica: balancer.KeyOf("planner-2"), Parts: parts[:1]},
 			{Replica: balancer.KeyOf("planner-1"), Parts: parts},
@@ -118,7 +118,7 @@
 		clock.Advance(restful - 1)
 		first.round()
 		So(first.sequence, ShouldEqual, before)
-		first.held[balancer.KeyOf("planner-1")] = balancer.Held{Running: 4}
+		first.held[balancer.KeyOf("planner-1")] = balancer.InFlight{Running: 4}
 		first.round()
 		So(first.sequence, ShouldEqual, before+1)
 	})
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -15,7 +15,7 @@
 	Address string
 	// Life is how long it counts.
 	Life          timekeeper.Span
-	Held          map[balancer.Key]balancer.Held
+	Held          map[balancer.Key]balancer.InFlight
 	Configuration uint64
 	// StoreAnswered is when the store answered the peer last; zero means never.
 	StoreAnswered timekeeper.Instant
@@ -64,14 +64,14 @@
 	heard := Heard{
 		Address: address, Configuration: digest.Configuration, Stopping: digest.Stopping,
 		Life: min(max(shortestLife, lifeRounds*timekeeper.Span(digest.IntervalMs)), lifeRounds*longest),
-		Held: make(map[balancer.Key]balancer.Held, len(digest.Replicas)), Unreachable: digest.Unreachable,
+		Held: make(map[balancer.Key]balancer.InFlight, len(digest.Replicas)), Unreachable: digest.Unreachable,
 		LeaveAnnounced: digest.LeaveAnnounced,
 	}
 	if digest.StoreAgeMs > 0 {
 		heard.StoreAnswered = now.Add(-timekeeper.Span(digest.StoreAgeMs))
 	}
 	for i := range min(len(digest.Replicas), len(digest.Running), len(digest.Unread)) {
-		heard.Held[balancer.Key(digest.Replicas[i])] = balancer.Held{Running: int(digest.Running[i]), Unread: int(digest.Unread[i])}
+		heard.Held[balancer.Key(digest.Replicas[i])] = balancer.InFlight{Running: int(digest.Running[i]), Unread: int(digest.Unread[i])}
 	}
 	for _, placed := range digest.Placements {
 		out := Placement{Replica: balancer.Key(placed.Replica)}
--- a/internal/gossiper/outbox.go
+++ b/internal/gossiper/outbox.go
@@ -187,7 +187,7 @@
 }
 
 // fillLoads writes what is under way into a digest, in a fixed order.
-func fillLoads(digest *encoder.PeerDigest, held map[balancer.Key]balancer.Held) {
+func fillLoads(digest *encoder.PeerDigest, held map[balancer.Key]balancer.InFlight) {
 	keys := slices.Sorted(maps.Keys(held))
 	for _, key := range keys {
 		digest.Replicas = append(digest.Replicas, uint32(key))
