--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -52,7 +52,7 @@
 		held[i].peers = fleet.peersAt(held[i].key)
 		held[i].load = held[i].held(held[i].peers, now)
 		if len(ask.Parts) > 0 {
-			held[i].waiting = held[i].waitingFor(ask.Priority, held[i].peers.Unread) / fleet.settings.ReadRate
+			held[i].waiting = held[i].waitingFor(ask.Priority, held[i].peers.PendingTokens) / fleet.settings.ReadRate
 		}
 	}
 }
--- a/internal/balancer/heats_test.go
+++ b/internal/balancer/heats_test.go
@@ -97,7 +97,7 @@
 			for _, other := range replicasOf("planner", 9, 64) {
 				held[KeyOf(other.ID)] = InFlight{Running: 4}
 			}
-			held[KeyOf(usual)] = InFlight{Running: 7, Unread: 6000}
+			held[KeyOf(usual)] = InFlight{Running: 7, PendingTokens: 6000}
 			fresh.SetPeer("peer", held, timekeeper.Minute, start)
 			So(choose(t, fresh, promptAsk(thing, 2), start).Replica.ID, ShouldEqual, usual)
 		}
--- a/internal/balancer/peers.go
+++ b/internal/balancer/peers.go
@@ -10,8 +10,8 @@
 type InFlight struct {
 	// Running counts requests.
 	Running int
-	// Unread are prompt tokens whose first event is due.
-	Unread int
+	// PendingTokens are prompt tokens whose first event is due.
+	PendingTokens int
 }
 
 // peerDigest is what a peer has under way everywhere.
@@ -55,7 +55,7 @@
 	for key, held := range digest.held {
 		sum := fleet.peerSums[key]
 		sum.Running += sign * held.Running
-		sum.Unread += sign * held.Unread
+		sum.PendingTokens += sign * held.PendingTokens
 		if sum == (InFlight{}) {
 			delete(fleet.peerSums, key)
 			continue
@@ -100,7 +100,7 @@
 	for _, known := range fleet.replicas {
 		unread := known.unreadBefore(Priorities - 1)
 		if known.running > 0 || unread > 0 {
-			held[known.key] = InFlight{Running: known.running, Unread: unread}
+			held[known.key] = InFlight{Running: known.running, PendingTokens: unread}
 		}
 	}
 	return held
--- a/internal/balancer/peers_test.go
+++ b/internal/balancer/peers_test.go
@@ -26,7 +26,7 @@
 			life := timekeeper.Span(rapid.IntRange(1, 1500).Draw(t, "life"))
 			held := map[Key]InFlight{}
 			for _, key := range rapid.SliceOfDistinct(rapid.Uint32Range(1, 4), rapid.ID[uint32]).Draw(t, "keys") {
-				held[Key(key)] = InFlight{Running: rapid.IntRange(0, 9).Draw(t, "running"), Unread: rapid.IntRange(0, 9).Draw(t, "unread")}
+				held[Key(key)] = InFlight{Running: rapid.IntRange(0, 9).Draw(t, "running"), PendingTokens: rapid.IntRange(0, 9).Draw(t, "unread")}
 			}
 			fleet.SetPeer(peer, held, life, now)
 			all[peer] = told{held: held, until: now.Add(life)}
@@ -37,7 +37,7 @@
 				for _, digest := range all {
 					if now <= digest.until {
 						want.Running += digest.held[key].Running
-						want.Unread += digest.held[key].Unread
+						want.PendingTokens += digest.held[key].PendingTokens
 					}
 				}
 				if got := fleet.peersAt(key); got != want {
@@ -56,7 +56,7 @@
 			for peer := range size.entries - 1 {
 				held := map[Key]InFlight{}
 				for number := range 20 {
-					held[list[(peer*7+number*13)%len(list)].Key()] = InFlight{Running: 1, Unread: 100}
+					held[list[(peer*7+number*13)%len(list)].Key()] = InFlight{Running: 1, PendingTokens: 100}
 				}
 				fleet.SetPeer(fmt.Sprint(peer), held, timekeeper.Hour, start)
 			}
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -156,7 +156,7 @@
 	ask := promptAsk(1, 1)
 	ask.MaxEngineWait = 600
 	crowd := func(fleet *Fleet, id string, running, unread int) {
-		fleet.SetPeer("peer-"+id, map[Key]InFlight{KeyOf(id): {Running: running, Unread: unread}}, timekeeper.Minute, start)
+		fleet.SetPeer("peer-"+id, map[Key]InFlight{KeyOf(id): {Running: running, PendingTokens: unread}}, timekeeper.Minute, start)
 	}
 	tests := []struct {
 		name   string
--- a/internal/balancer/time_weight_test.go
+++ b/internal/balancer/time_weight_test.go
@@ -50,12 +50,12 @@
 		{"peers have sent much", func(fleet *Fleet) {
 			held := map[Key]InFlight{}
 			for _, replica := range replicasOf("planner", 3, 64) {
-				held[replica.Key()] = InFlight{Running: 2, Unread: 30000}
+				held[replica.Key()] = InFlight{Running: 2, PendingTokens: 30000}
 			}
 			fleet.SetPeer("peer", held, timekeeper.Minute, start)
 		}, 1},
 		{"one engine of three is full", func(fleet *Fleet) {
-			held := map[Key]InFlight{KeyOf("planner-0"): {Running: 2, Unread: 18000}}
+			held := map[Key]InFlight{KeyOf("planner-0"): {Running: 2, PendingTokens: 18000}}
 			fleet.SetPeer("peer", held, timekeeper.Minute, start)
 		}, 0.5},
 		{"answers begin late", func(fleet *Fleet) {
@@ -83,9 +83,9 @@
 		Convey(test.name, t, func() {
 			fleet := plannersWith(engine, 3)
 			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
-			held := map[Key]InFlight{KeyOf("planner-0"): {Running: 40, Unread: test.unread}}
+			held := map[Key]InFlight{KeyOf("planner-0"): {Running: 40, PendingTokens: test.unread}}
 			for _, id := range []string{"planner-1", "planner-2"} {
-				held[KeyOf(id)] = InFlight{Unread: test.unread}
+				held[KeyOf(id)] = InFlight{PendingTokens: test.unread}
 			}
 			fleet.SetPeer("crowd", held, timekeeper.Minute, start)
 			ask := promptAsk(1, 1)
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -74,7 +74,7 @@
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	first, second := newListener(t, 1, clock.Clock()), newListener(t, 2, clock.Clock())
 	first.Learn(second.address())
-	first.held[balancer.KeyOf("planner-1")] = balancer.InFlight{Running: 3, Unread: 9200}
+	first.held[balancer.KeyOf("planner-1")] = balancer.InFlight{Running: 3, PendingTokens: 9200}
 	parts := []balancer.Part{{ID: 1 << 60, Tokens: 2500}, {ID: 2, Tokens: 580}}
 	first.Placed(balancer.KeyOf("planner-1"), parts, false)
 	first.Placed(balancer.KeyOf("planner-2"), parts, true)
@@ -89,7 +89,7 @@
 		So(heard.Address, ShouldEqual, first.address())
 		So(heard.Configuration, ShouldEqual, 7)
 		So(heard.StoreAnswered, ShouldEqual, clock.Now().Add(-250))
-		So(heard.Held, ShouldResemble, map[balancer.Key]balancer.InFlight{balancer.KeyOf("planner-1"): {Running: 3, Unread: 9200}})
+		So(heard.Held, ShouldResemble, map[balancer.Key]balancer.InFlight{balancer.KeyOf("planner-1"): {Running: 3, PendingTokens: 9200}})
 		So(heard.Placements, ShouldResemble, []Placement{
 			{Replica: balancer.KeyOf("planner-2"), Parts: parts[:1]},
 			{Replica: balancer.KeyOf("planner-1"), Parts: parts},
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -71,7 +71,7 @@
 		heard.StoreAnswered = now.Add(-timekeeper.Span(digest.StoreAgeMs))
 	}
 	for i := range min(len(digest.Replicas), len(digest.Running), len(digest.Unread)) {
-		heard.Held[balancer.Key(digest.Replicas[i])] = balancer.InFlight{Running: int(digest.Running[i]), Unread: int(digest.Unread[i])}
+		heard.Held[balancer.Key(digest.Replicas[i])] = balancer.InFlight{Running: int(digest.Running[i]), PendingTokens: int(digest.Unread[i])}
 	}
 	for _, placed := range digest.Placements {
 		out := Placement{Replica: balancer.Key(placed.Replica)}
--- a/internal/gossiper/outbox.go
+++ b/internal/gossiper/outbox.go
@@ -192,7 +192,7 @@
 	for _, key := range keys {
 		digest.Replicas = append(digest.Replicas, uint32(key))
 		digest.Running = append(digest.Running, uint32(max(0, held[key].Running)))
-		digest.Unread = append(digest.Unread, uint32(max(0, held[key].Unread)))
+		digest.Unread = append(digest.Unread, uint32(max(0, held[key].PendingTokens)))
 	}
 }
 
