--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -77,7 +77,7 @@
 
 // held returns what this entry has under way.
 func (direct *Direct) held() (held map[balancer.Key]balancer.InFlight) {
-	direct.fleet.With(func(fleet *balancer.Fleet) { held = fleet.Held() })
+	direct.fleet.With(func(fleet *balancer.Fleet) { held = fleet.InFlight() })
 	return held
 }
 
--- a/internal/balancer/peers.go
+++ b/internal/balancer/peers.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Held returns what this entry has under way, by the keys of the replicas.
-func (fleet *Fleet) Held() map[Key]InFlight {
+// InFlight returns what this entry has under way, by the keys of the replicas.
+func (fleet *Fleet) InFlight() map[Key]InFlight {
 	held := make(map[Key]InFlight)
 	for _, known := range fleet.replicas {
 		unread := known.unreadBefore(Priorities - 1)
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -118,7 +118,7 @@
 // digests sends what each entry has under way to all others.
 func (run *run) digests(now float64) {
 	for i, from := range run.entries {
-		held, placed := from.fleet.Held(), from.placed
+		held, placed := from.fleet.InFlight(), from.placed
 		from.placed = nil
 		for j, to := range run.entries {
 			if i == j {
