--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -154,7 +154,7 @@
 	fellows.direct.fleet.With(func(fleet *balancer.Fleet) {
 		fleet.SetPeer(heard.Address, heard.Held, heard.Life, now)
 		for _, placed := range heard.Placements {
-			fleet.Cached(placed.Replica, placed.Parts, now)
+			fleet.RecordCached(placed.Replica, placed.Parts, now)
 		}
 		for _, cold := range heard.Cold {
 			fleet.MarkCold(cold.Replica, cold.Until)
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -91,7 +91,7 @@
 func TestAPeersPromptIsKnown(t *testing.T) {
 	fleet := planners(9)
 	Convey("a request follows what a peer has sent", t, func() {
-		fleet.Cached(KeyOf("planner-3"), chain(1, 1), start)
+		fleet.RecordCached(KeyOf("planner-3"), chain(1, 1), start)
 		placement := choose(t, fleet, promptAsk(1, 2), start)
 		So(placement.Replica.ID, ShouldEqual, "planner-3")
 		So(placement.Uncached, ShouldEqual, 580)
@@ -105,10 +105,10 @@
 	// for empty as long as it lives.
 	fleet := New(Settings{DataCentre: "bole", Seed: 1})
 	fleet.SetReplicas(replicasOf("planner", 9, 64), 1)
-	fleet.Cached(KeyOf("planner-3"), chain(1, 1), start)
+	fleet.RecordCached(KeyOf("planner-3"), chain(1, 1), start)
 	fleet.SetEngine("planner", Engine{Memory: 300000})
 	Convey("what comes after the configuration is known", t, func() {
-		fleet.Cached(KeyOf("planner-3"), chain(1, 2), start.Add(100))
+		fleet.RecordCached(KeyOf("planner-3"), chain(1, 2), start.Add(100))
 		placement := choose(t, fleet, promptAsk(1, 3), start.Add(200))
 		So(placement.Replica.ID, ShouldEqual, "planner-3")
 		So(placement.Uncached, ShouldEqual, 580)
@@ -156,7 +156,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := planners(4)
-			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 			held := map[Key]InFlight{KeyOf("planner-0"): {Running: test.held}}
 			for _, other := range []string{"planner-1", "planner-2", "planner-3"} {
 				held[KeyOf(other)] = InFlight{Running: test.rest}
@@ -180,7 +180,7 @@
 		So(fleet.SetReplicas(list, 1), ShouldBeEmpty)
 	})
 	Convey("all goes to the other, also what was cached at it", t, func() {
-		fleet.Cached(KeyOf("planner-0"), chain(1, 1), start)
+		fleet.RecordCached(KeyOf("planner-0"), chain(1, 1), start)
 		for own := range uint64(5) {
 			So(choose(t, fleet, promptAsk(1, own), start).Replica.ID, ShouldEqual, "planner-1")
 		}
--- a/internal/balancer/peers.go
+++ b/internal/balancer/peers.go
@@ -87,8 +87,8 @@
 	return sum / timekeeper.Span(len(fleet.peers))
 }
 
-// Cached notes prompt parts that a peer has sent to a replica.
-func (fleet *Fleet) Cached(key Key, parts []Part, now timekeeper.Instant) {
+// RecordCached notes prompt parts that a peer has sent to a replica.
+func (fleet *Fleet) RecordCached(key Key, parts []Part, now timekeeper.Instant) {
 	if known, found := fleet.keys[key]; found {
 		fleet.cacheOf(known).touch(parts, now)
 	}
--- a/internal/balancer/preference_test.go
+++ b/internal/balancer/preference_test.go
@@ -34,9 +34,9 @@
 			if second.weight > first.weight {
 				first, second = second, first
 			}
-			fleet.Cached(first.key, parts, start)
+			fleet.RecordCached(first.key, parts, start)
 			if test.holders > 1 {
-				fleet.Cached(second.key, parts, start)
+				fleet.RecordCached(second.key, parts, start)
 			}
 			held := map[Key]InFlight{first.key: {Running: crowd}}
 			fleet.SetPeer("peer", held, timekeeper.Second, start)
--- a/internal/balancer/prefix_cache_test.go
+++ b/internal/balancer/prefix_cache_test.go
@@ -25,7 +25,7 @@
 		fleet.SetReplicas(replicasOf("planner", 1, 64), 1)
 		told := func() {
 			for id := range uint64(2000) {
-				fleet.Cached(KeyOf("planner-0"), []Part{{ID: id, Tokens: 10}}, start.Add(timekeeper.Span(id)))
+				fleet.RecordCached(KeyOf("planner-0"), []Part{{ID: id, Tokens: 10}}, start.Add(timekeeper.Span(id)))
 			}
 		}
 		told()
@@ -47,7 +47,7 @@
 				list := replicasOf("planner", engines, 64)
 				for number := range uint64(2 * DefaultKnownParts) {
 					key := list[int(number)%engines].Key()
-					fleet.Cached(key, []Part{{ID: number, Tokens: 10}}, start.Add(timekeeper.Span(number/1000)))
+					fleet.RecordCached(key, []Part{{ID: number, Tokens: 10}}, start.Add(timekeeper.Span(number/1000)))
 				}
 				held := heapInUse() - before
 				runtime.KeepAlive(fleet)
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -169,7 +169,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := planners(2)
-			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 			crowd(fleet, "planner-0", 20, 50000)
 			crowd(fleet, "planner-1", test.others, 0)
 			placement, reason := fleet.Choose(ask, start)
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -50,7 +50,7 @@
 		So(fresh.doubt.penalty(start.Add(10)), ShouldEqual, 0)
 	})
 	Convey("what peers say of the earlier life is not about this one", t, func() {
-		fleet.Cached(old.key, chain(1, 3), start)
+		fleet.RecordCached(old.key, chain(1, 3), start)
 		fleet.SetPeer("peer", map[Key]InFlight{old.key: {Running: 9}}, timekeeper.Minute, start)
 		fresh := fleet.replicas["planner-0"]
 		So(fleet.cacheOf(fresh).uncached(chain(1, 1)), ShouldEqual, 9080)
--- a/internal/balancer/time_weight_test.go
+++ b/internal/balancer/time_weight_test.go
@@ -82,7 +82,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := plannersWith(engine, 3)
-			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 			held := map[Key]InFlight{KeyOf("planner-0"): {Running: 40, PendingTokens: test.unread}}
 			for _, id := range []string{"planner-1", "planner-2"} {
 				held[KeyOf(id)] = InFlight{PendingTokens: test.unread}
--- a/internal/balancer/transfer_test.go
+++ b/internal/balancer/transfer_test.go
@@ -45,7 +45,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := plannersWith(test.engine, 3)
-			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 			crowd(fleet, "planner-0", start)
 			placement := choose(t, fleet, promptAsk(1, 1), start)
 			So(placement.Replica.ID, ShouldNotEqual, "planner-0")
@@ -84,7 +84,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := plannersWith(quickLink, 3)
-			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 			test.happen(fleet)
 			placement := choose(t, fleet, promptAsk(1, 1), start)
 			So(placement.Replica.ID, ShouldNotEqual, "planner-0")
@@ -96,7 +96,7 @@
 	}
 	Convey("not one that has had the request and failed it", t, func() {
 		fleet := plannersWith(quickLink, 3)
-		fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+		fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 		ask := promptAsk(1, 1)
 		ask.Excluded = []string{"planner-0"}
 		So(choose(t, fleet, ask, start).Fetched, ShouldEqual, 0)
@@ -109,7 +109,7 @@
 	// tried again.
 	Convey("is not named again soon", t, func() {
 		fleet := plannersWith(quickLink, 3)
-		fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+		fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 		crowd(fleet, "planner-0", start)
 		now := start
 		for own := range uint64(4) {
@@ -124,7 +124,7 @@
 		crowd(fleet, "planner-0", now)
 		So(choose(t, fleet, promptAsk(1, 9), now).Source, ShouldNotEqual, "planner-0:1")
 		now = now.Add(15 * timekeeper.Second)
-		fleet.Cached(KeyOf("planner-0"), chain(1, 9), now)
+		fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), now)
 		crowd(fleet, "planner-0", now)
 		for _, id := range []string{"planner-1", "planner-2"} {
 			delete(fleet.replicas[id].cache.parts, 101)
@@ -142,7 +142,7 @@
 	engine.Memory = 2_000_000
 	fleet := plannersWith(engine, 12)
 	for thing := range uint64(100) {
-		fleet.Cached(KeyOf("planner-0"), chain(thing, 900+thing), start)
+		fleet.RecordCached(KeyOf("planner-0"), chain(thing, 900+thing), start)
 	}
 	fleet.replicas["planner-0"].Leaving = true
 	fetched := 0
@@ -158,7 +158,7 @@
 	Convey("and is used again when it is free", t, func() {
 		later := fleet.replicas["planner-0"].linkFree
 		So(later, ShouldBeLessThan, start.Add(timekeeper.Second))
-		fleet.Cached(KeyOf("planner-0"), chain(200, 1000), later)
+		fleet.RecordCached(KeyOf("planner-0"), chain(200, 1000), later)
 		So(choose(t, fleet, promptAsk(200, 1001), later).Source, ShouldEqual, "planner-0:1")
 	})
 }
@@ -169,7 +169,7 @@
 		for _, busy := range []string{"planner-0", "planner-1"} {
 			fleet := plannersWith(quickLink, 4)
 			for _, id := range []string{"planner-0", "planner-1"} {
-				fleet.Cached(KeyOf(id), chain(1, 9), start)
+				fleet.RecordCached(KeyOf(id), chain(1, 9), start)
 				fleet.replicas[id].Leaving = true
 			}
 			fleet.replicas[busy].linkFree = start.Add(50)
@@ -200,7 +200,7 @@
 		crowd(fleet, first.ID, start)
 		for _, other := range replicasOf("planner", 5, 64) {
 			if other.ID != first.ID {
-				fleet.Cached(KeyOf(other.ID), chain(1, 1)[:1], start)
+				fleet.RecordCached(KeyOf(other.ID), chain(1, 1)[:1], start)
 				break
 			}
 		}
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -128,7 +128,7 @@
 			run.at(now+transit, func(now float64) {
 				to.fleet.SetPeer(name, held, timekeeper.Second, instant(now))
 				for _, prompt := range placed {
-					to.fleet.Cached(balancer.KeyOf(run.engines[prompt.engine].id), prompt.parts, instant(now))
+					to.fleet.RecordCached(balancer.KeyOf(run.engines[prompt.engine].id), prompt.parts, instant(now))
 				}
 			})
 		}
