--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -161,7 +161,7 @@
 			for _, other := range []string{"planner-1", "planner-2", "planner-3"} {
 				held[KeyOf(other)] = InFlight{Running: test.rest}
 			}
-			fleet.SetPeer("peer", held, timekeeper.Minute, start)
+			fleet.SetPeerInFlight("peer", held, timekeeper.Minute, start)
 			open, reason := fleet.candidates(promptAsk(1, 1), fleet.holdings(promptAsk(1, 1)), start)
 			So(reason, ShouldEqual, noReason)
 			first := slices.ContainsFunc(open, func(c candidate) bool { return c.ID == "planner-0" })
@@ -306,7 +306,7 @@
 
 func TestAPeersRequestsCountForTheLifeOfItsDigest(t *testing.T) {
 	fleet := orders(2)
-	fleet.SetPeer("entry-2", map[Key]InFlight{KeyOf("orders-0"): {Running: 9}}, 800, start)
+	fleet.SetPeerInFlight("entry-2", map[Key]InFlight{KeyOf("orders-0"): {Running: 9}}, 800, start)
 	Convey("while it lives", t, func() {
 		So(choose(t, fleet, Request{Service: "orders"}, start.Add(800)).Replica.ID, ShouldEqual, "orders-1")
 	})
@@ -316,7 +316,7 @@
 			where[choose(t, fleet, Request{Service: "orders"}, start.Add(801)).Replica.ID] = true
 		}
 		So(where["orders-0"], ShouldBeTrue)
-		fleet.SetPeer("entry-3", nil, 800, start.Add(2*timekeeper.Minute))
+		fleet.SetPeerInFlight("entry-3", nil, 800, start.Add(2*timekeeper.Minute))
 		So(fleet.peers, ShouldHaveLength, 1)
 	})
 }
--- a/internal/balancer/heats_test.go
+++ b/internal/balancer/heats_test.go
@@ -13,8 +13,8 @@
 // each so often.
 func withPeers(fleet *Fleet, count int, gap timekeeper.Span, now timekeeper.Instant) *Fleet {
 	for peer := range count {
-		fleet.SetPeer(fmt.Sprint(peer), nil, timekeeper.Minute, now.Add(-gap))
-		fleet.SetPeer(fmt.Sprint(peer), nil, timekeeper.Minute, now)
+		fleet.SetPeerInFlight(fmt.Sprint(peer), nil, timekeeper.Minute, now.Add(-gap))
+		fleet.SetPeerInFlight(fmt.Sprint(peer), nil, timekeeper.Minute, now)
 	}
 	return fleet
 }
@@ -98,7 +98,7 @@
 				held[KeyOf(other.ID)] = InFlight{Running: 4}
 			}
 			held[KeyOf(usual)] = InFlight{Running: 7, PendingTokens: 6000}
-			fresh.SetPeer("peer", held, timekeeper.Minute, start)
+			fresh.SetPeerInFlight("peer", held, timekeeper.Minute, start)
 			So(choose(t, fresh, promptAsk(thing, 2), start).Replica.ID, ShouldEqual, usual)
 		}
 	})
--- a/internal/balancer/peers.go
+++ b/internal/balancer/peers.go
@@ -36,9 +36,9 @@
 // gapsOfLife is how many digests of a peer are due while one counts.
 const gapsOfLife = 3
 
-// SetPeer takes in what a peer has under way, by the keys of the replicas, and
+// SetPeerInFlight takes in what a peer has under way, by the keys of the replicas, and
 // for how long that counts.
-func (fleet *Fleet) SetPeer(peer string, held map[Key]InFlight, life timekeeper.Span, now timekeeper.Instant) {
+func (fleet *Fleet) SetPeerInFlight(peer string, held map[Key]InFlight, life timekeeper.Span, now timekeeper.Instant) {
 	digest := peerDigest{held: held, until: now.Add(life), heard: now, gap: life / gapsOfLife}
 	if before, found := fleet.peers[peer]; found {
 		digest.gap = now.Since(before.heard)
--- a/internal/balancer/peers_test.go
+++ b/internal/balancer/peers_test.go
@@ -28,7 +28,7 @@
 			for _, key := range rapid.SliceOfDistinct(rapid.Uint32Range(1, 4), rapid.ID[uint32]).Draw(t, "keys") {
 				held[Key(key)] = InFlight{Running: rapid.IntRange(0, 9).Draw(t, "running"), PendingTokens: rapid.IntRange(0, 9).Draw(t, "unread")}
 			}
-			fleet.SetPeer(peer, held, life, now)
+			fleet.SetPeerInFlight(peer, held, life, now)
 			all[peer] = told{held: held, until: now.Add(life)}
 			now = now.Add(timekeeper.Span(rapid.IntRange(0, 400).Draw(t, "wait")))
 			fleet.dropSilent(now)
@@ -58,7 +58,7 @@
 				for number := range 20 {
 					held[list[(peer*7+number*13)%len(list)].Key()] = InFlight{Running: 1, PendingTokens: 100}
 				}
-				fleet.SetPeer(fmt.Sprint(peer), held, timekeeper.Hour, start)
+				fleet.SetPeerInFlight(fmt.Sprint(peer), held, timekeeper.Hour, start)
 			}
 			own := uint64(0)
 			for b.Loop() {
--- a/internal/balancer/preference_test.go
+++ b/internal/balancer/preference_test.go
@@ -39,8 +39,8 @@
 				fleet.RecordCached(second.key, parts, start)
 			}
 			held := map[Key]InFlight{first.key: {Running: crowd}}
-			fleet.SetPeer("peer", held, timekeeper.Second, start)
-			fleet.SetPeer("peer", held, timekeeper.Second, start.Add(test.gap))
+			fleet.SetPeerInFlight("peer", held, timekeeper.Second, start)
+			fleet.SetPeerInFlight("peer", held, timekeeper.Second, start.Add(test.gap))
 			placement := choose(t, fleet, Request{Service: "planner", Parts: chain(1, 2)}, start.Add(test.gap))
 			So(placement.Replica.ID == second.ID, ShouldEqual, test.moves)
 		})
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -156,7 +156,7 @@
 	ask := promptAsk(1, 1)
 	ask.MaxEngineWait = 600
 	crowd := func(fleet *Fleet, id string, running, unread int) {
-		fleet.SetPeer("peer-"+id, map[Key]InFlight{KeyOf(id): {Running: running, PendingTokens: unread}}, timekeeper.Minute, start)
+		fleet.SetPeerInFlight("peer-"+id, map[Key]InFlight{KeyOf(id): {Running: running, PendingTokens: unread}}, timekeeper.Minute, start)
 	}
 	tests := []struct {
 		name   string
@@ -226,7 +226,7 @@
 			for range test.urgent {
 				fleet.queue("planner").arrivals[0].add(1, rateMemory, start)
 			}
-			fleet.SetPeer("peer", map[Key]InFlight{KeyOf("planner-0"): {Running: test.held}}, timekeeper.Minute, start)
+			fleet.SetPeerInFlight("peer", map[Key]InFlight{KeyOf("planner-0"): {Running: test.held}}, timekeeper.Minute, start)
 			waiter := &Waiter{
 				Request: Request{Service: "planner", Parts: chain(1, 1), Priority: test.priority}, Rank: test.priority,
 				Due: start.Add(300), Until: start.Add(600),
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -51,7 +51,7 @@
 	})
 	Convey("what peers say of the earlier life is not about this one", t, func() {
 		fleet.RecordCached(old.key, chain(1, 3), start)
-		fleet.SetPeer("peer", map[Key]InFlight{old.key: {Running: 9}}, timekeeper.Minute, start)
+		fleet.SetPeerInFlight("peer", map[Key]InFlight{old.key: {Running: 9}}, timekeeper.Minute, start)
 		fresh := fleet.replicas["planner-0"]
 		So(fleet.cacheOf(fresh).uncached(chain(1, 1)), ShouldEqual, 9080)
 		So(fleet.peersAt(fresh.key).Running, ShouldEqual, 0)
--- a/internal/balancer/survey_test.go
+++ b/internal/balancer/survey_test.go
@@ -16,7 +16,7 @@
 	list[0].Leaving = true
 	fleet.SetReplicas(list, 1)
 	fleet.replicas["planner-1"].doubt.unreachable(start)
-	fleet.SetPeer("peer", map[Key]InFlight{KeyOf("planner-2"): {Running: 5}}, timekeeper.Minute, start)
+	fleet.SetPeerInFlight("peer", map[Key]InFlight{KeyOf("planner-2"): {Running: 5}}, timekeeper.Minute, start)
 	placement := choose(t, fleet, promptAsk(1, 1), start)
 	fleet.AnswerStarted(placement, start.Add(placement.Expected+200))
 	fleet.MarkUnreachable("planner-1", start.Add(placement.Expected+100))
--- a/internal/balancer/time_weight_test.go
+++ b/internal/balancer/time_weight_test.go
@@ -52,11 +52,11 @@
 			for _, replica := range replicasOf("planner", 3, 64) {
 				held[replica.Key()] = InFlight{Running: 2, PendingTokens: 30000}
 			}
-			fleet.SetPeer("peer", held, timekeeper.Minute, start)
+			fleet.SetPeerInFlight("peer", held, timekeeper.Minute, start)
 		}, 1},
 		{"one engine of three is full", func(fleet *Fleet) {
 			held := map[Key]InFlight{KeyOf("planner-0"): {Running: 2, PendingTokens: 18000}}
-			fleet.SetPeer("peer", held, timekeeper.Minute, start)
+			fleet.SetPeerInFlight("peer", held, timekeeper.Minute, start)
 		}, 0.5},
 		{"answers begin late", func(fleet *Fleet) {
 			for range 20 {
@@ -87,7 +87,7 @@
 			for _, id := range []string{"planner-1", "planner-2"} {
 				held[KeyOf(id)] = InFlight{PendingTokens: test.unread}
 			}
-			fleet.SetPeer("crowd", held, timekeeper.Minute, start)
+			fleet.SetPeerInFlight("crowd", held, timekeeper.Minute, start)
 			ask := promptAsk(1, 1)
 			ask.MaxEngineWait = 2 * timekeeper.Second
 			placement := choose(t, fleet, ask, start)
--- a/internal/balancer/transfer_test.go
+++ b/internal/balancer/transfer_test.go
@@ -24,7 +24,7 @@
 
 // crowd makes a replica hold more than its share, as a peer tells.
 func crowd(fleet *Fleet, id string, now timekeeper.Instant) {
-	fleet.SetPeer("crowd", map[Key]InFlight{KeyOf(id): {Running: 40}}, timekeeper.Minute, now)
+	fleet.SetPeerInFlight("crowd", map[Key]InFlight{KeyOf(id): {Running: 40}}, timekeeper.Minute, now)
 }
 
 func TestAPromptThatLeavesItsEngineIsHandedOn(t *testing.T) {
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -126,7 +126,7 @@
 			}
 			name := fmt.Sprintf("entry-%d", i)
 			run.at(now+transit, func(now float64) {
-				to.fleet.SetPeer(name, held, timekeeper.Second, instant(now))
+				to.fleet.SetPeerInFlight(name, held, timekeeper.Second, instant(now))
 				for _, prompt := range placed {
 					to.fleet.RecordCached(balancer.KeyOf(run.engines[prompt.engine].id), prompt.parts, instant(now))
 				}
