--- a/internal/assembler/direct_survey.go
+++ b/internal/assembler/direct_survey.go
@@ -12,7 +12,7 @@
 // what changes faster is counted where it happens.
 func (direct *Direct) survey() {
 	now := direct.clock.Now()
-	var services []balancer.ServiceSurvey
+	var services []balancer.ServiceStats
 	var transitions []balancer.Transition
 	direct.fleet.With(func(fleet *balancer.Fleet) {
 		services, transitions = fleet.Survey(now), fleet.Transitions(now)
@@ -76,7 +76,7 @@
 
 // writeService writes the gauges of one service. A service whose replicas are all
 // gone keeps its last values; its configuration names it no more.
-func writeService(scope tally.Scope, service balancer.ServiceSurvey) {
+func writeService(scope tally.Scope, service balancer.ServiceStats) {
 	gauges := []struct {
 		name  string
 		value float64
--- a/internal/balancer/survey.go
+++ b/internal/balancer/survey.go
@@ -7,8 +7,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// ServiceSurvey is what a fleet believes of one service, for metrics.
-type ServiceSurvey struct {
+// ServiceStats is what a fleet believes of one service, for metrics.
+type ServiceStats struct {
 	Service string
 	// Listed replicas get work unless they are among the others; those that are Cold get
 	// some.
@@ -25,10 +25,10 @@
 }
 
 // Survey returns what the fleet believes, ordered by service.
-func (fleet *Fleet) Survey(now timekeeper.Instant) []ServiceSurvey {
-	out := make([]ServiceSurvey, 0, len(fleet.services))
+func (fleet *Fleet) Survey(now timekeeper.Instant) []ServiceStats {
+	out := make([]ServiceStats, 0, len(fleet.services))
 	for _, name := range slices.Sorted(maps.Keys(fleet.services)) {
-		survey := ServiceSurvey{
+		survey := ServiceStats{
 			Service: name, Waiting: len(fleet.queue(name).waiting), Excess: fleet.paceOf(name).excess.now(paceMemory, now),
 		}
 		total := 0
