--- a/internal/assembler/direct_sharing_test.go
+++ b/internal/assembler/direct_sharing_test.go
@@ -87,7 +87,7 @@
 	direct.enginesColdFor(0)
 	key := balancer.Replica{ID: "i-0"}.Key()
 	cold := func() (count int) {
-		direct.fleet.With(func(fleet *balancer.Fleet) { count = fleet.Survey(direct.clock.Now())[0].Cold })
+		direct.fleet.With(func(fleet *balancer.Fleet) { count = fleet.Stats(direct.clock.Now())[0].Cold })
 		return count
 	}
 	Convey("one that hears goes by it", t, func() {
--- a/internal/assembler/direct_survey.go
+++ b/internal/assembler/direct_survey.go
@@ -15,7 +15,7 @@
 	var services []balancer.ServiceStats
 	var transitions []balancer.Transition
 	direct.fleet.With(func(fleet *balancer.Fleet) {
-		services, transitions = fleet.Survey(now), fleet.Transitions(now)
+		services, transitions = fleet.Stats(now), fleet.Transitions(now)
 	})
 	direct.logTransitions(transitions, now)
 	left := direct.front.RetriesLeft()
--- a/internal/balancer/survey.go
+++ b/internal/balancer/survey.go
@@ -24,8 +24,8 @@
 	Excess float64
 }
 
-// Survey returns what the fleet believes, ordered by service.
-func (fleet *Fleet) Survey(now timekeeper.Instant) []ServiceStats {
+// Stats returns what the fleet believes, ordered by service.
+func (fleet *Fleet) Stats(now timekeeper.Instant) []ServiceStats {
 	out := make([]ServiceStats, 0, len(fleet.services))
 	for _, name := range slices.Sorted(maps.Keys(fleet.services)) {
 		survey := ServiceStats{
--- a/internal/balancer/survey_test.go
+++ b/internal/balancer/survey_test.go
@@ -21,7 +21,7 @@
 	fleet.AnswerStarted(placement, start.Add(placement.Expected+200))
 	fleet.MarkUnreachable("planner-1", start.Add(placement.Expected+100))
 	Convey("each state, the load and the drift of the model", t, func() {
-		survey := fleet.Survey(start.Add(placement.Expected + 200))
+		survey := fleet.Stats(start.Add(placement.Expected + 200))
 		So(survey, ShouldHaveLength, 1)
 		So(survey[0].Excess, ShouldBeGreaterThan, 0)
 		survey[0].Excess = 0
