--- a/internal/assembler/direct_survey.go
+++ b/internal/assembler/direct_survey.go
@@ -90,7 +90,7 @@
 		{"requests-running", float64(service.Running)},
 		{"requests-waiting", float64(service.Waiting)},
 		{"held-mean", service.Held},
-		{"held-most", float64(service.Most)},
+		{"held-most", float64(service.MaxHeld)},
 		{"later-than-expected-ms", service.Excess},
 	}
 	for _, gauge := range gauges {
--- a/internal/balancer/survey.go
+++ b/internal/balancer/survey.go
@@ -17,7 +17,7 @@
 	Running, Waiting int
 	// Held is the mean of what replicas are believed to hold, Most the largest.
 	Held float64
-	Most int
+	MaxHeld int
 	// Excess is how much later than expected answers of late began, in
 	// milliseconds; less than zero means sooner. A value that stays away from zero
 	// means that the model of the engines no longer fits them.
@@ -36,7 +36,7 @@
 			held := member.held(fleet.peersAt(member.key), now)
 			survey.Listed++
 			survey.Running += member.running
-			survey.Most = max(survey.Most, held)
+			survey.MaxHeld = max(survey.MaxHeld, held)
 			total += held
 			switch fleet.eligibility(member, now).Cause {
 			case Leaving, LeaveAnnounced:
--- a/internal/balancer/survey_test.go
+++ b/internal/balancer/survey_test.go
@@ -26,7 +26,7 @@
 		So(survey[0].Excess, ShouldBeGreaterThan, 0)
 		survey[0].Excess = 0
 		So(survey[0], ShouldResemble, ServiceStats{
-			Service: "planner", Listed: 3, Leaving: 1, Unreachable: 1, Running: 1, Held: 2, Most: 6,
+			Service: "planner", Listed: 3, Leaving: 1, Unreachable: 1, Running: 1, Held: 2, MaxHeld: 6,
 		})
 	})
 }
