--- a/internal/balancer/backoff_test.go
+++ b/internal/balancer/backoff_test.go
@@ -71,7 +71,7 @@
 		{"a newer list has it ready", func(fleet *Fleet, list []Replica) { fleet.SetReplicas(list, 8) }, span},
 		{"an earlier life asked for more", func(fleet *Fleet, list []Replica) {
 			earlier := list[0]
-			earlier.Born = 500
+			earlier.StartedAt = 500
 			fleet.StartBackoff(earlier.Incarnation(), timekeeper.Hour, start)
 		}, span},
 	}
@@ -95,7 +95,7 @@
 	})
 	Convey("a later life has none", t, func() {
 		fleet, list := refusing(1, 1, timekeeper.Hour)
-		list[0].Born = 2000
+		list[0].StartedAt = 2000
 		fleet.SetReplicas(list, 6)
 		So(chosenAt(fleet, start), ShouldBeGreaterThan, 1)
 	})
@@ -124,7 +124,7 @@
 		{"it is listed", func(*Fleet, []Replica) {}, true},
 		{"it is gone", func(fleet *Fleet, list []Replica) { fleet.SetReplicas(list[1:], 6) }, false},
 		{"it has started again", func(fleet *Fleet, list []Replica) {
-			list[0].Born = 2000
+			list[0].StartedAt = 2000
 			fleet.SetReplicas(list, 6)
 		}, false},
 	}
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -156,7 +156,7 @@
 // relist takes in a listing of the same incarnation. Of one whose start isn't known another
 // address tells of a later life.
 func (known *replica) relist(listing Replica) {
-	if listing.Born == 0 && listing.Address != known.Address {
+	if listing.StartedAt == 0 && listing.Address != known.Address {
 		known.said = statements{}
 	}
 	known.Replica, known.key = listing, listing.Key()
@@ -166,7 +166,7 @@
 // placed returns the replica that has a placement, if that incarnation is listed.
 func (fleet *Fleet) placed(placement *Placement) (*replica, bool) {
 	known, found := fleet.replicas[placement.Replica.ID]
-	if !found || known.Born > placement.Replica.Born && placement.Replica.Born != 0 {
+	if !found || known.StartedAt > placement.Replica.StartedAt && placement.Replica.StartedAt != 0 {
 		return nil, false
 	}
 	return known, true
--- a/internal/balancer/leave_test.go
+++ b/internal/balancer/leave_test.go
@@ -91,10 +91,10 @@
 	Convey("a listing of an earlier life says nothing of the later one", t, func() {
 		fleet := planners(1)
 		list := replicasOf("planner", 1, 64)
-		list[0].Born = 20
+		list[0].StartedAt = 20
 		fleet.SetReplicas(list, 8)
 		fleet.MarkLeaving("planner-0", 12)
-		list[0].Born = 10
+		list[0].StartedAt = 10
 		fleet.SetReplicas(list, 10)
 		So(fleet.Count("planner"), ShouldEqual, 0)
 		fleet.SetReplicas(list, 13)
--- a/internal/balancer/replica.go
+++ b/internal/balancer/replica.go
@@ -12,8 +12,8 @@
 	// ID names the replica, and with Born its incarnation: one that starts again may
 	// have the ID that it had.
 	ID string
-	// Born is when it started, by its own time of day; zero means that it didn't say.
-	Born       timekeeper.Instant
+	// StartedAt is when it started, by its own time of day; zero means that it didn't say.
+	StartedAt       timekeeper.Instant
 	Service    string
 	Address    string
 	DataCentre string
@@ -33,10 +33,10 @@
 
 // Incarnation returns a name that no other life of the replica has.
 func (listing Replica) Incarnation() string {
-	if listing.Born == 0 {
+	if listing.StartedAt == 0 {
 		return listing.ID
 	}
-	return listing.ID + bornMark + strconv.FormatInt(int64(listing.Born), 10)
+	return listing.ID + bornMark + strconv.FormatInt(int64(listing.StartedAt), 10)
 }
 
 // bornMark stands between a replica's ID and its start.
@@ -56,11 +56,11 @@
 // succeeds reports whether a listing tells of a later life of the same replica,
 // precedes whether of an earlier one.
 func (listing Replica) succeeds(known Replica) bool {
-	return known.Born != 0 && listing.Born > known.Born
+	return known.StartedAt != 0 && listing.StartedAt > known.StartedAt
 }
 
 func (listing Replica) precedes(known Replica) bool {
-	return listing.Born < known.Born
+	return listing.StartedAt < known.StartedAt
 }
 
 // newReplica returns a replica of which nothing is known but its listing.
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -11,8 +11,8 @@
 // lives returns a list of two replicas; the first has a start.
 func lives(born timekeeper.Instant, leaving bool) []Replica {
 	list := replicasOf("planner", 2, 64)
-	list[0].Born, list[0].Leaving = born, leaving
-	list[1].Born = 1000
+	list[0].StartedAt, list[0].Leaving = born, leaving
+	list[1].StartedAt = 1000
 	return list
 }
 
--- a/internal/balancer/statement_test.go
+++ b/internal/balancer/statement_test.go
@@ -14,7 +14,7 @@
 func plannersBorn(count int, born timekeeper.Instant) []Replica {
 	list := replicasOf("planner", count, 64)
 	for i := range list {
-		list[i].Born = born
+		list[i].StartedAt = born
 	}
 	return list
 }
@@ -209,7 +209,7 @@
 				version++
 				fleet.SetReplicas(append(append([]Replica{}, list[:which]...), list[which+1:]...), version)
 			case "restart":
-				list[which].Born++
+				list[which].StartedAt++
 			case "leave":
 				fleet.MarkLeaving(list[which].ID, version+rapid.Uint64Range(0, 3).Draw(t, "ahead"))
 			case "confirm":
--- a/internal/gossiper/replicas.go
+++ b/internal/gossiper/replicas.go
@@ -59,14 +59,14 @@
 func rowOf(replica balancer.Replica, now timekeeper.Instant) *encoder.ReplicaRow {
 	return &encoder.ReplicaRow{
 		WarmInMs: uint32(max(0, replica.WarmAt.Since(now))),
-		Id:       replica.ID, BornMs: int64(replica.Born), Service: replica.Service, Address: replica.Address,
+		Id:       replica.ID, BornMs: int64(replica.StartedAt), Service: replica.Service, Address: replica.Address,
 		DataCentre: replica.DataCentre, Slots: uint32(max(0, replica.Slots)), Leaving: replica.Leaving,
 	}
 }
 
 func replicaOf(row *encoder.ReplicaRow, now timekeeper.Instant) balancer.Replica {
 	replica := balancer.Replica{
-		ID: row.Id, Born: timekeeper.Instant(row.BornMs), Service: row.Service, Address: row.Address,
+		ID: row.Id, StartedAt: timekeeper.Instant(row.BornMs), Service: row.Service, Address: row.Address,
 		DataCentre: row.DataCentre, Slots: int(row.Slots), Leaving: row.Leaving,
 	}
 	if row.WarmInMs > 0 {
@@ -78,7 +78,7 @@
 // SumOf returns the checksum of a row of the list, in which every field counts but until
 // when the replica is cold: that differs by reader, and with each heartbeat.
 func SumOf(id string, replica balancer.Replica) uint64 {
-	text := fmt.Sprintf("%q %d %q %q %q %d %t", id, replica.Born, replica.Service, replica.Address,
+	text := fmt.Sprintf("%q %d %q %q %q %d %t", id, replica.StartedAt, replica.Service, replica.Address,
 		replica.DataCentre, replica.Slots, replica.Leaving)
 	return xxhash.Sum64String(text)
 }
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -13,7 +13,7 @@
 
 func TestAListOfReplicas(t *testing.T) {
 	list := ReplicaList{Version: 7, Replicas: []balancer.Replica{
-		{ID: "i-1", Born: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64, Leaving: true},
+		{ID: "i-1", StartedAt: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64, Leaving: true},
 		{ID: "i-2", Service: "orders", Address: "10.0.0.2:80"},
 	}, Lapses: map[string]timekeeper.Span{"i-2": 1700}}
 	Convey("arrives as it was", t, func() {
@@ -51,7 +51,7 @@
 		return follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)}, true
 	}
 	joined := balancer.Replica{
-		ID: "i-1", Born: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64,
+		ID: "i-1", StartedAt: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64,
 	}
 	news := ReplicaNews{Version: 39, Changes: []follower.Change[balancer.Replica]{
 		{Key: "i-1", Value: joined}, {Key: "i-2", Removed: true},
@@ -87,7 +87,7 @@
 	})
 	Convey("each field of a row counts in its checksum", t, func() {
 		changed := []balancer.Replica{joined, joined, joined, joined, joined, joined}
-		changed[0].Born++
+		changed[0].StartedAt++
 		changed[1].Service = "orders"
 		changed[2].Address = "10.0.0.1:81"
 		changed[3].DataCentre = "ayat"
--- a/internal/relayer/statement_test.go
+++ b/internal/relayer/statement_test.go
@@ -18,7 +18,7 @@
 func TestWhatAnswersSayOfTheirReplicas(t *testing.T) {
 	// Guards against what another replica at the address says of itself being taken for the
 	// word of the one that was meant.
-	replica := balancer.Replica{ID: "r", Born: 1000, Service: "orders", Address: "10.0.0.1:80", Slots: 6}
+	replica := balancer.Replica{ID: "r", StartedAt: 1000, Service: "orders", Address: "10.0.0.1:80", Slots: 6}
 	said := Head{
 		NotRun: true, Leaving: true, Backoff: timekeeper.Second, BackoffFault: "cut",
 		Load: &balancer.LoadReport{Running: 6, Slots: 6},
