--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -55,8 +55,8 @@
 	// Evacuations returns what is in force here, and whether peers should be told of it.
 	// Nil means that nothing ever is.
 	Evacuations func() (balancer.Evacuations, bool)
-	// Hear takes what a peer tells.
-	Hear func(heard Heard)
+	// OnDigest takes what a peer tells.
+	OnDigest func(heard Heard)
 	// Budget is in bytes a second; zero means 7,700.
 	Budget float64
 }
@@ -383,6 +383,6 @@
 	if fresh {
 		heard := heardOf(digest, address, now)
 		heard.SameCentre = digest.DataCentre == CentreKey(gossiper.settings.DataCentre)
-		gossiper.settings.Hear(heard)
+		gossiper.settings.OnDigest(heard)
 	}
 }
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -40,7 +40,7 @@
 		Incarnation: incarnation, Clock: clock, Log: log, Scope: tally.NoopScope, Conn: conn,
 		Held: func() map[balancer.Key]balancer.InFlight { return entry.held }, Version: func() uint64 { return 7 },
 		StoreAnswered: func() timekeeper.Instant { return clock.Now().Add(-250) },
-		Hear: func(heard Heard) {
+		OnDigest: func(heard Heard) {
 			entry.mu.Lock()
 			defer entry.mu.Unlock()
 			entry.heard = append(entry.heard, heard)
