--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -64,7 +64,7 @@
 	fellows := &fellows{direct: direct, store: store, client: &http.Client{Transport: transport}}
 	fellows.gossiper = gossiper.New(gossiper.Settings{
 		Incarnation: newIncarnation(), DataCentre: direct.settings.DataCentre, Clock: direct.clock, Log: direct.log,
-		Scope: direct.scope, Conn: conn, Held: direct.held, Version: direct.version, OnDigest: fellows.hear,
+		Scope: direct.scope, Conn: conn, InFlight: direct.held, Version: direct.version, OnDigest: fellows.hear,
 		StoreAnswered: direct.storeAnswered, StoreFailing: direct.storeFailing,
 		Listing:     func() (follower.Listing, bool) { return direct.replicas.Listing() },
 		Evacuations: fellows.evacuations,
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -40,8 +40,8 @@
 	Scope      tally.Scope
 	// Conn carries the datagrams; its address is the one that peers know.
 	Conn net.PacketConn
-	// Held returns what this entry has under way.
-	Held func() map[balancer.Key]balancer.InFlight
+	// InFlight returns what this entry has under way.
+	InFlight func() map[balancer.Key]balancer.InFlight
 	// Version returns the version of the configuration in force.
 	Version func() uint64
 	// StoreAnswered returns when the store answered this entry last; zero means never.
@@ -267,7 +267,7 @@
 
 // next returns the digest to send, and to whom.
 func (gossiper *Gossiper) next() (*encoder.PeerDigest, []string) {
-	held := gossiper.settings.Held()
+	held := gossiper.settings.InFlight()
 	gossiper.settings.Scope.Gauge("peers-up").Update(float64(len(gossiper.Up())))
 	version := gossiper.settings.Version()
 	failing := gossiper.settings.StoreFailing()
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -38,7 +38,7 @@
 	entry := &listener{conn: conn, held: map[balancer.Key]balancer.InFlight{}}
 	entry.Gossiper = New(Settings{
 		Incarnation: incarnation, Clock: clock, Log: log, Scope: tally.NoopScope, Conn: conn,
-		Held: func() map[balancer.Key]balancer.InFlight { return entry.held }, Version: func() uint64 { return 7 },
+		InFlight: func() map[balancer.Key]balancer.InFlight { return entry.held }, Version: func() uint64 { return 7 },
 		StoreAnswered: func() timekeeper.Instant { return clock.Now().Add(-250) },
 		OnDigest: func(heard Heard) {
 			entry.mu.Lock()
