--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -49,9 +49,9 @@
 	// StoreFailing reports whether the store did not answer the last call. Nil means
 	// that it did.
 	StoreFailing func() bool
-	// Listing returns what the last own reading of the list of replicas found; false
+	// ListSummary returns what the last own reading of the list of replicas found; false
 	// means that there is none to tell of. Nil means that there never is.
-	Listing func() (follower.Listing, bool)
+	ListSummary func() (follower.Listing, bool)
 	// Evacuations returns what is in force here, and whether peers should be told of it.
 	// Nil means that nothing ever is.
 	Evacuations func() (balancer.Evacuations, bool)
@@ -88,8 +88,8 @@
 	if settings.StoreFailing == nil {
 		settings.StoreFailing = func() bool { return false }
 	}
-	if settings.Listing == nil {
-		settings.Listing = func() (follower.Listing, bool) { return follower.Listing{}, false }
+	if settings.ListSummary == nil {
+		settings.ListSummary = func() (follower.Listing, bool) { return follower.Listing{}, false }
 	}
 	if settings.Evacuations == nil {
 		settings.Evacuations = noEvacuations
@@ -271,7 +271,7 @@
 	gossiper.settings.Scope.Gauge("peers-up").Update(float64(len(gossiper.Up())))
 	version := gossiper.settings.Version()
 	failing := gossiper.settings.StoreFailing()
-	listing, reads := gossiper.settings.Listing()
+	listing, reads := gossiper.settings.ListSummary()
 	evacuations, telling := gossiper.settings.Evacuations()
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -47,7 +47,7 @@
 	reader, other := newListener(t, 1, clock.Clock()), newListener(t, 2, clock.Clock())
 	reader.settings.DataCentre, other.settings.DataCentre = "bole", "merkato"
 	reader.settings.StoreFailing = func() bool { return true }
-	reader.settings.Listing = func() (follower.Listing, bool) {
+	reader.settings.ListSummary = func() (follower.Listing, bool) {
 		return follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)}, true
 	}
 	joined := balancer.Replica{
