--- a/internal/assembler/direct_evacuations_test.go
+++ b/internal/assembler/direct_evacuations_test.go
@@ -26,7 +26,7 @@
 	direct.orders.Step(t.Context())
 	store.Evacuate("bole")
 	told := balancer.NewEvacuations(1, []string{"bole"})
-	direct.fellows.hear(gossiper.Heard{Address: "127.0.0.1:7300", Evacuations: &told})
+	direct.fellows.hear(gossiper.Digest{Address: "127.0.0.1:7300", Evacuations: &told})
 	Convey("it is open once the table has been read", t, func() {
 		So(direct.evacuated(), ShouldResemble, []string{"bole"})
 		store.TakeBack("bole")
@@ -44,7 +44,7 @@
 	direct.clock = manual.Clock()
 	hear := func(version uint64, centres ...string) {
 		told := balancer.NewEvacuations(version, centres)
-		direct.fellows.hear(gossiper.Heard{Address: "127.0.0.1:7300", Evacuations: &told})
+		direct.fellows.hear(gossiper.Digest{Address: "127.0.0.1:7300", Evacuations: &told})
 	}
 	tells := func() bool {
 		_, telling := direct.fellows.evacuations()
--- a/internal/assembler/direct_leaves_test.go
+++ b/internal/assembler/direct_leaves_test.go
@@ -33,17 +33,17 @@
 		direct.fleet.With(func(fleet *balancer.Fleet) { count = fleet.Count("planner") })
 		return count
 	}
-	hear := func(heard gossiper.Heard) {
+	hear := func(heard gossiper.Digest) {
 		heard.Address = "127.0.0.1:7300"
 		direct.fellows.hear(heard)
 	}
 	Convey("a peer's word counts until the own list is as new", t, func() {
 		So(works(), ShouldEqual, 1)
-		hear(gossiper.Heard{Leaves: []gossiper.Leave{{Replica: "r1", Version: uint64(listing.Version) + 2}}})
+		hear(gossiper.Digest{Leaves: []gossiper.Leave{{Replica: "r1", Version: uint64(listing.Version) + 2}}})
 		So(works(), ShouldEqual, 0)
-		hear(gossiper.Heard{Listing: &follower.Listing{Version: listing.Version + 1, Sum: listing.Sum}})
+		hear(gossiper.Digest{Listing: &follower.Listing{Version: listing.Version + 1, Sum: listing.Sum}})
 		So(works(), ShouldEqual, 0)
-		hear(gossiper.Heard{Listing: &follower.Listing{Version: listing.Version + 2, Sum: listing.Sum}})
+		hear(gossiper.Digest{Listing: &follower.Listing{Version: listing.Version + 2, Sum: listing.Sum}})
 		So(works(), ShouldEqual, 1)
 	})
 }
--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -145,7 +145,7 @@
 }
 
 // hear takes in what a peer tells.
-func (fellows *fellows) hear(heard gossiper.Heard) {
+func (fellows *fellows) hear(heard gossiper.Digest) {
 	now := fellows.direct.clock.Now()
 	// Before the configuration that comes with it: an entry that knows one takes callers.
 	if heard.Evacuations != nil {
@@ -181,7 +181,7 @@
 }
 
 // hearLeaves takes in which replicas leave, as a peer has read or was told by themselves.
-func (fellows *fellows) hearLeaves(heard gossiper.Heard, now timekeeper.Instant) {
+func (fellows *fellows) hearLeaves(heard gossiper.Digest, now timekeeper.Instant) {
 	var leaves []gossiper.Leave
 	var announced []string
 	fellows.direct.fleet.With(func(fleet *balancer.Fleet) {
--- a/internal/assembler/direct_sharing_test.go
+++ b/internal/assembler/direct_sharing_test.go
@@ -93,7 +93,7 @@
 	Convey("one that hears goes by it", t, func() {
 		So(cold(), ShouldEqual, 0)
 		notice := gossiper.ColdNotice{Replica: key, Until: direct.clock.Now().Add(timekeeper.Minute)}
-		direct.fellows.hear(gossiper.Heard{Address: "127.0.0.1:7300", Cold: []gossiper.ColdNotice{notice}})
+		direct.fellows.hear(gossiper.Digest{Address: "127.0.0.1:7300", Cold: []gossiper.ColdNotice{notice}})
 		So(cold(), ShouldEqual, 1)
 	})
 	Convey("one that reads tells", t, func() {
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -56,7 +56,7 @@
 	// Nil means that nothing ever is.
 	Evacuations func() (balancer.Evacuations, bool)
 	// OnDigest takes what a peer tells.
-	OnDigest func(heard Heard)
+	OnDigest func(heard Digest)
 	// Budget is in bytes a second; zero means 7,700.
 	Budget float64
 }
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -24,7 +24,7 @@
 	held map[balancer.Key]balancer.InFlight
 
 	mu    sync.Mutex
-	heard []Heard
+	heard []Digest
 }
 
 func newListener(t *testing.T, incarnation uint64, clock timekeeper.Clock) *listener {
@@ -40,7 +40,7 @@
 		Incarnation: incarnation, Clock: clock, Log: log, Scope: tally.NoopScope, Conn: conn,
 		InFlight: func() map[balancer.Key]balancer.InFlight { return entry.held }, Version: func() uint64 { return 7 },
 		StoreAnswered: func() timekeeper.Instant { return clock.Now().Add(-250) },
-		OnDigest: func(heard Heard) {
+		OnDigest: func(heard Digest) {
 			entry.mu.Lock()
 			defer entry.mu.Unlock()
 			entry.heard = append(entry.heard, heard)
@@ -55,7 +55,7 @@
 func (entry *listener) address() string { return entry.conn.LocalAddr().String() }
 
 // wait returns what was heard once there are so many digests.
-func (entry *listener) wait(t *testing.T, count int) []Heard {
+func (entry *listener) wait(t *testing.T, count int) []Digest {
 	t.Helper()
 	for range 2000 {
 		entry.mu.Lock()
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -9,8 +9,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Heard is what a peer has told.
-type Heard struct {
+// Digest is what a peer has told.
+type Digest struct {
 	// Address is where the peer is reached, by datagrams and by connections.
 	Address string
 	// Life is how long it counts.
@@ -60,8 +60,8 @@
 )
 
 // heardOf decodes a digest. Lists that don't fit together are cut to the shorter.
-func heardOf(digest *encoder.PeerDigest, address string, now timekeeper.Instant) Heard {
-	heard := Heard{
+func heardOf(digest *encoder.PeerDigest, address string, now timekeeper.Instant) Digest {
+	heard := Digest{
 		Address: address, Configuration: digest.Configuration, Stopping: digest.Stopping,
 		Life: min(max(shortestLife, lifeRounds*timekeeper.Span(digest.IntervalMs)), lifeRounds*longest),
 		Held: make(map[balancer.Key]balancer.InFlight, len(digest.Replicas)), Unreachable: digest.Unreachable,
