--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -13,8 +13,8 @@
 type Digest struct {
 	// Address is where the peer is reached, by datagrams and by connections.
 	Address string
-	// Life is how long it counts.
-	Life          timekeeper.Span
+	// Lifetime is how long it counts.
+	Lifetime          timekeeper.Span
 	Held          map[balancer.Key]balancer.InFlight
 	Configuration uint64
 	// StoreAnswered is when the store answered the peer last; zero means never.
@@ -63,7 +63,7 @@
 func heardOf(digest *encoder.PeerDigest, address string, now timekeeper.Instant) Digest {
 	heard := Digest{
 		Address: address, Configuration: digest.Configuration, Stopping: digest.Stopping,
-		Life: min(max(shortestLife, lifeRounds*timekeeper.Span(digest.IntervalMs)), lifeRounds*longest),
+		Lifetime: min(max(shortestLife, lifeRounds*timekeeper.Span(digest.IntervalMs)), lifeRounds*longest),
 		Held: make(map[balancer.Key]balancer.InFlight, len(digest.Replicas)), Unreachable: digest.Unreachable,
 		LeaveAnnounced: digest.LeaveAnnounced,
 	}
