--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -152,7 +152,7 @@
 		fellows.direct.hearEvacuations(*heard.Evacuations, heard.Address)
 	}
 	fellows.direct.fleet.With(func(fleet *balancer.Fleet) {
-		fleet.SetPeerInFlight(heard.Address, heard.Held, heard.Lifetime, now)
+		fleet.SetPeerInFlight(heard.Address, heard.InFlight, heard.Lifetime, now)
 		for _, placed := range heard.Placements {
 			fleet.RecordCached(placed.Replica, placed.Parts, now)
 		}
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -89,7 +89,7 @@
 		So(heard.Address, ShouldEqual, first.address())
 		So(heard.Configuration, ShouldEqual, 7)
 		So(heard.StoreAnswered, ShouldEqual, clock.Now().Add(-250))
-		So(heard.Held, ShouldResemble, map[balancer.Key]balancer.InFlight{balancer.KeyOf("planner-1"): {Running: 3, PendingTokens: 9200}})
+		So(heard.InFlight, ShouldResemble, map[balancer.Key]balancer.InFlight{balancer.KeyOf("planner-1"): {Running: 3, PendingTokens: 9200}})
 		So(heard.Placements, ShouldResemble, []Placement{
 			{Replica: balancer.KeyOf("planner-2"), Parts: parts[:1]},
 			{Replica: balancer.KeyOf("planner-1"), Parts: parts},
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -15,7 +15,7 @@
 	Address string
 	// Lifetime is how long it counts.
 	Lifetime          timekeeper.Span
-	Held          map[balancer.Key]balancer.InFlight
+	InFlight          map[balancer.Key]balancer.InFlight
 	Configuration uint64
 	// StoreAnswered is when the store answered the peer last; zero means never.
 	StoreAnswered timekeeper.Instant
@@ -64,14 +64,14 @@
 	heard := Digest{
 		Address: address, Configuration: digest.Configuration, Stopping: digest.Stopping,
 		Lifetime: min(max(shortestLife, lifeRounds*timekeeper.Span(digest.IntervalMs)), lifeRounds*longest),
-		Held: make(map[balancer.Key]balancer.InFlight, len(digest.Replicas)), Unreachable: digest.Unreachable,
+		InFlight: make(map[balancer.Key]balancer.InFlight, len(digest.Replicas)), Unreachable: digest.Unreachable,
 		LeaveAnnounced: digest.LeaveAnnounced,
 	}
 	if digest.StoreAgeMs > 0 {
 		heard.StoreAnswered = now.Add(-timekeeper.Span(digest.StoreAgeMs))
 	}
 	for i := range min(len(digest.Replicas), len(digest.Running), len(digest.Unread)) {
-		heard.Held[balancer.Key(digest.Replicas[i])] = balancer.InFlight{Running: int(digest.Running[i]), PendingTokens: int(digest.Unread[i])}
+		heard.InFlight[balancer.Key(digest.Replicas[i])] = balancer.InFlight{Running: int(digest.Running[i]), PendingTokens: int(digest.Unread[i])}
 	}
 	for _, placed := range digest.Placements {
 		out := Placement{Replica: balancer.Key(placed.Replica)}
