--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -171,9 +171,9 @@
 	for _, news := range heard.Listed {
 		fellows.direct.replicas.Told(news)
 	}
-	if heard.Listing != nil {
+	if heard.ListSummary != nil {
 		fellows.turns.noteReader(heard.Address)
-		fellows.direct.replicas.Compare(*heard.Listing)
+		fellows.direct.replicas.Compare(*heard.ListSummary)
 	}
 	if heard.Configuration > fellows.direct.version() {
 		fellows.offer(offer{address: heard.Address, version: heard.Configuration, sameCentre: heard.SameCentre})
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -29,9 +29,9 @@
 	Strikes        []Strike
 	// SameCentre reports whether the peer stands in the same data centre.
 	SameCentre bool
-	// Listing is what the peer's last reading of the list of replicas found; nil where
+	// ListSummary is what the peer's last reading of the list of replicas found; nil where
 	// it leaves the reading to others.
-	Listing *follower.Listing
+	ListSummary *follower.Listing
 	// Listed are changes of the list that the peer has read.
 	Listed []ReplicaNews
 	// Cold are replicas that have turned cold, as the peer has read.
@@ -84,7 +84,7 @@
 		heard.Leaves = append(heard.Leaves, Leave{Replica: leave.Replica, Version: leave.Version})
 	}
 	if listing := digest.Listing; listing != nil && listing.AgeMs > 0 {
-		heard.Listing = &follower.Listing{
+		heard.ListSummary = &follower.Listing{
 			Version: follower.Version(listing.Version), Sum: listing.Sum, At: now.Add(-timekeeper.Span(listing.AgeMs)),
 		}
 	}
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -62,7 +62,7 @@
 	heard := other.wait(t, 1)[0]
 	Convey("all of it arrives", t, func() {
 		So(heard.Listed, ShouldResemble, []ReplicaNews{news})
-		So(*heard.Listing, ShouldResemble, follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
+		So(*heard.ListSummary, ShouldResemble, follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
 		So(heard.SameCentre, ShouldBeFalse)
 		So(other.Members(timekeeper.Second), ShouldResemble, []elector.Member{
 			{Address: reader.address(), DataCentre: CentreKey("bole"), Failing: true},
