--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -168,7 +168,7 @@
 		fellows.direct.front.Strike(strike.Request, strike.Replica)
 	}
 	fellows.noteServed(heard.StoreAnswered)
-	for _, news := range heard.Listed {
+	for _, news := range heard.ListChanges {
 		fellows.direct.replicas.Told(news)
 	}
 	if heard.ListSummary != nil {
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -32,8 +32,8 @@
 	// ListSummary is what the peer's last reading of the list of replicas found; nil where
 	// it leaves the reading to others.
 	ListSummary *follower.Listing
-	// Listed are changes of the list that the peer has read.
-	Listed []ReplicaNews
+	// ListChanges are changes of the list that the peer has read.
+	ListChanges []ReplicaNews
 	// Cold are replicas that have turned cold, as the peer has read.
 	Cold []ColdNotice
 	// Evacuations are those in force at the peer; nil where it doesn't tell.
@@ -89,7 +89,7 @@
 		}
 	}
 	for _, listed := range digest.Listed {
-		heard.Listed = append(heard.Listed, newsOf(listed, now))
+		heard.ListChanges = append(heard.ListChanges, newsOf(listed, now))
 	}
 	for _, cold := range digest.Cold {
 		heard.Cold = append(heard.Cold, ColdNotice{
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -61,7 +61,7 @@
 	reader.round()
 	heard := other.wait(t, 1)[0]
 	Convey("all of it arrives", t, func() {
-		So(heard.Listed, ShouldResemble, []ReplicaNews{news})
+		So(heard.ListChanges, ShouldResemble, []ReplicaNews{news})
 		So(*heard.ListSummary, ShouldResemble, follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
 		So(heard.SameCentre, ShouldBeFalse)
 		So(other.Members(timekeeper.Second), ShouldResemble, []elector.Member{
