--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -176,7 +176,7 @@
 		fellows.direct.replicas.Compare(*heard.ListSummary)
 	}
 	if heard.Configuration > fellows.direct.version() {
-		fellows.offer(offer{address: heard.Address, version: heard.Configuration, sameCentre: heard.SameCentre})
+		fellows.offer(offer{address: heard.Address, version: heard.Configuration, sameCentre: heard.SameDataCentre})
 	}
 }
 
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -382,7 +382,7 @@
 	gossiper.mu.Unlock()
 	if fresh {
 		heard := heardOf(digest, address, now)
-		heard.SameCentre = digest.DataCentre == CentreKey(gossiper.settings.DataCentre)
+		heard.SameDataCentre = digest.DataCentre == CentreKey(gossiper.settings.DataCentre)
 		gossiper.settings.OnDigest(heard)
 	}
 }
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -27,8 +27,8 @@
 	// leave.
 	LeaveAnnounced []string
 	Strikes        []Strike
-	// SameCentre reports whether the peer stands in the same data centre.
-	SameCentre bool
+	// SameDataCentre reports whether the peer stands in the same data centre.
+	SameDataCentre bool
 	// ListSummary is what the peer's last reading of the list of replicas found; nil where
 	// it leaves the reading to others.
 	ListSummary *follower.Listing
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -63,7 +63,7 @@
 	Convey("all of it arrives", t, func() {
 		So(heard.ListChanges, ShouldResemble, []ReplicaNews{news})
 		So(*heard.ListSummary, ShouldResemble, follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
-		So(heard.SameCentre, ShouldBeFalse)
+		So(heard.SameDataCentre, ShouldBeFalse)
 		So(other.Members(timekeeper.Second), ShouldResemble, []elector.Member{
 			{Address: reader.address(), DataCentre: CentreKey("bole"), Failing: true},
 		})
