--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -152,7 +152,7 @@
 const mostTold = 32
 
 // tellListed tells peers what this entry's reading has changed in the list of replicas.
-func (direct *Direct) tellListed(news gossiper.ReplicaNews) {
+func (direct *Direct) tellListed(news gossiper.ReplicaUpdate) {
 	for _, change := range news.Changes {
 		if change.Removed || change.Value.Leaving {
 			direct.fellows.gossiper.Leaving(gossiper.Leave{Replica: change.Key, Version: uint64(news.Version)})
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -140,7 +140,7 @@
 }
 
 // Listed tells peers at once of a change of the list of replicas.
-func (gossiper *Gossiper) Listed(news ReplicaNews) {
+func (gossiper *Gossiper) Listed(news ReplicaUpdate) {
 	gossiper.tell(func(outbox *outbox) { outbox.listed.add(news) })
 }
 
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -33,15 +33,15 @@
 	// it leaves the reading to others.
 	ListSummary *follower.Listing
 	// ListChanges are changes of the list that the peer has read.
-	ListChanges []ReplicaNews
+	ListChanges []ReplicaUpdate
 	// Cold are replicas that have turned cold, as the peer has read.
 	Cold []ColdNotice
 	// Evacuations are those in force at the peer; nil where it doesn't tell.
 	Evacuations *balancer.Evacuations
 }
 
-// ReplicaNews is a change of the list of replicas.
-type ReplicaNews = follower.News[balancer.Replica]
+// ReplicaUpdate is a change of the list of replicas.
+type ReplicaUpdate = follower.News[balancer.Replica]
 
 // Placement is a prompt that a peer has sent to a replica.
 type Placement struct {
--- a/internal/gossiper/outbox.go
+++ b/internal/gossiper/outbox.go
@@ -110,7 +110,7 @@
 	leaves      news[Leave]
 	announced   news[string]
 	strikes     news[Strike]
-	listed      news[ReplicaNews]
+	listed      news[ReplicaUpdate]
 	cold        news[ColdNotice]
 }
 
@@ -121,7 +121,7 @@
 		leaves:      news[Leave]{most: mostNews},
 		announced:   news[string]{most: mostNews},
 		strikes:     news[Strike]{most: mostNews},
-		listed:      news[ReplicaNews]{most: mostListed},
+		listed:      news[ReplicaUpdate]{most: mostListed},
 		cold:        news[ColdNotice]{most: mostNews},
 	}
 }
--- a/internal/gossiper/replicas.go
+++ b/internal/gossiper/replicas.go
@@ -85,7 +85,7 @@
 
 // messageOf writes a change of the list, newsOf reads one. A row without ID or address
 // names no replica and is left out.
-func messageOf(news ReplicaNews, now timekeeper.Instant) *encoder.PeerListed {
+func messageOf(news ReplicaUpdate, now timekeeper.Instant) *encoder.PeerListed {
 	message := &encoder.PeerListed{Version: uint64(news.Version)}
 	for _, change := range news.Changes {
 		if change.Removed {
@@ -97,8 +97,8 @@
 	return message
 }
 
-func newsOf(message *encoder.PeerListed, now timekeeper.Instant) ReplicaNews {
-	news := ReplicaNews{Version: follower.Version(message.Version)}
+func newsOf(message *encoder.PeerListed, now timekeeper.Instant) ReplicaUpdate {
+	news := ReplicaUpdate{Version: follower.Version(message.Version)}
 	for _, row := range message.Rows {
 		if row.Id == "" || row.Address == "" {
 			continue
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -53,7 +53,7 @@
 	joined := balancer.Replica{
 		ID: "i-1", StartedAt: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64,
 	}
-	news := ReplicaNews{Version: 39, Changes: []follower.Change[balancer.Replica]{
+	news := ReplicaUpdate{Version: 39, Changes: []follower.Change[balancer.Replica]{
 		{Key: "i-1", Value: joined}, {Key: "i-2", Removed: true},
 	}}
 	reader.Learn(other.address())
@@ -61,7 +61,7 @@
 	reader.round()
 	heard := other.wait(t, 1)[0]
 	Convey("all of it arrives", t, func() {
-		So(heard.ListChanges, ShouldResemble, []ReplicaNews{news})
+		So(heard.ListChanges, ShouldResemble, []ReplicaUpdate{news})
 		So(*heard.ListSummary, ShouldResemble, follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
 		So(heard.SameDataCentre, ShouldBeFalse)
 		So(other.Members(timekeeper.Second), ShouldResemble, []elector.Member{
@@ -69,13 +69,13 @@
 		})
 	})
 	Convey("a row that names no replica is left out", t, func() {
-		message := messageOf(ReplicaNews{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-3"}}}, 0)
+		message := messageOf(ReplicaUpdate{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-3"}}}, 0)
 		So(newsOf(message, 0).Changes, ShouldBeEmpty)
 	})
 	Convey("for how long a replica is cold is told, not until when", t, func() {
 		cold := joined
 		cold.WarmAt = 5000
-		message := messageOf(ReplicaNews{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-1", Value: cold}}}, 2000)
+		message := messageOf(ReplicaUpdate{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-1", Value: cold}}}, 2000)
 		told := newsOf(message, 70000).Changes[0].Value
 		So(told.WarmAt, ShouldEqual, 73000)
 		text, err := ReplicaList{Version: 1, Replicas: []balancer.Replica{cold}}.Encode(6000)
