--- a/internal/assembler/direct_readers.go
+++ b/internal/assembler/direct_readers.go
@@ -81,7 +81,7 @@
 func (fellows *fellows) own() elector.Member {
 	direct := fellows.direct
 	return elector.Member{
-		Address: addressOf(direct.listeners.peers), DataCentre: gossiper.CentreKey(direct.settings.DataCentre),
+		Address: addressOf(direct.listeners.peers), DataCentre: gossiper.DataCentreKey(direct.settings.DataCentre),
 		Failing: direct.storeFailing(), Stopping: direct.readiness.leaving.Load(),
 	}
 }
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -297,7 +297,7 @@
 		Incarnation: digest.Incarnation, Sequence: gossiper.sequence, IntervalMs: digest.IntervalMs,
 		Configuration: version, Stopping: digest.Stopping, StoreAgeMs: ageOf(gossiper.settings.StoreAnswered(), now),
 		Replicas: digest.Replicas, Running: digest.Running, Unread: digest.Unread,
-		DataCentre: CentreKey(gossiper.settings.DataCentre), StoreFailing: failing, Evacuations: digest.Evacuations,
+		DataCentre: DataCentreKey(gossiper.settings.DataCentre), StoreFailing: failing, Evacuations: digest.Evacuations,
 	}
 	if reads {
 		full.Listing = &encoder.PeerListing{Version: uint64(listing.Version), Sum: listing.Sum, AgeMs: ageOf(listing.At, now)}
@@ -382,7 +382,7 @@
 	gossiper.mu.Unlock()
 	if fresh {
 		heard := heardOf(digest, address, now)
-		heard.SameDataCentre = digest.DataCentre == CentreKey(gossiper.settings.DataCentre)
+		heard.SameDataCentre = digest.DataCentre == DataCentreKey(gossiper.settings.DataCentre)
 		gossiper.settings.OnDigest(heard)
 	}
 }
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -49,8 +49,8 @@
 	Parts   []balancer.Part
 }
 
-// CentreKey returns the short name of a data centre in digests.
-func CentreKey(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
+// DataCentreKey returns the short name of a data centre in digests.
+func DataCentreKey(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 const (
 	// lifeRounds is how many intervals a digest counts.
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -65,7 +65,7 @@
 		So(*heard.ListSummary, ShouldResemble, follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
 		So(heard.SameDataCentre, ShouldBeFalse)
 		So(other.Members(timekeeper.Second), ShouldResemble, []elector.Member{
-			{Address: reader.address(), DataCentre: CentreKey("bole"), Failing: true},
+			{Address: reader.address(), DataCentre: DataCentreKey("bole"), Failing: true},
 		})
 	})
 	Convey("a row that names no replica is left out", t, func() {
