--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -128,7 +128,7 @@
 		return err
 	}
 	for _, address := range addresses {
-		fellows.gossiper.Learn(address)
+		fellows.gossiper.AddPeer(address)
 	}
 	fellows.turns.introduce(len(addresses), fellows.direct.clock.Now())
 	fellows.sharing.registered(fellows.direct.clock.Now())
--- a/internal/assembler/direct_sharing_test.go
+++ b/internal/assembler/direct_sharing_test.go
@@ -71,7 +71,7 @@
 	})
 	Convey("then all that were heard or learnt of within a minute", t, func() {
 		direct.fellows.sharing.since.Store(int64(now.Add(-sharerPatience)))
-		direct.fellows.gossiper.Learn("127.0.0.1:7300")
+		direct.fellows.gossiper.AddPeer("127.0.0.1:7300")
 		_ = direct.clock.Sleep(t.Context(), 1200)
 		direct.fellows.share()
 		So(direct.used(), ShouldBeBetween, 1, engines)
@@ -100,7 +100,7 @@
 		peer, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer func() { _ = peer.Close() }()
-		direct.fellows.gossiper.Learn(peer.LocalAddr().String())
+		direct.fellows.gossiper.AddPeer(peer.LocalAddr().String())
 		direct.enginesColdFor(2 * timekeeper.Minute)
 		go direct.fellows.gossiper.Run(t.Context())
 		So(peer.SetReadDeadline(timekeeper.In(10*timekeeper.Second)), ShouldBeNil)
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Learn notes the address of an entry.
-func (gossiper *Gossiper) Learn(address string) {
+// AddPeer notes the address of an entry.
+func (gossiper *Gossiper) AddPeer(address string) {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -73,7 +73,7 @@
 func TestWhatADigestTells(t *testing.T) {
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	first, second := newListener(t, 1, clock.Clock()), newListener(t, 2, clock.Clock())
-	first.Learn(second.address())
+	first.AddPeer(second.address())
 	first.held[balancer.KeyOf("planner-1")] = balancer.InFlight{Running: 3, PendingTokens: 9200}
 	parts := []balancer.Part{{ID: 1 << 60, Tokens: 2500}, {ID: 2, Tokens: 580}}
 	first.Placed(balancer.KeyOf("planner-1"), parts, false)
@@ -242,7 +242,7 @@
 	// waits for other news.
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	first, second := newListener(t, 1, clock.Clock()), newListener(t, 2, clock.Clock())
-	first.Learn(second.address())
+	first.AddPeer(second.address())
 	first.round()
 	second.wait(t, 1)
 	second.round()
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -56,7 +56,7 @@
 	news := ReplicaUpdate{Version: 39, Changes: []follower.Change[balancer.Replica]{
 		{Key: "i-1", Value: joined}, {Key: "i-2", Removed: true},
 	}}
-	reader.Learn(other.address())
+	reader.AddPeer(other.address())
 	reader.Listed(news)
 	reader.round()
 	heard := other.wait(t, 1)[0]
