--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -176,7 +176,7 @@
 			Window: direct.settings.Retry.Window, Ratio: direct.settings.Retry.Ratio, Extra: direct.settings.Retry.Extra,
 		},
 		Sharers:        func() int { return max(minSharers, sharersOfPeer*direct.fellows.readers()) },
-		Placed:         direct.fellows.gossiper.Placed,
+		Placed:         direct.fellows.gossiper.SendPlacement,
 		Unreachable:    direct.fellows.gossiper.Unreachable,
 		LeaveAnnounced: direct.fellows.gossiper.LeaveAnnounced,
 		Struck: func(request uint64, replica string) {
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -108,10 +108,10 @@
 	gossiper.peers.learn(address, now)
 }
 
-// Placed tells peers of a prompt that was sent to a replica. first says that the
+// SendPlacement tells peers of a prompt that was sent to a replica. first says that the
 // replica reads a part there that other requests share, which peers must know
 // soon: they are told of these parts alone, for the last one is the request's own.
-func (gossiper *Gossiper) Placed(replica balancer.Key, parts []balancer.Part, first bool) {
+func (gossiper *Gossiper) SendPlacement(replica balancer.Key, parts []balancer.Part, first bool) {
 	placed := placement{replica: replica, parts: parts}
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -76,8 +76,8 @@
 	first.AddPeer(second.address())
 	first.held[balancer.KeyOf("planner-1")] = balancer.InFlight{Running: 3, PendingTokens: 9200}
 	parts := []balancer.Part{{ID: 1 << 60, Tokens: 2500}, {ID: 2, Tokens: 580}}
-	first.Placed(balancer.KeyOf("planner-1"), parts, false)
-	first.Placed(balancer.KeyOf("planner-2"), parts, true)
+	first.SendPlacement(balancer.KeyOf("planner-1"), parts, false)
+	first.SendPlacement(balancer.KeyOf("planner-2"), parts, true)
 	first.Unreachable("planner-2")
 	first.Leaving(Leave{Replica: "planner-3", Version: 12})
 	first.LeaveAnnounced("planner-5@17")
