--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -123,8 +123,8 @@
 	gossiper.outbox.placements.add(placed)
 }
 
-// Unreachable tells peers at once of a replica that takes no connections.
-func (gossiper *Gossiper) Unreachable(replica string) {
+// SendUnreachable tells peers at once of a replica that takes no connections.
+func (gossiper *Gossiper) SendUnreachable(replica string) {
 	gossiper.tell(func(outbox *outbox) { outbox.unreachable.add(replica) })
 }
 
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -78,7 +78,7 @@
 	parts := []balancer.Part{{ID: 1 << 60, Tokens: 2500}, {ID: 2, Tokens: 580}}
 	first.SendPlacement(balancer.KeyOf("planner-1"), parts, false)
 	first.SendPlacement(balancer.KeyOf("planner-2"), parts, true)
-	first.Unreachable("planner-2")
+	first.SendUnreachable("planner-2")
 	first.Leaving(Leave{Replica: "planner-3", Version: 12})
 	first.LeaveAnnounced("planner-5@17")
 	first.Struck(Strike{Request: 1 << 63, Replica: "planner-2"})
