--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -178,7 +178,7 @@
 		Sharers:        func() int { return max(minSharers, sharersOfPeer*direct.fellows.readers()) },
 		Placed:         direct.fellows.gossiper.SendPlacement,
 		Unreachable:    direct.fellows.gossiper.SendUnreachable,
-		LeaveAnnounced: direct.fellows.gossiper.LeaveAnnounced,
+		LeaveAnnounced: direct.fellows.gossiper.SendLeaveAnnounced,
 		Struck: func(request uint64, replica string) {
 			direct.fellows.gossiper.Struck(gossiper.Strike{Request: request, Replica: replica})
 		},
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -128,9 +128,9 @@
 	gossiper.tell(func(outbox *outbox) { outbox.unreachable.add(replica) })
 }
 
-// LeaveAnnounced tells peers at once of the incarnation of a replica that has said that it
+// SendLeaveAnnounced tells peers at once of the incarnation of a replica that has said that it
 // leaves.
-func (gossiper *Gossiper) LeaveAnnounced(incarnation string) {
+func (gossiper *Gossiper) SendLeaveAnnounced(incarnation string) {
 	gossiper.tell(func(outbox *outbox) { outbox.announced.add(incarnation) })
 }
 
