--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -155,7 +155,7 @@
 func (direct *Direct) tellListed(news gossiper.ReplicaUpdate) {
 	for _, change := range news.Changes {
 		if change.Removed || change.Value.Leaving {
-			direct.fellows.gossiper.Leaving(gossiper.Leave{Replica: change.Key, Version: uint64(news.Version)})
+			direct.fellows.gossiper.SendLeaving(gossiper.Leave{Replica: change.Key, Version: uint64(news.Version)})
 		}
 	}
 	if len(news.Changes) <= mostTold {
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -134,8 +134,8 @@
 	gossiper.tell(func(outbox *outbox) { outbox.announced.add(incarnation) })
 }
 
-// Leaving tells peers at once of a replica that the store lists as leaving or gone.
-func (gossiper *Gossiper) Leaving(leave Leave) {
+// SendLeaving tells peers at once of a replica that the store lists as leaving or gone.
+func (gossiper *Gossiper) SendLeaving(leave Leave) {
 	gossiper.tell(func(outbox *outbox) { outbox.leaves.add(leave) })
 }
 
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -79,7 +79,7 @@
 	first.SendPlacement(balancer.KeyOf("planner-1"), parts, false)
 	first.SendPlacement(balancer.KeyOf("planner-2"), parts, true)
 	first.SendUnreachable("planner-2")
-	first.Leaving(Leave{Replica: "planner-3", Version: 12})
+	first.SendLeaving(Leave{Replica: "planner-3", Version: 12})
 	first.SendLeaveAnnounced("planner-5@17")
 	first.Struck(Strike{Request: 1 << 63, Replica: "planner-2"})
 	first.Cold(ColdNotice{Replica: balancer.KeyOf("planner-4"), Until: clock.Now().Add(2500)})
