--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -159,6 +159,6 @@
 		}
 	}
 	if len(news.Changes) <= mostTold {
-		direct.fellows.gossiper.Listed(news)
+		direct.fellows.gossiper.SendListChange(news)
 	}
 }
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -139,8 +139,8 @@
 	gossiper.tell(func(outbox *outbox) { outbox.leaves.add(leave) })
 }
 
-// Listed tells peers at once of a change of the list of replicas.
-func (gossiper *Gossiper) Listed(news ReplicaUpdate) {
+// SendListChange tells peers at once of a change of the list of replicas.
+func (gossiper *Gossiper) SendListChange(news ReplicaUpdate) {
 	gossiper.tell(func(outbox *outbox) { outbox.listed.add(news) })
 }
 
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -57,7 +57,7 @@
 		{Key: "i-1", Value: joined}, {Key: "i-2", Removed: true},
 	}}
 	reader.AddPeer(other.address())
-	reader.Listed(news)
+	reader.SendListChange(news)
 	reader.round()
 	heard := other.wait(t, 1)[0]
 	Convey("all of it arrives", t, func() {
