--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -130,7 +130,7 @@
 
 // chilled logs that a replica has turned cold and tells peers, who don't see each row.
 func (direct *Direct) chilled(replica balancer.Replica) {
-	direct.fellows.gossiper.Cold(gossiper.ColdNotice{Replica: replica.Key(), Until: replica.WarmAt})
+	direct.fellows.gossiper.SendCold(gossiper.ColdNotice{Replica: replica.Key(), Until: replica.WarmAt})
 	direct.log.WithFields(logrus.Fields{
 		labelReplica: replica.ID, "service": replica.Service, "warm-in-ms": int64(replica.WarmAt.Since(direct.clock.Now())),
 	}).Info("replica is cold")
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -144,8 +144,8 @@
 	gossiper.tell(func(outbox *outbox) { outbox.listed.add(news) })
 }
 
-// Cold tells peers at once of a replica that has turned cold.
-func (gossiper *Gossiper) Cold(notice ColdNotice) {
+// SendCold tells peers at once of a replica that has turned cold.
+func (gossiper *Gossiper) SendCold(notice ColdNotice) {
 	gossiper.tell(func(outbox *outbox) { outbox.cold.add(notice) })
 }
 
