--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -180,7 +180,7 @@
 		Unreachable:    direct.fellows.gossiper.SendUnreachable,
 		LeaveAnnounced: direct.fellows.gossiper.SendLeaveAnnounced,
 		Struck: func(request uint64, replica string) {
-			direct.fellows.gossiper.Struck(gossiper.Strike{Request: request, Replica: replica})
+			direct.fellows.gossiper.SendStrike(gossiper.Strike{Request: request, Replica: replica})
 		},
 		Crowded:    direct.callers.crowded,
 		BodyMemory: int64(bodyShare * float64(megabytes<<20)),
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -149,8 +149,8 @@
 	gossiper.tell(func(outbox *outbox) { outbox.cold.add(notice) })
 }
 
-// Struck tells peers at once of a request that was at a replica when it crashed.
-func (gossiper *Gossiper) Struck(strike Strike) {
+// SendStrike tells peers at once of a request that was at a replica when it crashed.
+func (gossiper *Gossiper) SendStrike(strike Strike) {
 	gossiper.tell(func(outbox *outbox) { outbox.strikes.add(strike) })
 }
 
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -81,7 +81,7 @@
 	first.SendUnreachable("planner-2")
 	first.SendLeaving(Leave{Replica: "planner-3", Version: 12})
 	first.SendLeaveAnnounced("planner-5@17")
-	first.Struck(Strike{Request: 1 << 63, Replica: "planner-2"})
+	first.SendStrike(Strike{Request: 1 << 63, Replica: "planner-2"})
 	first.SendCold(ColdNotice{Replica: balancer.KeyOf("planner-4"), Until: clock.Now().Add(2500)})
 	first.round()
 	Convey("all of it arrives", t, func() {
