--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -73,7 +73,7 @@
 // a peer told in between may have ended before that version, with no change of the copy.
 func (direct *Direct) confirmOrders(version follower.Version) {
 	if direct.evacuate(balancer.NewEvacuations(uint64(version), direct.ordered), "store") {
-		direct.fellows.gossiper.Evacuated()
+		direct.fellows.gossiper.SendEvacuations()
 	}
 }
 
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -154,8 +154,8 @@
 	gossiper.tell(func(outbox *outbox) { outbox.strikes.add(strike) })
 }
 
-// Evacuated tells peers at once of the evacuations in force here.
-func (gossiper *Gossiper) Evacuated() { gossiper.kick() }
+// SendEvacuations tells peers at once of the evacuations in force here.
+func (gossiper *Gossiper) SendEvacuations() { gossiper.kick() }
 
 // Configured tells peers at once that the version in force has changed.
 func (gossiper *Gossiper) Configured() { gossiper.kick() }
