--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -90,7 +90,7 @@
 		}
 	}
 	direct.accepted.Store(int64(direct.clock.Now()))
-	direct.fellows.gossiper.Configured()
+	direct.fellows.gossiper.SendVersion()
 	direct.fleet.With(func(fleet *balancer.Fleet) {
 		for _, service := range config.Services() {
 			fleet.SetWarmUp(service.Name, balancer.WarmUp{Span: service.ColdTime, Rate: service.ColdRate})
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -157,8 +157,8 @@
 // SendEvacuations tells peers at once of the evacuations in force here.
 func (gossiper *Gossiper) SendEvacuations() { gossiper.kick() }
 
-// Configured tells peers at once that the version in force has changed.
-func (gossiper *Gossiper) Configured() { gossiper.kick() }
+// SendVersion tells peers at once that the version in force has changed.
+func (gossiper *Gossiper) SendVersion() { gossiper.kick() }
 
 // Stop tells peers that this entry takes no more callers.
 func (gossiper *Gossiper) Stop() {
