--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -274,7 +274,7 @@
 		// to leave, so that comes first.
 		direct.front.AskToLeave()
 		direct.readiness.leaving.Store(true)
-		direct.fellows.gossiper.Stop()
+		direct.fellows.gossiper.AnnounceStop()
 		direct.log.WithField("active", direct.front.Active()).Info("entry stops: not ready, callers are asked to leave")
 		go func() { stopped <- direct.shutDown(server) }()
 	})
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -160,8 +160,8 @@
 // SendVersion tells peers at once that the version in force has changed.
 func (gossiper *Gossiper) SendVersion() { gossiper.kick() }
 
-// Stop tells peers that this entry takes no more callers.
-func (gossiper *Gossiper) Stop() {
+// AnnounceStop tells peers that this entry takes no more callers.
+func (gossiper *Gossiper) AnnounceStop() {
 	gossiper.mu.Lock()
 	gossiper.stopping = true
 	gossiper.mu.Unlock()
