--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -73,7 +73,7 @@
 }
 
 // readers returns how many entries read the store and tell each other.
-func (fellows *fellows) readers() int { return 1 + len(fellows.gossiper.Up()) }
+func (fellows *fellows) readers() int { return 1 + len(fellows.gossiper.LivePeers()) }
 
 // held returns what this entry has under way.
 func (direct *Direct) held() (held map[balancer.Key]balancer.InFlight) {
@@ -269,7 +269,7 @@
 func (fellows *fellows) copyReplicas(ctx context.Context) ([]follower.Change[balancer.Replica], follower.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchPatience.Duration())
 	defer cancel()
-	peers := fellows.gossiper.Up()
+	peers := fellows.gossiper.LivePeers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	if reader := fellows.turns.reader(); slices.Contains(peers, reader) {
 		peers = slices.Insert(peers, 0, reader)
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// Up returns the addresses of the peers that count as up.
-func (gossiper *Gossiper) Up() []string {
+// LivePeers returns the addresses of the peers that count as up.
+func (gossiper *Gossiper) LivePeers() []string {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
@@ -268,7 +268,7 @@
 // next returns the digest to send, and to whom.
 func (gossiper *Gossiper) next() (*encoder.PeerDigest, []string) {
 	held := gossiper.settings.InFlight()
-	gossiper.settings.Scope.Gauge("peers-up").Update(float64(len(gossiper.Up())))
+	gossiper.settings.Scope.Gauge("peers-up").Update(float64(len(gossiper.LivePeers())))
 	version := gossiper.settings.Version()
 	failing := gossiper.settings.StoreFailing()
 	listing, reads := gossiper.settings.ListSummary()
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -101,7 +101,7 @@
 		So(heard.Strikes, ShouldResemble, []Strike{{Request: 1 << 63, Replica: "planner-2"}})
 	})
 	Convey("the peer has heard of the sender, and answers", t, func() {
-		So(second.Up(), ShouldResemble, []string{first.address()})
+		So(second.LivePeers(), ShouldResemble, []string{first.address()})
 		second.round()
 		So(first.wait(t, 1)[0].Address, ShouldEqual, second.address())
 	})
