--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -191,8 +191,8 @@
 	return gossiper.peers.up(now)
 }
 
-// Near returns how many peers have been heard of within a span.
-func (gossiper *Gossiper) Near(span timekeeper.Span) int {
+// CountRecentPeers returns how many peers have been heard of within a span.
+func (gossiper *Gossiper) CountRecentPeers(span timekeeper.Span) int {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
