--- a/internal/assembler/direct_sharing.go
+++ b/internal/assembler/direct_sharing.go
@@ -36,6 +36,6 @@
 		return
 	}
 	own := addressOf(fellows.direct.listeners.peers)
-	others := fellows.gossiper.Known(sharerMemory)
+	others := fellows.gossiper.KnownPeers(sharerMemory)
 	fellows.direct.fleet.With(func(fleet *balancer.Fleet) { fleet.SetEntries(own, others) })
 }
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -199,9 +199,9 @@
 	return len(gossiper.peers.heardWithin(span, now))
 }
 
-// Known returns the addresses of the peers that were heard or learnt of within a span, those
+// KnownPeers returns the addresses of the peers that were heard or learnt of within a span, those
 // that are silent now among them.
-func (gossiper *Gossiper) Known(span timekeeper.Span) []string {
+func (gossiper *Gossiper) KnownPeers(span timekeeper.Span) []string {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
