--- a/internal/assembler/direct_readers.go
+++ b/internal/assembler/direct_readers.go
@@ -68,7 +68,7 @@
 	fellows.turns.mu.Lock()
 	defer fellows.turns.mu.Unlock()
 	if turns := &fellows.turns; turns.chosen == 0 || now.Since(turns.chosen) >= electEvery {
-		others := fellows.gossiper.Members(near)
+		others := fellows.gossiper.RecentMembers(near)
 		turns.failing = slices.ContainsFunc(others, func(other elector.Member) bool { return other.Failing })
 		members := slices.Concat(others, []elector.Member{fellows.own()})
 		turns.chosen, turns.members = now, len(members)
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -208,8 +208,8 @@
 	return gossiper.peers.knownWithin(span, now)
 }
 
-// Members returns the peers that have been heard of within a span.
-func (gossiper *Gossiper) Members(span timekeeper.Span) []elector.Member {
+// RecentMembers returns the peers that have been heard of within a span.
+func (gossiper *Gossiper) RecentMembers(span timekeeper.Span) []elector.Member {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -64,7 +64,7 @@
 		So(heard.ListChanges, ShouldResemble, []ReplicaUpdate{news})
 		So(*heard.ListSummary, ShouldResemble, follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
 		So(heard.SameDataCentre, ShouldBeFalse)
-		So(other.Members(timekeeper.Second), ShouldResemble, []elector.Member{
+		So(other.RecentMembers(timekeeper.Second), ShouldResemble, []elector.Member{
 			{Address: reader.address(), DataCentre: DataCentreKey("bole"), Failing: true},
 		})
 	})
