--- a/internal/follower/outage_test.go
+++ b/internal/follower/outage_test.go
@@ -179,11 +179,11 @@
 	table, clock := newTable(), newClock()
 	table.put("stays", 1)
 	table.put("leaves", 1)
-	var told []News[int]
+	var told []Update[int]
 	follower := New(Settings[int]{
 		Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
 		Sum:   func(key string, value int) uint64 { return uint64(len(key) + 100*value) },
-		Apply: func(map[string]int, Version) {}, Tell: func(news News[int]) { told = append(told, news) },
+		Apply: func(map[string]int, Version) {}, Tell: func(news Update[int]) { told = append(told, news) },
 	})
 	step := func() { follower.Step(t.Context()) }
 	step()
@@ -196,10 +196,10 @@
 	table.remove("leaves")
 	step()
 	Convey("until it is gone", t, func() {
-		So(told, ShouldResemble, []News[int]{{Version: table.version, Changes: []Change[int]{{Key: "stays", Value: 2}}}})
+		So(told, ShouldResemble, []Update[int]{{Version: table.version, Changes: []Change[int]{{Key: "stays", Value: 2}}}})
 		clock.Advance(2200)
 		step()
-		So(told[1:], ShouldResemble, []News[int]{{Version: table.version, Changes: []Change[int]{{Key: "leaves", Removed: true}}}})
+		So(told[1:], ShouldResemble, []Update[int]{{Version: table.version, Changes: []Change[int]{{Key: "leaves", Removed: true}}}})
 	})
 }
 
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -23,7 +23,7 @@
 	listing follower.Listing
 	reads   bool
 	served  timekeeper.Instant
-	news    []follower.News[string]
+	news    []follower.Update[string]
 	leaves  []leave
 }
 
@@ -67,7 +67,7 @@
 	heard  map[string]elector.Member
 	at     map[string]timekeeper.Instant
 	served []timekeeper.Instant
-	news   []follower.News[string]
+	news   []follower.Update[string]
 	leaves []leave
 	known  map[string]timekeeper.Instant
 	rows   map[string]string
@@ -239,7 +239,7 @@
 // mostTold is how many changes are told one by one, as entries do.
 const mostTold = 32
 
-func (one *process) tell(news follower.News[string]) {
+func (one *process) tell(news follower.Update[string]) {
 	one.mu.Lock()
 	for _, change := range news.Changes {
 		if change.Removed || change.Value == "leaving" {
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -9,8 +9,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// News is what a read has changed in a reader's copy, for others.
-type News[T any] struct {
+// Update is what a read has changed in a reader's copy, for others.
+type Update[T any] struct {
 	// Version is that of the table at which the rows were so.
 	Version Version
 	Changes []Change[T]
@@ -120,7 +120,7 @@
 //
 // A change counts where it is newer than the copy. The copy's version stays: there may
 // be changes before this one that have not been told.
-func (follower *Follower[T]) Told(news News[T]) bool {
+func (follower *Follower[T]) Told(news Update[T]) bool {
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
 	if !follower.known || news.Version <= follower.version {
@@ -202,7 +202,7 @@
 // tell tells others what has changed since an earlier copy, but nothing of rows that are
 // kept though missing: others would take them for rows of the table. The lock must be held.
 func (follower *Follower[T]) tell(before map[string]T) {
-	news := News[T]{Version: follower.version}
+	news := Update[T]{Version: follower.version}
 	for key, value := range follower.rows {
 		if _, lapsing := follower.lapsing[key]; lapsing {
 			continue
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -41,7 +41,7 @@
 }
 
 // ReplicaUpdate is a change of the list of replicas.
-type ReplicaUpdate = follower.News[balancer.Replica]
+type ReplicaUpdate = follower.Update[balancer.Replica]
 
 // Placement is a prompt that a peer has sent to a replica.
 type Placement struct {
