--- a/internal/assembler/direct_leaves_test.go
+++ b/internal/assembler/direct_leaves_test.go
@@ -41,9 +41,9 @@
 		So(works(), ShouldEqual, 1)
 		hear(gossiper.Digest{Leaves: []gossiper.Leave{{Replica: "r1", Version: uint64(listing.Version) + 2}}})
 		So(works(), ShouldEqual, 0)
-		hear(gossiper.Digest{ListSummary: &follower.Listing{Version: listing.Version + 1, Sum: listing.Sum}})
+		hear(gossiper.Digest{ListSummary: &follower.Summary{Version: listing.Version + 1, Sum: listing.Sum}})
 		So(works(), ShouldEqual, 0)
-		hear(gossiper.Digest{ListSummary: &follower.Listing{Version: listing.Version + 2, Sum: listing.Sum}})
+		hear(gossiper.Digest{ListSummary: &follower.Summary{Version: listing.Version + 2, Sum: listing.Sum}})
 		So(works(), ShouldEqual, 1)
 	})
 }
--- a/internal/follower/dispute_test.go
+++ b/internal/follower/dispute_test.go
@@ -60,7 +60,7 @@
 			})
 			follower.Step(t.Context())
 			wholes = 0
-			other := Listing{Version: table.version, Sum: follower.sum ^ 1}
+			other := Summary{Version: table.version, Sum: follower.sum ^ 1}
 			if test.wrong {
 				other.Sum = follower.sum
 				follower.drop("b")
--- a/internal/follower/outage_test.go
+++ b/internal/follower/outage_test.go
@@ -280,7 +280,7 @@
 			clock.Advance(3000)
 			doubted = false
 			if test.confirmed {
-				follower.Compare(Listing{Version: table.version, Sum: 7, At: clock.Now()})
+				follower.Compare(Summary{Version: table.version, Sum: 7, At: clock.Now()})
 			}
 			table.remove("lives")
 			follower.Step(t.Context())
@@ -329,7 +329,7 @@
 			table.remove("b")
 			step()
 			So(copied, ShouldResemble, map[string]int{"a": 1, "b": 1})
-			listing := Listing{Version: table.version + test.newer}
+			listing := Summary{Version: table.version + test.newer}
 			for key, value := range test.other {
 				listing.Sum ^= sum(key, value)
 			}
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -20,7 +20,7 @@
 // digest is what one process tells the others.
 type digest struct {
 	member  elector.Member
-	listing follower.Listing
+	listing follower.Summary
 	reads   bool
 	served  timekeeper.Instant
 	news    []follower.Update[string]
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -16,8 +16,8 @@
 	Changes []Change[T]
 }
 
-// Listing says how a copy of a table was.
-type Listing struct {
+// Summary says how a copy of a table was.
+type Summary struct {
 	Version Version
 	// Sum is the checksum of all rows.
 	Sum uint64
@@ -90,12 +90,12 @@
 
 // Listing returns what the last reading of this process found; false means that it has
 // none to tell of, or that its copy holds rows which the table has no more.
-func (follower *Follower[T]) Listing() (Listing, bool) {
+func (follower *Follower[T]) Listing() (Summary, bool) {
 	answered := follower.Answered()
 	now := follower.settings.Clock.Now()
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
-	listing := Listing{Version: follower.version, Sum: follower.sum, At: answered}
+	listing := Summary{Version: follower.version, Sum: follower.sum, At: answered}
 	return listing, answered != 0 && now.Since(answered) <= listingLife && len(follower.lapsing) == 0
 }
 
@@ -151,7 +151,7 @@
 // makes this copy as new; one that is newer and different has to be fetched, if the
 // changes between them don't come by themselves. Of two that are different at one version
 // one is wrong.
-func (follower *Follower[T]) Compare(other Listing) {
+func (follower *Follower[T]) Compare(other Summary) {
 	now := follower.settings.Clock.Now()
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
--- a/internal/follower/told_test.go
+++ b/internal/follower/told_test.go
@@ -75,7 +75,7 @@
 		{"a whole read", func(follower *Follower[int]) {
 			follower.takeIn(answer[int]{version: 60, rows: []Change[int]{{Key: "a", Value: 1}}, whole: true}, false, follower.settings.Clock.Now())
 		}},
-		{"another's copy that is the same", func(follower *Follower[int]) { follower.Compare(Listing{Version: 60, Sum: follower.sum}) }},
+		{"another's copy that is the same", func(follower *Follower[int]) { follower.Compare(Summary{Version: 60, Sum: follower.sum}) }},
 		{"another's copy that was fetched", func(follower *Follower[int]) { follower.fetch(context.Background()) }},
 	}
 	for _, test := range tests {
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -51,7 +51,7 @@
 	StoreFailing func() bool
 	// ListSummary returns what the last own reading of the list of replicas found; false
 	// means that there is none to tell of. Nil means that there never is.
-	ListSummary func() (follower.Listing, bool)
+	ListSummary func() (follower.Summary, bool)
 	// Evacuations returns what is in force here, and whether peers should be told of it.
 	// Nil means that nothing ever is.
 	Evacuations func() (balancer.Evacuations, bool)
@@ -89,7 +89,7 @@
 		settings.StoreFailing = func() bool { return false }
 	}
 	if settings.ListSummary == nil {
-		settings.ListSummary = func() (follower.Listing, bool) { return follower.Listing{}, false }
+		settings.ListSummary = func() (follower.Summary, bool) { return follower.Summary{}, false }
 	}
 	if settings.Evacuations == nil {
 		settings.Evacuations = noEvacuations
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -31,7 +31,7 @@
 	SameDataCentre bool
 	// ListSummary is what the peer's last reading of the list of replicas found; nil where
 	// it leaves the reading to others.
-	ListSummary *follower.Listing
+	ListSummary *follower.Summary
 	// ListChanges are changes of the list that the peer has read.
 	ListChanges []ReplicaUpdate
 	// Cold are replicas that have turned cold, as the peer has read.
@@ -84,7 +84,7 @@
 		heard.Leaves = append(heard.Leaves, Leave{Replica: leave.Replica, Version: leave.Version})
 	}
 	if listing := digest.Listing; listing != nil && listing.AgeMs > 0 {
-		heard.ListSummary = &follower.Listing{
+		heard.ListSummary = &follower.Summary{
 			Version: follower.Version(listing.Version), Sum: listing.Sum, At: now.Add(-timekeeper.Span(listing.AgeMs)),
 		}
 	}
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -47,8 +47,8 @@
 	reader, other := newListener(t, 1, clock.Clock()), newListener(t, 2, clock.Clock())
 	reader.settings.DataCentre, other.settings.DataCentre = "bole", "merkato"
 	reader.settings.StoreFailing = func() bool { return true }
-	reader.settings.ListSummary = func() (follower.Listing, bool) {
-		return follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)}, true
+	reader.settings.ListSummary = func() (follower.Summary, bool) {
+		return follower.Summary{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)}, true
 	}
 	joined := balancer.Replica{
 		ID: "i-1", StartedAt: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64,
@@ -62,7 +62,7 @@
 	heard := other.wait(t, 1)[0]
 	Convey("all of it arrives", t, func() {
 		So(heard.ListChanges, ShouldResemble, []ReplicaUpdate{news})
-		So(*heard.ListSummary, ShouldResemble, follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
+		So(*heard.ListSummary, ShouldResemble, follower.Summary{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
 		So(heard.SameDataCentre, ShouldBeFalse)
 		So(other.RecentMembers(timekeeper.Second), ShouldResemble, []elector.Member{
 			{Address: reader.address(), DataCentre: DataCentreKey("bole"), Failing: true},
