--- a/internal/assembler/direct_survey.go
+++ b/internal/assembler/direct_survey.go
@@ -32,7 +32,7 @@
 	if answered := direct.storeAnswered(); answered != 0 {
 		direct.scope.Gauge("store-silent-ms").Update(float64(now.Since(answered)))
 	}
-	if fresh := direct.replicas.Fresh(); fresh != 0 {
+	if fresh := direct.replicas.LastConfirmed(); fresh != 0 {
 		direct.scope.Gauge("replicas-confirmed-ago-ms").Update(float64(now.Since(fresh)))
 	}
 	direct.surveyReaders()
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -81,8 +81,8 @@
 	return follower.behind != 0 && now.Since(follower.behind) >= behindFor
 }
 
-// Fresh returns when the copy was last known to be the table's; zero means never.
-func (follower *Follower[T]) Fresh() timekeeper.Instant {
+// LastConfirmed returns when the copy was last known to be the table's; zero means never.
+func (follower *Follower[T]) LastConfirmed() timekeeper.Instant {
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
 	return follower.fresh
