--- a/internal/assembler/direct_leaves_test.go
+++ b/internal/assembler/direct_leaves_test.go
@@ -28,7 +28,7 @@
 	direct, release := directBefore(t, store)
 	defer release()
 	direct.replicas.Step(t.Context())
-	listing, _ := direct.replicas.Listing()
+	listing, _ := direct.replicas.Summary()
 	works := func() (count int) {
 		direct.fleet.With(func(fleet *balancer.Fleet) { count = fleet.Count("planner") })
 		return count
--- a/internal/follower/outage_test.go
+++ b/internal/follower/outage_test.go
@@ -158,7 +158,7 @@
 	Convey("it serves with all rows and tells nobody of them", t, func() {
 		So(copied, ShouldResemble, map[string]int{"lives": 1, "died": 1})
 		borrower.answered = clock.Now()
-		_, tells := borrower.Listing()
+		_, tells := borrower.Summary()
 		So(tells, ShouldBeFalse)
 	})
 	clock.Advance(900)
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -289,7 +289,7 @@
 	}
 	out := digest{member: one.own}
 	out.member.Failing = one.follower.Failing()
-	out.listing, out.reads = one.follower.Listing()
+	out.listing, out.reads = one.follower.Summary()
 	out.served = one.follower.Answered()
 	one.mu.Lock()
 	out.news, out.leaves = one.news, one.leaves
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -88,9 +88,9 @@
 	return follower.fresh
 }
 
-// Listing returns what the last reading of this process found; false means that it has
+// Summary returns what the last reading of this process found; false means that it has
 // none to tell of, or that its copy holds rows which the table has no more.
-func (follower *Follower[T]) Listing() (Summary, bool) {
+func (follower *Follower[T]) Summary() (Summary, bool) {
 	answered := follower.Answered()
 	now := follower.settings.Clock.Now()
 	follower.copying.Lock()
