--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -169,7 +169,7 @@
 	}
 	fellows.noteServed(heard.StoreAnswered)
 	for _, news := range heard.ListChanges {
-		fellows.direct.replicas.Told(news)
+		fellows.direct.replicas.ApplyUpdate(news)
 	}
 	if heard.ListSummary != nil {
 		fellows.turns.noteReader(heard.Address)
--- a/internal/follower/dispute_test.go
+++ b/internal/follower/dispute_test.go
@@ -67,7 +67,7 @@
 				follower.apply()
 			}
 			if test.told {
-				follower.Told(Update[int]{Version: table.version + 1, Changes: []Change[int]{{Key: "c", Value: 1}}})
+				follower.ApplyUpdate(Update[int]{Version: table.version + 1, Changes: []Change[int]{{Key: "c", Value: 1}}})
 			}
 			for passed := timekeeper.Span(0); passed <= test.lasts; passed += test.every {
 				follower.Compare(other)
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -312,7 +312,7 @@
 	one.fewest = min(one.fewest, one.balancer.Count("planner"))
 	one.mu.Unlock()
 	for _, news := range in.news {
-		one.follower.Told(news)
+		one.follower.ApplyUpdate(news)
 	}
 	if in.reads {
 		one.follower.Compare(in.listing)
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -116,11 +116,11 @@
 	return rows, follower.version, follower.known
 }
 
-// Told takes in what another process has read. It reports whether that was news.
+// ApplyUpdate takes in what another process has read. It reports whether that was news.
 //
 // A change counts where it is newer than the copy. The copy's version stays: there may
 // be changes before this one that have not been told.
-func (follower *Follower[T]) Told(news Update[T]) bool {
+func (follower *Follower[T]) ApplyUpdate(news Update[T]) bool {
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
 	if !follower.known || news.Version <= follower.version {
--- a/internal/follower/told_test.go
+++ b/internal/follower/told_test.go
@@ -38,7 +38,7 @@
 						return old, 55, nil
 					},
 					Changes: func(context.Context, Version, timekeeper.Span) ([]Change[int], Version, error) {
-						So(follower.Told(Update[int]{Version: 60, Changes: []Change[int]{
+						So(follower.ApplyUpdate(Update[int]{Version: 60, Changes: []Change[int]{
 							{Key: "leaves", Value: 2}, {Key: "goes", Removed: true}, {Key: "comes", Value: 1},
 						}}), ShouldBeTrue)
 						if test.whole {
@@ -126,7 +126,7 @@
 				for i, change := range table.log[from:] {
 					version := table.kept + Version(from+i) + 1
 					if version > follower.version {
-						follower.Told(Update[int]{Version: version, Changes: []Change[int]{change}})
+						follower.ApplyUpdate(Update[int]{Version: version, Changes: []Change[int]{change}})
 						newest[change.Key] = max(newest[change.Key], change.Value)
 					}
 				}
