--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -83,7 +83,7 @@
 
 // storeAnswered returns when the store answered last; zero means never.
 func (direct *Direct) storeAnswered() timekeeper.Instant {
-	return max(direct.replicas.Answered(), direct.orders.Answered())
+	return max(direct.replicas.LastAnswered(), direct.orders.LastAnswered())
 }
 
 // storeFailing reports whether the store did not answer the last call.
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -86,8 +86,8 @@
 	return follower.synced
 }
 
-// Answered returns when the store answered last; zero means never.
-func (follower *Follower[T]) Answered() timekeeper.Instant {
+// LastAnswered returns when the store answered last; zero means never.
+func (follower *Follower[T]) LastAnswered() timekeeper.Instant {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
 	return follower.answered
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -140,7 +140,7 @@
 		table.fail = nil
 		So(follower.Step(context.Background()), ShouldEqual, 0)
 		So(follower.Synced(), ShouldBeTrue)
-		So(follower.Answered(), ShouldEqual, clock.Now())
+		So(follower.LastAnswered(), ShouldEqual, clock.Now())
 		table.fail = eris.New("away")
 		So(follower.Step(context.Background()), ShouldBeLessThanOrEqualTo, firstPause)
 	})
@@ -329,7 +329,7 @@
 		step(0)
 		So(rows, ShouldResemble, map[string]int{"a": 1, "b": 2})
 		So(follower.Synced(), ShouldBeTrue)
-		So(follower.Answered(), ShouldEqual, 0)
+		So(follower.LastAnswered(), ShouldEqual, 0)
 		Convey("not again and again, and not older ones", func() {
 			step(100)
 			So(asked, ShouldEqual, 1)
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -290,7 +290,7 @@
 	out := digest{member: one.own}
 	out.member.Failing = one.follower.Failing()
 	out.listing, out.reads = one.follower.Summary()
-	out.served = one.follower.Answered()
+	out.served = one.follower.LastAnswered()
 	one.mu.Lock()
 	out.news, out.leaves = one.news, one.leaves
 	one.news, one.leaves = nil, nil
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -91,7 +91,7 @@
 // Summary returns what the last reading of this process found; false means that it has
 // none to tell of, or that its copy holds rows which the table has no more.
 func (follower *Follower[T]) Summary() (Summary, bool) {
-	answered := follower.Answered()
+	answered := follower.LastAnswered()
 	now := follower.settings.Clock.Now()
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
