--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -25,7 +25,7 @@
 	// which every heartbeat is a change. A leaving replica must be known well
 	// within the two seconds for which it still serves, also when what a reader told
 	// is lost. Readers of a large fleet take turns: a reader each 450 ms.
-	replicaPace = follower.Pacing{
+	replicaPace = follower.Interval{
 		Least: 450 * timekeeper.Millisecond, Most: 4 * timekeeper.Second, Alone: 1,
 	}
 	// replicaWait is how long the store may hold a call for a change of that list. Where
@@ -35,7 +35,7 @@
 	// connection that has gone silent is noticed a second and a half after it, in which
 	// a change must still come into force; where several wait, the first to notice tells
 	// the others.
-	configurationWait = follower.Pacing{
+	configurationWait = follower.Interval{
 		Least: 1500 * timekeeper.Millisecond, Most: 5 * timekeeper.Second, Alone: 1,
 	}
 )
--- a/internal/follower/pacing.go
+++ b/internal/follower/pacing.go
@@ -2,10 +2,10 @@
 
 import "github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 
-// Pacing is a span that grows with how many processes read the same table and tell each
+// Interval is a span that grows with how many processes read the same table and tell each
 // other what they find there, so that together they read as often as a few would. Each
 // still reads for itself within Most, in case what it is told is lost.
-type Pacing struct {
+type Interval struct {
 	// Least is the span for up to Alone readers, Most for any number.
 	Least, Most timekeeper.Span
 	// Alone is how many readers don't share; zero means any number.
@@ -20,7 +20,7 @@
 
 // spread returns a span that readers share as one of them takes it, by a factor that is
 // drawn from [0, 1), so that readers which the same change woke don't go on in step.
-func (pacing Pacing) spread(span timekeeper.Span, factor float64) timekeeper.Span {
+func (pacing Interval) spread(span timekeeper.Span, factor float64) timekeeper.Span {
 	if span <= pacing.Least {
 		return span
 	}
@@ -28,10 +28,10 @@
 }
 
 // Every returns a pacing that does not depend on the number of readers.
-func Every(span timekeeper.Span) Pacing { return Pacing{Least: span, Most: span} }
+func Every(span timekeeper.Span) Interval { return Interval{Least: span, Most: span} }
 
 // For returns the span for a number of readers.
-func (pacing Pacing) For(readers int) timekeeper.Span {
+func (pacing Interval) For(readers int) timekeeper.Span {
 	if pacing.Alone <= 0 || readers <= pacing.Alone {
 		return pacing.Least
 	}
--- a/internal/follower/rest.go
+++ b/internal/follower/rest.go
@@ -35,8 +35,8 @@
 // probing returns the pacing of calls to a store that fails, by the pause of a process that
 // is alone. Each call is paid and one that finds the store back tells the others, so
 // together they ask as often as a few would.
-func probing(pause timekeeper.Span) Pacing {
-	return Pacing{Least: pause, Most: longestProbe, Alone: probers}
+func probing(pause timekeeper.Span) Interval {
+	return Interval{Least: pause, Most: longestProbe, Alone: probers}
 }
 
 const (
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -25,10 +25,10 @@
 	// Pace is the least time between two reads; zero means none. Reading a table
 	// whose rows are all written again and again costs a call for each write
 	// otherwise.
-	Pace Pacing
+	Pace Interval
 	// Wait is how long the store may hold a read for a change. A connection that
 	// has gone silent is noticed some time after it.
-	Wait Pacing
+	Wait Interval
 	// Readers returns how many processes read the table and tell each other of
 	// changes, this one among them. Nil means that it is the only one.
 	Readers func() int
