--- a/internal/follower/pacing.go
+++ b/internal/follower/pacing.go
@@ -6,8 +6,8 @@
 // other what they find there, so that together they read as often as a few would. Each
 // still reads for itself within Most, in case what it is told is lost.
 type Interval struct {
-	// Least is the span for up to Alone readers, Most for any number.
-	Least, Most timekeeper.Span
+	// Min is the span for up to Alone readers, Most for any number.
+	Min, Most timekeeper.Span
 	// Alone is how many readers don't share; zero means any number.
 	Alone int
 }
@@ -21,19 +21,19 @@
 // spread returns a span that readers share as one of them takes it, by a factor that is
 // drawn from [0, 1), so that readers which the same change woke don't go on in step.
 func (pacing Interval) spread(span timekeeper.Span, factor float64) timekeeper.Span {
-	if span <= pacing.Least {
+	if span <= pacing.Min {
 		return span
 	}
-	return max(pacing.Least, timekeeper.Span(float64(span)*(shortest+(longest-shortest)*factor)))
+	return max(pacing.Min, timekeeper.Span(float64(span)*(shortest+(longest-shortest)*factor)))
 }
 
 // Every returns a pacing that does not depend on the number of readers.
-func Every(span timekeeper.Span) Interval { return Interval{Least: span, Most: span} }
+func Every(span timekeeper.Span) Interval { return Interval{Min: span, Most: span} }
 
 // For returns the span for a number of readers.
 func (pacing Interval) For(readers int) timekeeper.Span {
 	if pacing.Alone <= 0 || readers <= pacing.Alone {
-		return pacing.Least
+		return pacing.Min
 	}
-	return min(pacing.Least*timekeeper.Span(readers)/timekeeper.Span(pacing.Alone), pacing.Most)
+	return min(pacing.Min*timekeeper.Span(readers)/timekeeper.Span(pacing.Alone), pacing.Most)
 }
--- a/internal/follower/rest.go
+++ b/internal/follower/rest.go
@@ -36,7 +36,7 @@
 // is alone. Each call is paid and one that finds the store back tells the others, so
 // together they ask as often as a few would.
 func probing(pause timekeeper.Span) Interval {
-	return Interval{Least: pause, Most: longestProbe, Alone: probers}
+	return Interval{Min: pause, Most: longestProbe, Alone: probers}
 }
 
 const (
@@ -60,9 +60,9 @@
 	case follower.isBehind(now):
 		return 0
 	case len(follower.lapsing) > 0 || now < follower.lenient:
-		return pacing.Least
+		return pacing.Min
 	case now < follower.settles:
-		return min(shared, settlingPaces*pacing.Least)
+		return min(shared, settlingPaces*pacing.Min)
 	}
 	return shared
 }
