--- a/internal/follower/pacing.go
+++ b/internal/follower/pacing.go
@@ -6,8 +6,8 @@
 // other what they find there, so that together they read as often as a few would. Each
 // still reads for itself within Most, in case what it is told is lost.
 type Interval struct {
-	// Min is the span for up to Alone readers, Most for any number.
-	Min, Most timekeeper.Span
+	// Min is the span for up to Alone readers, Max for any number.
+	Min, Max timekeeper.Span
 	// Alone is how many readers don't share; zero means any number.
 	Alone int
 }
@@ -28,12 +28,12 @@
 }
 
 // Every returns a pacing that does not depend on the number of readers.
-func Every(span timekeeper.Span) Interval { return Interval{Min: span, Most: span} }
+func Every(span timekeeper.Span) Interval { return Interval{Min: span, Max: span} }
 
 // For returns the span for a number of readers.
 func (pacing Interval) For(readers int) timekeeper.Span {
 	if pacing.Alone <= 0 || readers <= pacing.Alone {
 		return pacing.Min
 	}
-	return min(pacing.Min*timekeeper.Span(readers)/timekeeper.Span(pacing.Alone), pacing.Most)
+	return min(pacing.Min*timekeeper.Span(readers)/timekeeper.Span(pacing.Alone), pacing.Max)
 }
