--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -26,7 +26,7 @@
 	// within the two seconds for which it still serves, also when what a reader told
 	// is lost. Readers of a large fleet take turns: a reader each 450 ms.
 	replicaPace = follower.Interval{
-		Min: 450 * timekeeper.Millisecond, Max: 4 * timekeeper.Second, Alone: 1,
+		Min: 450 * timekeeper.Millisecond, Max: 4 * timekeeper.Second, MaxUnshared: 1,
 	}
 	// replicaWait is how long the store may hold a call for a change of that list. Where
 	// there are replicas, heartbeats end it within that time, so silence is a fault.
@@ -36,7 +36,7 @@
 	// a change must still come into force; where several wait, the first to notice tells
 	// the others.
 	configurationWait = follower.Interval{
-		Min: 1500 * timekeeper.Millisecond, Max: 5 * timekeeper.Second, Alone: 1,
+		Min: 1500 * timekeeper.Millisecond, Max: 5 * timekeeper.Second, MaxUnshared: 1,
 	}
 )
 
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -187,7 +187,7 @@
 func TestReadersShareTheCalls(t *testing.T) {
 	// Dozens of processes read one table. Together they read as often as a few
 	// would, and each still for itself within a bound.
-	pacing := Interval{Min: 450, Max: 1300, Alone: 4}
+	pacing := Interval{Min: 450, Max: 1300, MaxUnshared: 4}
 	tests := []struct {
 		readers int
 		want    timekeeper.Span
@@ -209,7 +209,7 @@
 		}
 		follower := New(Settings[int]{
 			Name: "test", Clock: timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour)).Clock(), Log: quiet(), Source: source,
-			Apply: func(map[string]int, Version) {}, Pace: pacing, Wait: Interval{Min: 1500, Max: 3000, Alone: 4},
+			Apply: func(map[string]int, Version) {}, Pace: pacing, Wait: Interval{Min: 1500, Max: 3000, MaxUnshared: 4},
 			Readers: func() int { return readers },
 		})
 		So(follower.Step(t.Context()), ShouldEqual, 450)
@@ -225,7 +225,7 @@
 	// replica that leaves in between would get work all that time. Each span is drawn, so
 	// that after a few reads some process reads every few hundred milliseconds.
 	const readers, fleetGap = 30, 450
-	pacing := Interval{Min: fleetGap, Max: 4000, Alone: 4}
+	pacing := Interval{Min: fleetGap, Max: 4000, MaxUnshared: 4}
 	draws := rand.New(rand.NewPCG(1, 2))
 	var reads []timekeeper.Span
 	for range readers {
@@ -257,7 +257,7 @@
 		clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 		follower := New(Settings[int]{
 			Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Apply: func(map[string]int, Version) {},
-			Pace: Interval{Min: 450, Max: 4000, Alone: 4}, Readers: func() int { return int(readers.Load()) },
+			Pace: Interval{Min: 450, Max: 4000, MaxUnshared: 4}, Readers: func() int { return int(readers.Load()) },
 		})
 		follower.Step(t.Context())
 		clock.Advance(settling)
@@ -287,7 +287,7 @@
 		clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 		follower := New(Settings[int]{
 			Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Apply: func(map[string]int, Version) {},
-			Pace: Interval{Min: 450, Max: 4000, Alone: 4}, Readers: func() int { return 40 }, Lapse: 2200,
+			Pace: Interval{Min: 450, Max: 4000, MaxUnshared: 4}, Readers: func() int { return 40 }, Lapse: 2200,
 		})
 		So(follower.Step(t.Context()), ShouldEqual, 900)
 		clock.Advance(settling)
--- a/internal/follower/pacing.go
+++ b/internal/follower/pacing.go
@@ -8,8 +8,8 @@
 type Interval struct {
 	// Min is the span for up to Alone readers, Max for any number.
 	Min, Max timekeeper.Span
-	// Alone is how many readers don't share; zero means any number.
-	Alone int
+	// MaxUnshared is how many readers don't share; zero means any number.
+	MaxUnshared int
 }
 
 // shortest and longest bound what part of a shared span one reader takes.
@@ -32,8 +32,8 @@
 
 // For returns the span for a number of readers.
 func (pacing Interval) For(readers int) timekeeper.Span {
-	if pacing.Alone <= 0 || readers <= pacing.Alone {
+	if pacing.MaxUnshared <= 0 || readers <= pacing.MaxUnshared {
 		return pacing.Min
 	}
-	return min(pacing.Min*timekeeper.Span(readers)/timekeeper.Span(pacing.Alone), pacing.Max)
+	return min(pacing.Min*timekeeper.Span(readers)/timekeeper.Span(pacing.MaxUnshared), pacing.Max)
 }
--- a/internal/follower/rest.go
+++ b/internal/follower/rest.go
@@ -36,7 +36,7 @@
 // is alone. Each call is paid and one that finds the store back tells the others, so
 // together they ask as often as a few would.
 func probing(pause timekeeper.Span) Interval {
-	return Interval{Min: pause, Max: longestProbe, Alone: probers}
+	return Interval{Min: pause, Max: longestProbe, MaxUnshared: probers}
 }
 
 const (
