--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -209,7 +209,7 @@
 		}
 		follower := New(Settings[int]{
 			Name: "test", Clock: timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour)).Clock(), Log: quiet(), Source: source,
-			Apply: func(map[string]int, Version) {}, Pace: pacing, Wait: Interval{Min: 1500, Max: 3000, MaxUnshared: 4},
+			Apply: func(map[string]int, Version) {}, ReadInterval: pacing, Wait: Interval{Min: 1500, Max: 3000, MaxUnshared: 4},
 			Readers: func() int { return readers },
 		})
 		So(follower.Step(t.Context()), ShouldEqual, 450)
@@ -257,7 +257,7 @@
 		clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 		follower := New(Settings[int]{
 			Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Apply: func(map[string]int, Version) {},
-			Pace: Interval{Min: 450, Max: 4000, MaxUnshared: 4}, Readers: func() int { return int(readers.Load()) },
+			ReadInterval: Interval{Min: 450, Max: 4000, MaxUnshared: 4}, Readers: func() int { return int(readers.Load()) },
 		})
 		follower.Step(t.Context())
 		clock.Advance(settling)
@@ -287,7 +287,7 @@
 		clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 		follower := New(Settings[int]{
 			Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Apply: func(map[string]int, Version) {},
-			Pace: Interval{Min: 450, Max: 4000, MaxUnshared: 4}, Readers: func() int { return 40 }, Lapse: 2200,
+			ReadInterval: Interval{Min: 450, Max: 4000, MaxUnshared: 4}, Readers: func() int { return 40 }, Lapse: 2200,
 		})
 		So(follower.Step(t.Context()), ShouldEqual, 900)
 		clock.Advance(settling)
--- a/internal/follower/rest.go
+++ b/internal/follower/rest.go
@@ -26,7 +26,7 @@
 // from [0, 1).
 func (follower *Follower[T]) due(factor float64) timekeeper.Span {
 	if !follower.Failing() {
-		return follower.settings.Pace.spread(follower.pace(), factor)
+		return follower.settings.ReadInterval.spread(follower.pace(), factor)
 	}
 	probing := probing(follower.pause)
 	return probing.spread(probing.For(follower.settings.Sharers()), factor)
@@ -52,7 +52,7 @@
 // the shortest, since who still has them must hear from the store; while the table
 // may still fill it is short.
 func (follower *Follower[T]) pace() timekeeper.Span {
-	pacing, now := follower.settings.Pace, follower.settings.Clock.Now()
+	pacing, now := follower.settings.ReadInterval, follower.settings.Clock.Now()
 	shared := pacing.For(follower.settings.Readers())
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -22,10 +22,10 @@
 	// Confirm takes a newer version that the last copy is also of. Nil means that nobody
 	// needs to know.
 	Confirm func(version Version)
-	// Pace is the least time between two reads; zero means none. Reading a table
+	// ReadInterval is the least time between two reads; zero means none. Reading a table
 	// whose rows are all written again and again costs a call for each write
 	// otherwise.
-	Pace Interval
+	ReadInterval Interval
 	// Wait is how long the store may hold a read for a change. A connection that
 	// has gone silent is noticed some time after it.
 	Wait Interval
