--- a/internal/follower/rest.go
+++ b/internal/follower/rest.go
@@ -29,7 +29,7 @@
 		return follower.settings.ReadInterval.spread(follower.pace(), factor)
 	}
 	probing := probing(follower.pause)
-	return probing.spread(probing.For(follower.settings.Sharers()), factor)
+	return probing.spread(probing.For(follower.settings.Processes()), factor)
 }
 
 // probing returns the pacing of calls to a store that fails, by the pause of a process that
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -32,10 +32,10 @@
 	// Readers returns how many processes read the table and tell each other of
 	// changes, this one among them. Nil means that it is the only one.
 	Readers func() int
-	// Sharers returns how many processes there are, those among them that leave the
+	// Processes returns how many processes there are, those among them that leave the
 	// reading to others. While the store fails they share the calls that find out when
 	// it is back. Nil means that this is the only one.
-	Sharers func() int
+	Processes func() int
 	// Reads reports whether this process reads the table right now; otherwise others
 	// tell it of changes. Nil means that it always does. One that has no copy yet reads
 	// in any case.
@@ -76,8 +76,8 @@
 	if settings.Readers == nil {
 		settings.Readers = func() int { return 1 }
 	}
-	if settings.Sharers == nil {
-		settings.Sharers = func() int { return 1 }
+	if settings.Processes == nil {
+		settings.Processes = func() int { return 1 }
 	}
 	if settings.Reads == nil {
 		settings.Reads = func() bool { return true }
