--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -46,7 +46,7 @@
 	direct.orders = follower.New(follower.Settings[platform.Order]{
 		Name: "configuration", Clock: direct.clock, Log: direct.log, Source: platform.Orders(store), Seed: newIncarnation(),
 		ReadInterval: follower.Every(configurationPace), Wait: configurationWait,
-		Readers: fellows.takingTurns, Processes: fellows.sharers, Reads: fellows.readsConfiguration,
+		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.readsConfiguration,
 		Apply: direct.order, Confirm: direct.confirmOrders,
 		// What others have they offer by its version; there is nothing else to miss.
 		Doubted: func() bool { return true },
@@ -54,7 +54,7 @@
 	direct.replicas = follower.New(follower.Settings[balancer.Replica]{
 		Name: "replicas", Clock: direct.clock, Log: direct.log, Source: platform.Replicas(store, direct.clock), Seed: newIncarnation(),
 		ReadInterval: replicaPace, Wait: replicaWait, Lapse: replicaLapse,
-		Readers: fellows.takingTurns, Processes: fellows.sharers, Reads: fellows.reads, Doubted: fellows.doubted,
+		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.reads, Doubted: fellows.doubted,
 		Apply: direct.list, Confirm: direct.confirmList, Sum: gossiper.SumOf, Tell: direct.tellListed,
 		OthersServed: fellows.othersServed, Copy: fellows.copyReplicas,
 	})
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -36,10 +36,10 @@
 	// reading to others. While the store fails they share the calls that find out when
 	// it is back. Nil means that this is the only one.
 	Processes func() int
-	// Reads reports whether this process reads the table right now; otherwise others
+	// IsReader reports whether this process reads the table right now; otherwise others
 	// tell it of changes. Nil means that it always does. One that has no copy yet reads
 	// in any case.
-	Reads func() bool
+	IsReader func() bool
 	// Sum returns a checksum of a row, by which copies are compared. It must be set for
 	// anything that others tell to count.
 	Sum func(key string, value T) uint64
@@ -79,8 +79,8 @@
 	if settings.Processes == nil {
 		settings.Processes = func() int { return 1 }
 	}
-	if settings.Reads == nil {
-		settings.Reads = func() bool { return true }
+	if settings.IsReader == nil {
+		settings.IsReader = func() bool { return true }
 	}
 	if settings.Sum == nil {
 		settings.Sum = func(string, T) uint64 { return 0 }
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -54,7 +54,7 @@
 // where it has not heard for seconds that its copy holds, or where readers that have read
 // anew still have another one.
 func (follower *Follower[T]) duty() duty {
-	reads := follower.settings.Reads()
+	reads := follower.settings.IsReader()
 	doubted := follower.settings.Doubted()
 	now := follower.settings.Clock.Now()
 	follower.copying.Lock()
