--- a/internal/follower/outage_test.go
+++ b/internal/follower/outage_test.go
@@ -183,7 +183,7 @@
 	follower := New(Settings[int]{
 		Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
 		Sum:   func(key string, value int) uint64 { return uint64(len(key) + 100*value) },
-		Apply: func(map[string]int, Version) {}, Tell: func(news Update[int]) { told = append(told, news) },
+		Apply: func(map[string]int, Version) {}, Publish: func(news Update[int]) { told = append(told, news) },
 	})
 	step := func() { follower.Step(t.Context()) }
 	step()
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -43,9 +43,9 @@
 	// Sum returns a checksum of a row, by which copies are compared. It must be set for
 	// anything that others tell to count.
 	Sum func(key string, value T) uint64
-	// Tell is called with what a read of this process has changed. It must not call
+	// Publish is called with what a read of this process has changed. It must not call
 	// the follower. Nil means that there is nobody to tell.
-	Tell func(news Update[T])
+	Publish func(news Update[T])
 	// Doubted reports whether another process finds the store failing: then it is no use
 	// to read only because nobody tells anything, and rows that are missing afterwards
 	// may have lapsed. Nil means that nothing is known of others.
@@ -85,8 +85,8 @@
 	if settings.Sum == nil {
 		settings.Sum = func(string, T) uint64 { return 0 }
 	}
-	if settings.Tell == nil {
-		settings.Tell = func(Update[T]) {}
+	if settings.Publish == nil {
+		settings.Publish = func(Update[T]) {}
 	}
 	if settings.Doubted == nil {
 		settings.Doubted = func() bool { return false }
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -218,6 +218,6 @@
 		}
 	}
 	if len(news.Changes) > 0 {
-		follower.settings.Tell(news)
+		follower.settings.Publish(news)
 	}
 }
