--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -49,12 +49,12 @@
 		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.readsConfiguration,
 		Apply: direct.order, Confirm: direct.confirmOrders,
 		// What others have they offer by its version; there is nothing else to miss.
-		Doubted: func() bool { return true },
+		FailingElsewhere: func() bool { return true },
 	})
 	direct.replicas = follower.New(follower.Settings[balancer.Replica]{
 		Name: "replicas", Clock: direct.clock, Log: direct.log, Source: platform.Replicas(store, direct.clock), Seed: newIncarnation(),
 		ReadInterval: replicaPace, Wait: replicaWait, Lapse: replicaLapse,
-		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.reads, Doubted: fellows.doubted,
+		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.reads, FailingElsewhere: fellows.doubted,
 		Apply: direct.list, Confirm: direct.confirmList, Sum: gossiper.SumOf, Publish: direct.tellListed,
 		OthersServed: fellows.othersServed, Copy: fellows.copyReplicas,
 	})
--- a/internal/follower/dispute_test.go
+++ b/internal/follower/dispute_test.go
@@ -56,7 +56,7 @@
 			follower := New(Settings[int]{
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: source, Sum: sum,
 				Apply: func(rows map[string]int, _ Version) { copied = rows },
-				IsReader: func() bool { return test.reads }, Doubted: func() bool { return true },
+				IsReader: func() bool { return test.reads }, FailingElsewhere: func() bool { return true },
 			})
 			follower.Step(t.Context())
 			wholes = 0
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -122,7 +122,7 @@
 		follower.borrow(ctx)
 		return pause
 	}
-	follower.takeIn(answer, follower.settings.Doubted(), now)
+	follower.takeIn(answer, follower.settings.FailingElsewhere(), now)
 	return follower.pace()
 }
 
--- a/internal/follower/outage_test.go
+++ b/internal/follower/outage_test.go
@@ -222,7 +222,7 @@
 			follower := New(Settings[int]{
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
 				Apply: func(rows map[string]int, _ Version) { copied = rows },
-				IsReader: func() bool { return false }, Doubted: func() bool { return doubted },
+				IsReader: func() bool { return false }, FailingElsewhere: func() bool { return doubted },
 				OthersServed: func(from timekeeper.Instant) timekeeper.Instant {
 					if served > from && clock.Now().Since(served) <= sharedOutage {
 						return served
@@ -271,7 +271,7 @@
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
 				Sum:   func(string, int) uint64 { return 7 },
 				Apply: func(rows map[string]int, _ Version) { copied = rows },
-				IsReader: func() bool { return false }, Doubted: func() bool { return doubted },
+				IsReader: func() bool { return false }, FailingElsewhere: func() bool { return doubted },
 			})
 			follower.Step(t.Context())
 			clock.Advance(1000)
--- a/internal/follower/partial_outage_test.go
+++ b/internal/follower/partial_outage_test.go
@@ -39,7 +39,7 @@
 			follower := New(Settings[int]{
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
 				Apply:   func(rows map[string]int, _ Version) { copied = rows },
-				Doubted: func() bool { return true },
+				FailingElsewhere: func() bool { return true },
 				OthersServed: func(from timekeeper.Instant) timekeeper.Instant {
 					if test.served == 0 || confirmed.Add(test.served) <= from {
 						return 0
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -46,10 +46,10 @@
 	// Publish is called with what a read of this process has changed. It must not call
 	// the follower. Nil means that there is nobody to tell.
 	Publish func(news Update[T])
-	// Doubted reports whether another process finds the store failing: then it is no use
+	// FailingElsewhere reports whether another process finds the store failing: then it is no use
 	// to read only because nobody tells anything, and rows that are missing afterwards
 	// may have lapsed. Nil means that nothing is known of others.
-	Doubted func() bool
+	FailingElsewhere func() bool
 	// Lapse is how long a row that is missing after an outage stays; zero means
 	// not at all.
 	Lapse timekeeper.Span
@@ -88,8 +88,8 @@
 	if settings.Publish == nil {
 		settings.Publish = func(Update[T]) {}
 	}
-	if settings.Doubted == nil {
-		settings.Doubted = func() bool { return false }
+	if settings.FailingElsewhere == nil {
+		settings.FailingElsewhere = func() bool { return false }
 	}
 	return &Follower[T]{
 		settings: settings,
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -55,7 +55,7 @@
 // anew still have another one.
 func (follower *Follower[T]) duty() duty {
 	reads := follower.settings.IsReader()
-	doubted := follower.settings.Doubted()
+	doubted := follower.settings.FailingElsewhere()
 	now := follower.settings.Clock.Now()
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
