--- a/internal/follower/borrow.go
+++ b/internal/follower/borrow.go
@@ -18,7 +18,7 @@
 func (follower *Follower[T]) borrow(ctx context.Context) {
 	now := follower.settings.Clock.Now()
 	known, _, _ := follower.position()
-	if follower.settings.Copy == nil || known && now.Since(follower.borrowed) < borrowEvery {
+	if follower.settings.FetchCopy == nil || known && now.Since(follower.borrowed) < borrowEvery {
 		return
 	}
 	follower.borrowed = now
@@ -27,7 +27,7 @@
 
 // fetch takes in another process's copy and reports whether it was newer.
 func (follower *Follower[T]) fetch(ctx context.Context) bool {
-	rows, version, err := follower.settings.Copy(ctx)
+	rows, version, err := follower.settings.FetchCopy(ctx)
 	now := follower.settings.Clock.Now()
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -316,7 +316,7 @@
 	follower := New(Settings[int]{
 		Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(),
 		Apply: func(applied map[string]int, _ Version) { rows = applied },
-		Copy: func(context.Context) ([]Change[int], Version, error) {
+		FetchCopy: func(context.Context) ([]Change[int], Version, error) {
 			asked++
 			return copied, version, nil
 		},
--- a/internal/follower/outage_test.go
+++ b/internal/follower/outage_test.go
@@ -140,7 +140,7 @@
 	borrower := New(Settings[int]{
 		Name: "test", Clock: clock.Clock(), Log: quiet(), Lapse: 2200, Sum: sum,
 		Apply: func(rows map[string]int, _ Version) { copied = rows },
-		Copy: func(context.Context) ([]Change[int], Version, error) {
+		FetchCopy: func(context.Context) ([]Change[int], Version, error) {
 			rows, version, _ := lender.Rows()
 			return rows, version, nil
 		},
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -58,10 +58,10 @@
 	// missing a Lapse after that are gone, however long the store has been away for this
 	// process. Nil means that nothing is known of others.
 	OthersServed func(from timekeeper.Instant) timekeeper.Instant
-	// Copy asks another process for its copy of the table and the version that it is
+	// FetchCopy asks another process for its copy of the table and the version that it is
 	// of, where the store fails or others have a newer copy. Nil means that nobody can
 	// be asked.
-	Copy func(ctx context.Context) ([]Change[T], Version, error)
+	FetchCopy func(ctx context.Context) ([]Change[T], Version, error)
 	Seed uint64
 }
 
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -193,7 +193,7 @@
 	follower.copying.Lock()
 	follower.behind = 0
 	follower.copying.Unlock()
-	if follower.settings.Copy == nil {
+	if follower.settings.FetchCopy == nil {
 		return false
 	}
 	return follower.fetch(ctx)
--- a/internal/follower/told_test.go
+++ b/internal/follower/told_test.go
@@ -85,7 +85,7 @@
 				Name: "test", Clock: newClock().Clock(), Log: quiet(), Sum: func(string, int) uint64 { return 7 },
 				Apply:   func(_ map[string]int, version Version) { newest = version },
 				Confirm: func(version Version) { newest = version },
-				Copy: func(context.Context) ([]Change[int], Version, error) {
+				FetchCopy: func(context.Context) ([]Change[int], Version, error) {
 					return []Change[int]{{Key: "a", Value: 1}}, 60, nil
 				},
 				Source: Source[int]{Snapshot: func(context.Context) ([]Change[int], Version, error) {
