--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -272,7 +272,7 @@
 	}, func(error) {
 		// Who sees that the entry is not ready must find that its answers ask callers
 		// to leave, so that comes first.
-		direct.front.AskToLeave()
+		direct.front.CloseConnections()
 		direct.readiness.leaving.Store(true)
 		direct.fellows.gossiper.AnnounceStop()
 		direct.log.WithField("active", direct.front.Active()).Info("entry stops: not ready, callers are asked to leave")
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -111,8 +111,8 @@
 // Measure measures how late the entry's own work is, until ctx ends.
 func (entry *Entry) Measure(ctx context.Context) { entry.pressure.run(ctx) }
 
-// AskToLeave makes each answer end its connection.
-func (entry *Entry) AskToLeave() { entry.leaving.Store(true) }
+// CloseConnections makes each answer end its connection.
+func (entry *Entry) CloseConnections() { entry.leaving.Store(true) }
 
 // Stop follows AskToLeave: requests that might not be answered by the instant at
 // which the entry ends are refused, so that none is cut off.
