--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -165,7 +165,7 @@
 	})
 	fellows.hearLeaves(heard, now)
 	for _, strike := range heard.Strikes {
-		fellows.direct.front.Strike(strike.Request, strike.Replica)
+		fellows.direct.front.RecordStrike(strike.Request, strike.Replica)
 	}
 	fellows.noteServed(heard.StoreAnswered)
 	for _, news := range heard.ListChanges {
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -274,7 +274,7 @@
 	request, replica := task.fingerprint, result.replica
 	go func() {
 		if task.entry.confirm(replica) {
-			task.entry.Strike(request, replica.Incarnation())
+			task.entry.RecordStrike(request, replica.Incarnation())
 			task.entry.settings.Struck(request, replica.Incarnation())
 		}
 	}()
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -121,9 +121,9 @@
 // Active returns how many requests are on their way.
 func (entry *Entry) Active() int64 { return entry.active.Load() }
 
-// Strike notes, as a peer saw it, that an incarnation of a replica crashed while it
+// RecordStrike notes, as a peer saw it, that an incarnation of a replica crashed while it
 // had a request.
-func (entry *Entry) Strike(request uint64, replica string) {
+func (entry *Entry) RecordStrike(request uint64, replica string) {
 	if entry.strikes.add(request, replica, entry.settings.Clock.Now()) {
 		entry.meters.struck()
 		entry.settings.Log.WithFields(logrus.Fields{
