--- a/internal/assembler/direct_survey.go
+++ b/internal/assembler/direct_survey.go
@@ -18,7 +18,7 @@
 		services, transitions = fleet.Stats(now), fleet.Transitions(now)
 	})
 	direct.logTransitions(transitions, now)
-	left := direct.front.RetriesLeft()
+	left := direct.front.RetriesRemaining()
 	for _, service := range services {
 		scope := direct.scope.Tagged(map[string]string{"service": service.Service})
 		writeService(scope.SubScope("service"), service)
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -263,8 +263,8 @@
 	return allowed
 }
 
-// RetriesLeft returns what this entry may still send again, by service.
-func (entry *Entry) RetriesLeft() map[string]float64 {
+// RetriesRemaining returns what this entry may still send again, by service.
+func (entry *Entry) RetriesRemaining() map[string]float64 {
 	sharers, now := entry.settings.Sharers(), entry.settings.Clock.Now()
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
