--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -66,7 +66,7 @@
 		Incarnation: newIncarnation(), DataCentre: direct.settings.DataCentre, Clock: direct.clock, Log: direct.log,
 		Scope: direct.scope, Conn: conn, InFlight: direct.held, Version: direct.version, OnDigest: fellows.hear,
 		StoreAnswered: direct.storeAnswered, StoreFailing: direct.storeFailing,
-		ListSummary:     func() (follower.Summary, bool) { return direct.replicas.Summary() },
+		ListSummary: func() (follower.Summary, bool) { return direct.replicas.Summary() },
 		Evacuations: fellows.evacuations,
 	})
 	return fellows, transport.CloseIdleConnections
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -92,11 +92,11 @@
 
 // The reasons. The zero value means that there is a choice.
 const (
-	NoReplicas   Reason = "no-replicas"
+	NoReplicas     Reason = "no-replicas"
 	AllUnreachable Reason = "all-unreachable"
-	AllFull      Reason = "all-full"
-	AllTried     Reason = "all-tried"
-	AllEvacuated Reason = "all-evacuated"
+	AllFull        Reason = "all-full"
+	AllTried       Reason = "all-tried"
+	AllEvacuated   Reason = "all-evacuated"
 	// AllBackingOff: those that the request has not met want nothing for a time.
 	AllBackingOff Reason = "all-backing-off"
 	noReason      Reason = ""
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -42,7 +42,9 @@
 	return []Part{{ID: thing % 4, Tokens: 2500}, {ID: 100 + thing, Tokens: 6000}, {ID: 1000 + own, Tokens: 580}}
 }
 
-func promptAsk(thing, own uint64) Request { return Request{Service: "planner", Parts: chain(thing, own)} }
+func promptAsk(thing, own uint64) Request {
+	return Request{Service: "planner", Parts: chain(thing, own)}
+}
 
 // choose gives a request to a replica and fails the test when there is none.
 func choose(t *testing.T, fleet *Fleet, ask Request, now timekeeper.Instant) *Placement {
--- a/internal/balancer/replica.go
+++ b/internal/balancer/replica.go
@@ -13,7 +13,7 @@
 	// have the ID that it had.
 	ID string
 	// StartedAt is when it started, by its own time of day; zero means that it didn't say.
-	StartedAt       timekeeper.Instant
+	StartedAt  timekeeper.Instant
 	Service    string
 	Address    string
 	DataCentre string
--- a/internal/balancer/survey.go
+++ b/internal/balancer/survey.go
@@ -16,7 +16,7 @@
 	// Running counts this entry's requests, Waiting those that wait for a replica.
 	Running, Waiting int
 	// Held is the mean of what replicas are believed to hold, Most the largest.
-	Held float64
+	Held    float64
 	MaxHeld int
 	// Excess is how much later than expected answers of late began, in
 	// milliseconds; less than zero means sooner. A value that stays away from zero
--- a/internal/follower/dispute_test.go
+++ b/internal/follower/dispute_test.go
@@ -55,7 +55,7 @@
 			sum := func(key string, value int) uint64 { return uint64(key[0])<<32 + uint64(value) }
 			follower := New(Settings[int]{
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: source, Sum: sum,
-				Apply: func(rows map[string]int, _ Version) { copied = rows },
+				Apply:    func(rows map[string]int, _ Version) { copied = rows },
 				IsReader: func() bool { return test.reads }, FailingElsewhere: func() bool { return true },
 			})
 			follower.Step(t.Context())
--- a/internal/follower/outage_test.go
+++ b/internal/follower/outage_test.go
@@ -221,7 +221,7 @@
 			served := clock.Now().Add(1000)
 			follower := New(Settings[int]{
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
-				Apply: func(rows map[string]int, _ Version) { copied = rows },
+				Apply:    func(rows map[string]int, _ Version) { copied = rows },
 				IsReader: func() bool { return false }, FailingElsewhere: func() bool { return doubted },
 				OthersServed: func(from timekeeper.Instant) timekeeper.Instant {
 					if served > from && clock.Now().Since(served) <= sharedOutage {
@@ -269,8 +269,8 @@
 			copied, doubted := map[string]int{}, false
 			follower := New(Settings[int]{
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
-				Sum:   func(string, int) uint64 { return 7 },
-				Apply: func(rows map[string]int, _ Version) { copied = rows },
+				Sum:      func(string, int) uint64 { return 7 },
+				Apply:    func(rows map[string]int, _ Version) { copied = rows },
 				IsReader: func() bool { return false }, FailingElsewhere: func() bool { return doubted },
 			})
 			follower.Step(t.Context())
--- a/internal/follower/partial_outage_test.go
+++ b/internal/follower/partial_outage_test.go
@@ -38,7 +38,7 @@
 			confirmed := clock.Now()
 			follower := New(Settings[int]{
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
-				Apply:   func(rows map[string]int, _ Version) { copied = rows },
+				Apply:            func(rows map[string]int, _ Version) { copied = rows },
 				FailingElsewhere: func() bool { return true },
 				OthersServed: func(from timekeeper.Instant) timekeeper.Instant {
 					if test.served == 0 || confirmed.Add(test.served) <= from {
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -62,7 +62,7 @@
 	// of, where the store fails or others have a newer copy. Nil means that nobody can
 	// be asked.
 	FetchCopy func(ctx context.Context) ([]Change[T], Version, error)
-	Seed uint64
+	Seed      uint64
 }
 
 // New returns a follower that knows nothing.
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -14,8 +14,8 @@
 	// Address is where the peer is reached, by datagrams and by connections.
 	Address string
 	// Lifetime is how long it counts.
-	Lifetime          timekeeper.Span
-	InFlight          map[balancer.Key]balancer.InFlight
+	Lifetime      timekeeper.Span
+	InFlight      map[balancer.Key]balancer.InFlight
 	Configuration uint64
 	// StoreAnswered is when the store answered the peer last; zero means never.
 	StoreAnswered timekeeper.Instant
