--- a/internal/assembler/direct_evacuations.go
+++ b/internal/assembler/direct_evacuations.go
@@ -59,7 +59,7 @@
 		return
 	}
 	current, _ := direct.fellows.evacuations()
-	if told.Version < current.Version && !told.Equal(current) {
+	if told.Version < current.Version && !told.SameDataCentres(current) {
 		direct.fellows.notice.extend(direct.clock.Now().Add(correctionNotice))
 	}
 }
--- a/internal/balancer/evacuation.go
+++ b/internal/balancer/evacuation.go
@@ -19,8 +19,8 @@
 	return Evacuations{Version: version, Centres: slices.Sorted(slices.Values(centres))}
 }
 
-// Equal reports whether the same data centres are evacuated, at whatever versions.
-func (evacuations Evacuations) Equal(other Evacuations) bool {
+// SameDataCentres reports whether the same data centres are evacuated, at whatever versions.
+func (evacuations Evacuations) SameDataCentres(other Evacuations) bool {
 	return slices.Equal(evacuations.Centres, other.Centres)
 }
 
@@ -41,7 +41,7 @@
 	}
 	before := fleet.evacuations
 	fleet.evacuations = evacuations
-	if before.Equal(evacuations) {
+	if before.SameDataCentres(evacuations) {
 		return false
 	}
 	fleet.evacuated = now
