--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -122,7 +122,7 @@
 	}
 	direct.fleet = balancer.Guard(balancer.New(balancer.Settings{
 		DataCentre: settings.DataCentre, Seed: newIncarnation(), Bound: settings.Bound, MovePrice: settings.MovePrice,
-		ColdOver: settings.Cold.Over, ColdSlack: settings.Cold.Slack,
+		ColdRateFactor: settings.Cold.Over, ColdSlack: settings.Cold.Slack,
 	}))
 	direct.pool, release = connector.NewPool(connector.Settings{
 		Clock: direct.clock, Opened: func() { direct.scope.Counter("connections-opened").Inc(1) },
@@ -176,11 +176,11 @@
 			Window: direct.settings.Retry.Window, Ratio: direct.settings.Retry.Ratio, Extra: direct.settings.Retry.Extra,
 		},
 		Sharers:        func() int { return max(minSharers, sharersOfPeer*direct.fellows.readers()) },
-		Placed:         direct.fellows.gossiper.Placed,
-		Unreachable:    direct.fellows.gossiper.Unreachable,
-		LeaveAnnounced: direct.fellows.gossiper.LeaveAnnounced,
+		Placed:         direct.fellows.gossiper.SendPlacement,
+		Unreachable:    direct.fellows.gossiper.SendUnreachable,
+		LeaveAnnounced: direct.fellows.gossiper.SendLeaveAnnounced,
 		Struck: func(request uint64, replica string) {
-			direct.fellows.gossiper.Struck(gossiper.Strike{Request: request, Replica: replica})
+			direct.fellows.gossiper.SendStrike(gossiper.Strike{Request: request, Replica: replica})
 		},
 		Crowded:    direct.callers.crowded,
 		BodyMemory: int64(bodyShare * float64(megabytes<<20)),
@@ -272,9 +272,9 @@
 	}, func(error) {
 		// Who sees that the entry is not ready must find that its answers ask callers
 		// to leave, so that comes first.
-		direct.front.AskToLeave()
+		direct.front.CloseConnections()
 		direct.readiness.leaving.Store(true)
-		direct.fellows.gossiper.Stop()
+		direct.fellows.gossiper.AnnounceStop()
 		direct.log.WithField("active", direct.front.Active()).Info("entry stops: not ready, callers are asked to leave")
 		go func() { stopped <- direct.shutDown(server) }()
 	})
--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -64,26 +64,26 @@
 	fellows := &fellows{direct: direct, store: store, client: &http.Client{Transport: transport}}
 	fellows.gossiper = gossiper.New(gossiper.Settings{
 		Incarnation: newIncarnation(), DataCentre: direct.settings.DataCentre, Clock: direct.clock, Log: direct.log,
-		Scope: direct.scope, Conn: conn, Held: direct.held, Version: direct.version, Hear: fellows.hear,
+		Scope: direct.scope, Conn: conn, InFlight: direct.held, Version: direct.version, OnDigest: fellows.hear,
 		StoreAnswered: direct.storeAnswered, StoreFailing: direct.storeFailing,
-		Listing:     func() (follower.Listing, bool) { return direct.replicas.Listing() },
+		ListSummary: func() (follower.Summary, bool) { return direct.replicas.Summary() },
 		Evacuations: fellows.evacuations,
 	})
 	return fellows, transport.CloseIdleConnections
 }
 
 // readers returns how many entries read the store and tell each other.
-func (fellows *fellows) readers() int { return 1 + len(fellows.gossiper.Up()) }
+func (fellows *fellows) readers() int { return 1 + len(fellows.gossiper.LivePeers()) }
 
 // held returns what this entry has under way.
-func (direct *Direct) held() (held map[balancer.Key]balancer.Held) {
-	direct.fleet.With(func(fleet *balancer.Fleet) { held = fleet.Held() })
+func (direct *Direct) held() (held map[balancer.Key]balancer.InFlight) {
+	direct.fleet.With(func(fleet *balancer.Fleet) { held = fleet.InFlight() })
 	return held
 }
 
 // storeAnswered returns when the store answered last; zero means never.
 func (direct *Direct) storeAnswered() timekeeper.Instant {
-	return max(direct.replicas.Answered(), direct.orders.Answered())
+	return max(direct.replicas.LastAnswered(), direct.orders.LastAnswered())
 }
 
 // storeFailing reports whether the store did not answer the last call.
@@ -128,7 +128,7 @@
 		return err
 	}
 	for _, address := range addresses {
-		fellows.gossiper.Learn(address)
+		fellows.gossiper.AddPeer(address)
 	}
 	fellows.turns.introduce(len(addresses), fellows.direct.clock.Now())
 	fellows.sharing.registered(fellows.direct.clock.Now())
@@ -145,48 +145,48 @@
 }
 
 // hear takes in what a peer tells.
-func (fellows *fellows) hear(heard gossiper.Heard) {
+func (fellows *fellows) hear(heard gossiper.Digest) {
 	now := fellows.direct.clock.Now()
 	// Before the configuration that comes with it: an entry that knows one takes callers.
 	if heard.Evacuations != nil {
 		fellows.direct.hearEvacuations(*heard.Evacuations, heard.Address)
 	}
 	fellows.direct.fleet.With(func(fleet *balancer.Fleet) {
-		fleet.SetPeer(heard.Address, heard.Held, heard.Life, now)
+		fleet.SetPeerInFlight(heard.Address, heard.InFlight, heard.Lifetime, now)
 		for _, placed := range heard.Placements {
-			fleet.Cached(placed.Replica, placed.Parts, now)
+			fleet.RecordCached(placed.Replica, placed.Parts, now)
 		}
 		for _, cold := range heard.Cold {
-			fleet.Chill(cold.Replica, cold.Until)
+			fleet.MarkCold(cold.Replica, cold.Until)
 		}
 		for _, replica := range heard.Unreachable {
-			fleet.Suspect(replica, now)
+			fleet.MarkUnreachable(replica, now)
 		}
 	})
 	fellows.hearLeaves(heard, now)
 	for _, strike := range heard.Strikes {
-		fellows.direct.front.Strike(strike.Request, strike.Replica)
+		fellows.direct.front.RecordStrike(strike.Request, strike.Replica)
 	}
 	fellows.noteServed(heard.StoreAnswered)
-	for _, news := range heard.Listed {
-		fellows.direct.replicas.Told(news)
+	for _, news := range heard.ListChanges {
+		fellows.direct.replicas.ApplyUpdate(news)
 	}
-	if heard.Listing != nil {
+	if heard.ListSummary != nil {
 		fellows.turns.noteReader(heard.Address)
-		fellows.direct.replicas.Compare(*heard.Listing)
+		fellows.direct.replicas.Compare(*heard.ListSummary)
 	}
 	if heard.Configuration > fellows.direct.version() {
-		fellows.offer(offer{address: heard.Address, version: heard.Configuration, sameCentre: heard.SameCentre})
+		fellows.offer(offer{address: heard.Address, version: heard.Configuration, sameCentre: heard.SameDataCentre})
 	}
 }
 
 // hearLeaves takes in which replicas leave, as a peer has read or was told by themselves.
-func (fellows *fellows) hearLeaves(heard gossiper.Heard, now timekeeper.Instant) {
+func (fellows *fellows) hearLeaves(heard gossiper.Digest, now timekeeper.Instant) {
 	var leaves []gossiper.Leave
 	var announced []string
 	fellows.direct.fleet.With(func(fleet *balancer.Fleet) {
 		for _, leave := range heard.Leaves {
-			if fleet.Leave(leave.Replica, leave.Version) {
+			if fleet.MarkLeaving(leave.Replica, leave.Version) {
 				leaves = append(leaves, leave)
 			}
 		}
@@ -269,7 +269,7 @@
 func (fellows *fellows) copyReplicas(ctx context.Context) ([]follower.Change[balancer.Replica], follower.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchPatience.Duration())
 	defer cancel()
-	peers := fellows.gossiper.Up()
+	peers := fellows.gossiper.LivePeers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	if reader := fellows.turns.reader(); slices.Contains(peers, reader) {
 		peers = slices.Insert(peers, 0, reader)
--- a/internal/assembler/direct_sharing_test.go
+++ b/internal/assembler/direct_sharing_test.go
@@ -44,7 +44,7 @@
 	for range 50 * engines {
 		now = now.Add(10)
 		direct.fleet.With(func(fleet *balancer.Fleet) {
-			if placement, _ := fleet.Choose(balancer.Ask{Service: "planner"}, now); placement != nil {
+			if placement, _ := fleet.Choose(balancer.Request{Service: "planner"}, now); placement != nil {
 				used[placement.Replica.ID] = true
 				fleet.End(placement, balancer.Served, now)
 			}
@@ -71,7 +71,7 @@
 	})
 	Convey("then all that were heard or learnt of within a minute", t, func() {
 		direct.fellows.sharing.since.Store(int64(now.Add(-sharerPatience)))
-		direct.fellows.gossiper.Learn("127.0.0.1:7300")
+		direct.fellows.gossiper.AddPeer("127.0.0.1:7300")
 		_ = direct.clock.Sleep(t.Context(), 1200)
 		direct.fellows.share()
 		So(direct.used(), ShouldBeBetween, 1, engines)
@@ -87,20 +87,20 @@
 	direct.enginesColdFor(0)
 	key := balancer.Replica{ID: "i-0"}.Key()
 	cold := func() (count int) {
-		direct.fleet.With(func(fleet *balancer.Fleet) { count = fleet.Survey(direct.clock.Now())[0].Cold })
+		direct.fleet.With(func(fleet *balancer.Fleet) { count = fleet.Stats(direct.clock.Now())[0].Cold })
 		return count
 	}
 	Convey("one that hears goes by it", t, func() {
 		So(cold(), ShouldEqual, 0)
 		notice := gossiper.ColdNotice{Replica: key, Until: direct.clock.Now().Add(timekeeper.Minute)}
-		direct.fellows.hear(gossiper.Heard{Address: "127.0.0.1:7300", Cold: []gossiper.ColdNotice{notice}})
+		direct.fellows.hear(gossiper.Digest{Address: "127.0.0.1:7300", Cold: []gossiper.ColdNotice{notice}})
 		So(cold(), ShouldEqual, 1)
 	})
 	Convey("one that reads tells", t, func() {
 		peer, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer func() { _ = peer.Close() }()
-		direct.fellows.gossiper.Learn(peer.LocalAddr().String())
+		direct.fellows.gossiper.AddPeer(peer.LocalAddr().String())
 		direct.enginesColdFor(2 * timekeeper.Minute)
 		go direct.fellows.gossiper.Run(t.Context())
 		So(peer.SetReadDeadline(timekeeper.In(10*timekeeper.Second)), ShouldBeNil)
--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -25,8 +25,8 @@
 	// which every heartbeat is a change. A leaving replica must be known well
 	// within the two seconds for which it still serves, also when what a reader told
 	// is lost. Readers of a large fleet take turns: a reader each 450 ms.
-	replicaPace = follower.Pacing{
-		Least: 450 * timekeeper.Millisecond, Most: 4 * timekeeper.Second, Alone: 1,
+	replicaPace = follower.Interval{
+		Min: 450 * timekeeper.Millisecond, Max: 4 * timekeeper.Second, MaxUnshared: 1,
 	}
 	// replicaWait is how long the store may hold a call for a change of that list. Where
 	// there are replicas, heartbeats end it within that time, so silence is a fault.
@@ -35,8 +35,8 @@
 	// connection that has gone silent is noticed a second and a half after it, in which
 	// a change must still come into force; where several wait, the first to notice tells
 	// the others.
-	configurationWait = follower.Pacing{
-		Least: 1500 * timekeeper.Millisecond, Most: 5 * timekeeper.Second, Alone: 1,
+	configurationWait = follower.Interval{
+		Min: 1500 * timekeeper.Millisecond, Max: 5 * timekeeper.Second, MaxUnshared: 1,
 	}
 )
 
@@ -45,18 +45,18 @@
 	fellows := direct.fellows
 	direct.orders = follower.New(follower.Settings[platform.Order]{
 		Name: "configuration", Clock: direct.clock, Log: direct.log, Source: platform.Orders(store), Seed: newIncarnation(),
-		Pace: follower.Every(configurationPace), Wait: configurationWait,
-		Readers: fellows.takingTurns, Sharers: fellows.sharers, Reads: fellows.readsConfiguration,
+		ReadInterval: follower.Every(configurationPace), Wait: configurationWait,
+		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.readsConfiguration,
 		Apply: direct.order, Confirm: direct.confirmOrders,
 		// What others have they offer by its version; there is nothing else to miss.
-		Doubted: func() bool { return true },
+		FailingElsewhere: func() bool { return true },
 	})
 	direct.replicas = follower.New(follower.Settings[balancer.Replica]{
 		Name: "replicas", Clock: direct.clock, Log: direct.log, Source: platform.Replicas(store, direct.clock), Seed: newIncarnation(),
-		Pace: replicaPace, Wait: replicaWait, Lapse: replicaLapse,
-		Readers: fellows.takingTurns, Sharers: fellows.sharers, Reads: fellows.reads, Doubted: fellows.doubted,
-		Apply: direct.list, Confirm: direct.confirmList, Sum: gossiper.SumOf, Tell: direct.tellListed,
-		OthersServed: fellows.othersServed, Copy: fellows.copyReplicas,
+		ReadInterval: replicaPace, Wait: replicaWait, Lapse: replicaLapse,
+		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.reads, FailingElsewhere: fellows.doubted,
+		Apply: direct.list, Confirm: direct.confirmList, Sum: gossiper.SumOf, Publish: direct.tellListed,
+		OthersServed: fellows.othersServed, FetchCopy: fellows.copyReplicas,
 	})
 }
 
@@ -73,7 +73,7 @@
 // a peer told in between may have ended before that version, with no change of the copy.
 func (direct *Direct) confirmOrders(version follower.Version) {
 	if direct.evacuate(balancer.NewEvacuations(uint64(version), direct.ordered), "store") {
-		direct.fellows.gossiper.Evacuated()
+		direct.fellows.gossiper.SendEvacuations()
 	}
 }
 
@@ -90,10 +90,10 @@
 		}
 	}
 	direct.accepted.Store(int64(direct.clock.Now()))
-	direct.fellows.gossiper.Configured()
+	direct.fellows.gossiper.SendVersion()
 	direct.fleet.With(func(fleet *balancer.Fleet) {
 		for _, service := range config.Services() {
-			fleet.SetWarming(service.Name, balancer.Warming{Span: service.ColdTime, Rate: service.ColdRate})
+			fleet.SetWarmUp(service.Name, balancer.WarmUp{Span: service.ColdTime, Rate: service.ColdRate})
 			if service.Engine != nil {
 				fleet.SetEngine(service.Name, engineOf(*service.Engine))
 			}
@@ -114,7 +114,7 @@
 	var changes []balancer.Change
 	direct.fleet.With(func(fleet *balancer.Fleet) { changes = fleet.SetReplicas(list, uint64(version)) })
 	for _, change := range changes {
-		if change.Chilled {
+		if change.TurnedCold {
 			direct.chilled(change.Replica)
 			continue
 		}
@@ -130,7 +130,7 @@
 
 // chilled logs that a replica has turned cold and tells peers, who don't see each row.
 func (direct *Direct) chilled(replica balancer.Replica) {
-	direct.fellows.gossiper.Cold(gossiper.ColdNotice{Replica: replica.Key(), Until: replica.WarmAt})
+	direct.fellows.gossiper.SendCold(gossiper.ColdNotice{Replica: replica.Key(), Until: replica.WarmAt})
 	direct.log.WithFields(logrus.Fields{
 		labelReplica: replica.ID, "service": replica.Service, "warm-in-ms": int64(replica.WarmAt.Since(direct.clock.Now())),
 	}).Info("replica is cold")
@@ -139,7 +139,7 @@
 // confirmList notes that the list of replicas is also that of a newer version.
 func (direct *Direct) confirmList(version follower.Version) {
 	var back []string
-	direct.fleet.With(func(fleet *balancer.Fleet) { back = fleet.Confirm(uint64(version)) })
+	direct.fleet.With(func(fleet *balancer.Fleet) { back = fleet.ConfirmVersion(uint64(version)) })
 	for _, replica := range back {
 		direct.log.WithFields(logrus.Fields{
 			labelReplica: replica, "version": uint64(version),
@@ -152,13 +152,13 @@
 const mostTold = 32
 
 // tellListed tells peers what this entry's reading has changed in the list of replicas.
-func (direct *Direct) tellListed(news gossiper.ReplicaNews) {
+func (direct *Direct) tellListed(news gossiper.ReplicaUpdate) {
 	for _, change := range news.Changes {
 		if change.Removed || change.Value.Leaving {
-			direct.fellows.gossiper.Leaving(gossiper.Leave{Replica: change.Key, Version: uint64(news.Version)})
+			direct.fellows.gossiper.SendLeaving(gossiper.Leave{Replica: change.Key, Version: uint64(news.Version)})
 		}
 	}
 	if len(news.Changes) <= mostTold {
-		direct.fellows.gossiper.Listed(news)
+		direct.fellows.gossiper.SendListChange(news)
 	}
 }
--- a/internal/assembler/direct_survey.go
+++ b/internal/assembler/direct_survey.go
@@ -12,13 +12,13 @@
 // what changes faster is counted where it happens.
 func (direct *Direct) survey() {
 	now := direct.clock.Now()
-	var services []balancer.ServiceSurvey
+	var services []balancer.ServiceStats
 	var transitions []balancer.Transition
 	direct.fleet.With(func(fleet *balancer.Fleet) {
-		services, transitions = fleet.Survey(now), fleet.Transitions(now)
+		services, transitions = fleet.Stats(now), fleet.Transitions(now)
 	})
 	direct.logTransitions(transitions, now)
-	left := direct.front.RetriesLeft()
+	left := direct.front.RetriesRemaining()
 	for _, service := range services {
 		scope := direct.scope.Tagged(map[string]string{"service": service.Service})
 		writeService(scope.SubScope("service"), service)
@@ -32,7 +32,7 @@
 	if answered := direct.storeAnswered(); answered != 0 {
 		direct.scope.Gauge("store-silent-ms").Update(float64(now.Since(answered)))
 	}
-	if fresh := direct.replicas.Fresh(); fresh != 0 {
+	if fresh := direct.replicas.LastConfirmed(); fresh != 0 {
 		direct.scope.Gauge("replicas-confirmed-ago-ms").Update(float64(now.Since(fresh)))
 	}
 	direct.surveyReaders()
@@ -76,7 +76,7 @@
 
 // writeService writes the gauges of one service. A service whose replicas are all
 // gone keeps its last values; its configuration names it no more.
-func writeService(scope tally.Scope, service balancer.ServiceSurvey) {
+func writeService(scope tally.Scope, service balancer.ServiceStats) {
 	gauges := []struct {
 		name  string
 		value float64
@@ -90,7 +90,7 @@
 		{"requests-running", float64(service.Running)},
 		{"requests-waiting", float64(service.Waiting)},
 		{"held-mean", service.Held},
-		{"held-most", float64(service.Most)},
+		{"held-most", float64(service.MaxHeld)},
 		{"later-than-expected-ms", service.Excess},
 	}
 	for _, gauge := range gauges {
--- a/internal/balancer/backoff.go
+++ b/internal/balancer/backoff.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// AskBackoff notes that an incarnation of a replica wants nothing from this entry for a
+// StartBackoff notes that an incarnation of a replica wants nothing from this entry for a
 // time, and returns when that ends here.
-func (fleet *Fleet) AskBackoff(incarnation string, span timekeeper.Span, now timekeeper.Instant) timekeeper.Instant {
+func (fleet *Fleet) StartBackoff(incarnation string, span timekeeper.Span, now timekeeper.Instant) timekeeper.Instant {
 	if span <= 0 {
 		return now
 	}
@@ -45,9 +45,9 @@
 	return said.backoff.until
 }
 
-// BackoffLeft returns how long it takes until a replica of a service may get a request,
+// BackoffRemaining returns how long it takes until a replica of a service may get a request,
 // where all that could get some are in a backoff; zero where one isn't.
-func (fleet *Fleet) BackoffLeft(service string, now timekeeper.Instant) timekeeper.Span {
+func (fleet *Fleet) BackoffRemaining(service string, now timekeeper.Instant) timekeeper.Span {
 	least := timekeeper.Span(0)
 	for _, known := range fleet.services[service] {
 		if _, closed := fleet.closed(known); closed {
--- a/internal/balancer/backoff_test.go
+++ b/internal/balancer/backoff_test.go
@@ -15,7 +15,7 @@
 	list := plannersBorn(count, 1000)
 	fleet.SetReplicas(list, 5)
 	for _, replica := range list[:asking] {
-		fleet.AskBackoff(replica.Incarnation(), span, start)
+		fleet.StartBackoff(replica.Incarnation(), span, start)
 	}
 	return fleet, list
 }
@@ -51,13 +51,13 @@
 	}{
 		{"one", func(*Fleet, []Replica) {}, span},
 		{"a shorter one follows", func(fleet *Fleet, list []Replica) {
-			fleet.AskBackoff(list[0].Incarnation(), 100, start.Add(10))
+			fleet.StartBackoff(list[0].Incarnation(), 100, start.Add(10))
 		}, span},
 		{"a longer one follows", func(fleet *Fleet, list []Replica) {
-			fleet.AskBackoff(list[0].Incarnation(), 2*span, start.Add(10))
+			fleet.StartBackoff(list[0].Incarnation(), 2*span, start.Add(10))
 		}, 2*span + 10},
 		{"one of nothing follows", func(fleet *Fleet, list []Replica) {
-			fleet.AskBackoff(list[0].Incarnation(), 0, start.Add(10))
+			fleet.StartBackoff(list[0].Incarnation(), 0, start.Add(10))
 		}, span},
 		{"the row lapses and comes back", func(fleet *Fleet, list []Replica) {
 			fleet.SetReplicas(list[1:], 6)
@@ -65,14 +65,14 @@
 		}, span},
 		{"it is asked for while the row has lapsed", func(fleet *Fleet, list []Replica) {
 			fleet.SetReplicas(list[1:], 6)
-			fleet.AskBackoff(list[0].Incarnation(), 2*span, start.Add(10))
+			fleet.StartBackoff(list[0].Incarnation(), 2*span, start.Add(10))
 			fleet.SetReplicas(list, 7)
 		}, 2*span + 10},
 		{"a newer list has it ready", func(fleet *Fleet, list []Replica) { fleet.SetReplicas(list, 8) }, span},
 		{"an earlier life asked for more", func(fleet *Fleet, list []Replica) {
 			earlier := list[0]
-			earlier.Born = 500
-			fleet.AskBackoff(earlier.Incarnation(), timekeeper.Hour, start)
+			earlier.StartedAt = 500
+			fleet.StartBackoff(earlier.Incarnation(), timekeeper.Hour, start)
 		}, span},
 	}
 	for _, test := range tests {
@@ -88,14 +88,14 @@
 	Convey("an answer to a request that was under way before does not end it", t, func() {
 		fleet, list := refusing(1, 0, span)
 		placement, _ := fleet.Choose(promptAsk(1, 1), start)
-		fleet.AskBackoff(list[0].Incarnation(), span, start)
-		fleet.Began(placement, start.Add(20))
+		fleet.StartBackoff(list[0].Incarnation(), span, start)
+		fleet.AnswerStarted(placement, start.Add(20))
 		fleet.End(placement, Served, start.Add(200))
 		So(chosenAt(fleet, start.Add(span-1)), ShouldEqual, 0)
 	})
 	Convey("a later life has none", t, func() {
 		fleet, list := refusing(1, 1, timekeeper.Hour)
-		list[0].Born = 2000
+		list[0].StartedAt = 2000
 		fleet.SetReplicas(list, 6)
 		So(chosenAt(fleet, start), ShouldBeGreaterThan, 1)
 	})
@@ -124,7 +124,7 @@
 		{"it is listed", func(*Fleet, []Replica) {}, true},
 		{"it is gone", func(fleet *Fleet, list []Replica) { fleet.SetReplicas(list[1:], 6) }, false},
 		{"it has started again", func(fleet *Fleet, list []Replica) {
-			list[0].Born = 2000
+			list[0].StartedAt = 2000
 			fleet.SetReplicas(list, 6)
 		}, false},
 	}
@@ -155,14 +155,14 @@
 		So(chosenAt(fleet, over.Add(trialSpan)), ShouldEqual, 1)
 	})
 	Convey("none, where it is refused again", t, func() {
-		fleet.AskBackoff(list[0].Incarnation(), span, over)
+		fleet.StartBackoff(list[0].Incarnation(), span, over)
 		fleet.End(trial, Refused, over)
 		So(chosenAt(fleet, over.Add(span-1)), ShouldEqual, 0)
 	})
 	Convey("all, once it is served", t, func() {
 		now := over.Add(2 * span)
 		placement, _ := fleet.Choose(promptAsk(2, 2), now)
-		fleet.Began(placement, now.Add(20))
+		fleet.AnswerStarted(placement, now.Add(20))
 		So(chosenAt(fleet, now.Add(20)), ShouldBeGreaterThan, 10)
 	})
 }
@@ -172,7 +172,7 @@
 	// sent after the refusal.
 	fleet, list := refusing(2, 0, 0)
 	chosen := fillPlanners(fleet)
-	fleet.AskBackoff(list[0].Incarnation(), timekeeper.Second, start)
+	fleet.StartBackoff(list[0].Incarnation(), timekeeper.Second, start)
 	Convey("they go elsewhere unsent", t, func() {
 		So(len(chosen), ShouldBeGreaterThan, 50)
 		for _, placement := range chosen {
@@ -190,13 +190,13 @@
 	// Guards against callers who are held, or refused, although it is known what waiting
 	// brings.
 	waiterFor := func(use timekeeper.Span) *Waiter {
-		return &Waiter{Ask: promptAsk(1, 1), Due: start.Add(use / 2), Until: start.Add(use)}
+		return &Waiter{Request: promptAsk(1, 1), Due: start.Add(use / 2), Until: start.Add(use)}
 	}
 	const span = timekeeper.Second
 	Convey("where all do, whoever can't wait for so long is told at once when to come", t, func() {
 		fleet, _ := refusing(3, 3, span)
 		waiter := waiterFor(span / 2)
-		fleet.Join(waiter, start)
+		fleet.Enqueue(waiter, start)
 		So(waiter.Reason, ShouldEqual, AllBackingOff)
 		So(waiter.Wait, ShouldBeBetweenOrEqual, span, latest(span).Since(start))
 		So(fleet.Waiting(), ShouldEqual, 0)
@@ -204,8 +204,8 @@
 	Convey("also who comes behind others that can", t, func() {
 		fleet, _ := refusing(3, 3, span)
 		patient, hasty := waiterFor(2*span), waiterFor(span/2)
-		fleet.Join(patient, start)
-		fleet.Join(hasty, start)
+		fleet.Enqueue(patient, start)
+		fleet.Enqueue(hasty, start)
 		So(patient.Reason, ShouldBeEmpty)
 		So(hasty.Reason, ShouldEqual, AllBackingOff)
 		Convey("who waits is served by the first that ends", func() {
@@ -219,9 +219,9 @@
 		fleet, list := refusing(2, 1, span)
 		fillPlanners(fleet)
 		waiter := waiterFor(span / 2)
-		fleet.Join(waiter, start)
+		fleet.Enqueue(waiter, start)
 		So(waiter.Reason, ShouldBeEmpty)
-		fleet.AskBackoff(list[1].Incarnation(), span, start)
+		fleet.StartBackoff(list[1].Incarnation(), span, start)
 		decided := fleet.Dispatch(start)
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].Reason, ShouldEqual, AllBackingOff)
@@ -229,8 +229,8 @@
 	Convey("where some do, the others serve", t, func() {
 		fleet, _ := refusing(9, 3, span)
 		for number := range 60 {
-			waiter := &Waiter{Ask: promptAsk(uint64(number), uint64(number)), Due: start.Add(300), Until: start.Add(600)}
-			fleet.Join(waiter, start)
+			waiter := &Waiter{Request: promptAsk(uint64(number), uint64(number)), Due: start.Add(300), Until: start.Add(600)}
+			fleet.Enqueue(waiter, start)
 			So(waiter.Placement, ShouldNotBeNil)
 			So(waiter.Placement.Replica.ID, ShouldNotBeIn, "planner-0", "planner-1", "planner-2")
 		}
@@ -238,19 +238,19 @@
 	Convey("who has met all but those that back off is told, and holds up nobody", t, func() {
 		fleet, _ := refusing(2, 1, span)
 		waiter := waiterFor(2 * span)
-		waiter.Ask.Excluded = []string{"planner-1"}
-		fleet.Join(waiter, start)
+		waiter.Request.Excluded = []string{"planner-1"}
+		fleet.Enqueue(waiter, start)
 		So(waiter.Reason, ShouldEqual, AllBackingOff)
 	})
 	Convey("those that leave or are evacuated don't count", t, func() {
 		fleet, list := refusing(3, 1, span)
 		fleet.AnnounceLeave(list[1].Incarnation(), start)
-		fleet.Leave(list[2].ID, 99)
-		So(fleet.BackoffLeft("planner", start), ShouldBeGreaterThanOrEqualTo, span)
+		fleet.MarkLeaving(list[2].ID, 99)
+		So(fleet.BackoffRemaining("planner", start), ShouldBeGreaterThanOrEqualTo, span)
 		fleet.AnnounceLeave(list[0].Incarnation(), start)
-		So(fleet.BackoffLeft("planner", start), ShouldEqual, 0)
+		So(fleet.BackoffRemaining("planner", start), ShouldEqual, 0)
 		waiter := waiterFor(2 * span)
-		fleet.Join(waiter, start)
+		fleet.Enqueue(waiter, start)
 		So(waiter.Reason, ShouldEqual, NoReplicas)
 	})
 }
@@ -259,8 +259,8 @@
 	// Guards against a replica that gets work when the first of several reasons ends.
 	const span = timekeeper.Second
 	fleet, list := refusing(1, 1, span)
-	fleet.SetWarming("planner", Warming{Span: 5 * span, Rate: 12})
-	fleet.SetSharers("a", nil)
+	fleet.SetWarmUp("planner", WarmUp{Span: 5 * span, Rate: 12})
+	fleet.SetEntries("a", nil)
 	list[0].WarmAt = start.Add(5 * span)
 	fleet.SetReplicas(list, 6)
 	fleet.Evacuate(NewEvacuations(1, []string{list[0].DataCentre}), start)
@@ -282,7 +282,7 @@
 	for number := range entries {
 		fleet := New(Settings{Seed: uint64(number)})
 		fleet.SetReplicas(replicasOf("planner", 1, slots), 5)
-		fleet.AskBackoff("planner-0", span, start)
+		fleet.StartBackoff("planner-0", span, start)
 		for now := start; now <= latest(span).Add(trialSpan); now = now.Add(10) {
 			// Five requests wait at each entry.
 			for ask := range 5 {
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -31,7 +31,7 @@
 
 // holdings returns what the replicas of a service are believed to have cached of a
 // prompt.
-func (fleet *Fleet) holdings(ask Ask) []holding {
+func (fleet *Fleet) holdings(ask Request) []holding {
 	members := fleet.services[ask.Service]
 	held := make([]holding, len(members))
 	total, own := TokensOf(ask.Parts), TokensOf(ask.Parts)-TokensOf(SharedParts(ask.Parts))
@@ -46,19 +46,19 @@
 }
 
 // look notes what peers have at the replicas, and for how long a prompt would wait there.
-func (fleet *Fleet) look(ask Ask, held []holding, now timekeeper.Instant) {
+func (fleet *Fleet) look(ask Request, held []holding, now timekeeper.Instant) {
 	fleet.dropSilent(now)
 	for i := range held {
 		held[i].peers = fleet.peersAt(held[i].key)
 		held[i].load = held[i].held(held[i].peers, now)
 		if len(ask.Parts) > 0 {
-			held[i].waiting = held[i].waitingFor(ask.Priority, held[i].peers.Unread) / fleet.settings.ReadRate
+			held[i].waiting = held[i].waitingFor(ask.Priority, held[i].peers.PendingTokens) / fleet.settings.ReadRate
 		}
 	}
 }
 
 // candidates returns the replicas that may get the request.
-func (fleet *Fleet) candidates(ask Ask, held []holding, now timekeeper.Instant) ([]candidate, Reason) {
+func (fleet *Fleet) candidates(ask Request, held []holding, now timekeeper.Instant) ([]candidate, Reason) {
 	fleet.look(ask, held, now)
 	sources := fleet.sourcesOf(ask, held, now)
 	pool := pool{open: make([]candidate, 0, len(held))}
@@ -113,7 +113,7 @@
 
 func (spread *spread) add(eligibility Eligibility, held int) {
 	switch eligibility.Cause {
-	case Leaving, LeaveAnnounced, Unreached:
+	case Leaving, LeaveAnnounced, NoConnection:
 		return
 	case Evacuated, BackingOff, Cold:
 		spread.narrowed = true
@@ -150,7 +150,7 @@
 		return false
 	}
 	pool.willing++
-	if eligibility.Cause == Unreached {
+	if eligibility.Cause == NoConnection {
 		return false
 	}
 	pool.reached++
@@ -169,7 +169,7 @@
 	case pool.willing == 0:
 		return AllBackingOff
 	case pool.reached == 0:
-		return AllUnreached
+		return AllUnreachable
 	}
 	return noReason
 }
@@ -182,13 +182,13 @@
 // useful takes out engines where the request would wait for too long, and crowded
 // ones that would have to read a prompt which another engine has cached: reading stops
 // all streams there, so that in an overload each engine in turn fills up.
-func (fleet *Fleet) useful(open []candidate, ask Ask) []candidate {
+func (fleet *Fleet) useful(open []candidate, ask Request) []candidate {
 	if len(ask.Parts) == 0 || len(open) == 0 {
 		return open
 	}
 	least := slices.MinFunc(open, func(a, b candidate) int { return a.uncached - b.uncached }).uncached
 	return slices.DeleteFunc(open, func(c candidate) bool {
-		if ask.Within > 0 && c.waiting > float64(ask.Within) {
+		if ask.MaxEngineWait > 0 && c.waiting > float64(ask.MaxEngineWait) {
 			return true
 		}
 		extra := float64(c.uncached-least) / fleet.settings.ReadRate
@@ -197,7 +197,7 @@
 }
 
 // weigh returns a replica with its expected time.
-func (fleet *Fleet) weigh(member holding, access Access, ask Ask, sources sources, now timekeeper.Instant) candidate {
+func (fleet *Fleet) weigh(member holding, access Access, ask Request, sources sources, now timekeeper.Instant) candidate {
 	held := member.load
 	cost := member.doubt.penalty(now) + member.pace.over(fleet.paceOf(member.Service), now)
 	cost += float64(member.overdue(now)) * float64(failurePenalty)
@@ -234,7 +234,7 @@
 // bounded takes out replicas that hold more than their share: a multiple of the service's
 // mean, set by the operator, plus what few requests may lie unevenly. An even share is
 // always allowed. For the mean see spread.
-func (fleet *Fleet) bounded(open []candidate, ask Ask, spread spread, now timekeeper.Instant) ([]candidate, Reason) {
+func (fleet *Fleet) bounded(open []candidate, ask Request, spread spread, now timekeeper.Instant) ([]candidate, Reason) {
 	if len(open) == 0 {
 		return nil, AllFull
 	}
@@ -262,7 +262,7 @@
 
 // held returns how many requests a replica is believed to hold: what this entry
 // and its peers have there, or what the replica said a moment ago.
-func (known *replica) held(peers Held, now timekeeper.Instant) int {
+func (known *replica) held(peers InFlight, now timekeeper.Instant) int {
 	held := known.running + peers.Running
 	if known.reported != 0 && now.Since(known.reported) <= reportLife {
 		held = max(held, known.report.Running+known.report.Waiting)
--- a/internal/balancer/cold.go
+++ b/internal/balancer/cold.go
@@ -6,9 +6,9 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Warming says how replicas of a service behave after a start. The zero value stands for
+// WarmUp says how replicas of a service behave after a start. The zero value stands for
 // replicas that are warm at once.
-type Warming struct {
+type WarmUp struct {
 	// Span is for how long a replica is cold.
 	Span timekeeper.Span
 	// Rate is how many requests a second a cold replica tolerates from all entries; zero
@@ -24,8 +24,8 @@
 	coldBurst = 1.0
 )
 
-// SetWarming says how replicas of a service behave after a start.
-func (fleet *Fleet) SetWarming(service string, warming Warming) { fleet.warming[service] = warming }
+// SetWarmUp says how replicas of a service behave after a start.
+func (fleet *Fleet) SetWarmUp(service string, warming WarmUp) { fleet.warming[service] = warming }
 
 // sharers are the entries that share what cold replicas tolerate.
 type sharers struct {
@@ -35,12 +35,12 @@
 	number int
 }
 
-// SetSharers says which entries there are: this one and the others, by names that all know
+// SetEntries says which entries there are: this one and the others, by names that all know
 // them by. Until it is called cold replicas get nothing from this entry.
 //
 // Those that are silent count for as long as they may be cut off from this entry and not
 // from replicas: an entry that takes itself for one of few takes more than its part.
-func (fleet *Fleet) SetSharers(own string, others []string) {
+func (fleet *Fleet) SetEntries(own string, others []string) {
 	digests := make([]uint64, len(others))
 	for i, other := range others {
 		digests[i] = xxhash.Sum64String(other)
@@ -73,8 +73,8 @@
 	return news
 }
 
-// Chill notes that a peer has read of an incarnation that it is cold until an instant.
-func (fleet *Fleet) Chill(key Key, until timekeeper.Instant) {
+// MarkCold notes that a peer has read of an incarnation that it is cold until an instant.
+func (fleet *Fleet) MarkCold(key Key, until timekeeper.Instant) {
 	if known, found := fleet.keys[key]; found {
 		known.chill(until)
 	}
@@ -97,8 +97,8 @@
 
 // shareOf returns how entries share a cold replica: so that all users together, each with
 // its burst and its rate, stay within what the operators allow in any second.
-func (settings Settings) shareOf(warming Warming, entries int) coldShare {
-	allowed := warming.Rate*settings.ColdOver + settings.ColdSlack
+func (settings Settings) shareOf(warming WarmUp, entries int) coldShare {
+	allowed := warming.Rate*settings.ColdRateFactor + settings.ColdSlack
 	users := min(entries, max(1, int(coldLeft*(allowed-warming.Rate)/coldBurst)))
 	return coldShare{users: users, rate: max(0, min(warming.Rate, allowed-coldBurst*float64(users))) / float64(users)}
 }
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -13,8 +13,8 @@
 
 // warming is how the engines of the tests here warm up, and what the operators allow.
 var (
-	warming  = Warming{Span: 3 * timekeeper.Second, Rate: 12}
-	allowing = Settings{Seed: 1, ColdOver: 1.5, ColdSlack: 5}
+	warming  = WarmUp{Span: 3 * timekeeper.Second, Rate: 12}
+	allowing = Settings{Seed: 1, ColdRateFactor: 1.5, ColdSlack: 5}
 )
 
 // allowedCold is how many requests a cold engine may get in a second by these.
@@ -60,7 +60,7 @@
 	settings.Seed = uint64(len(site.entries))
 	fleet := New(settings)
 	fleet.SetEngine("planner", Engine{Memory: 300000})
-	fleet.SetWarming("planner", warming)
+	fleet.SetWarmUp("planner", warming)
 	fleet.SetReplicas(slices.Concat(site.warm, site.cold), 1)
 	site.entries = append(site.entries, fleet)
 	site.names = append(site.names, fmt.Sprintf("10.0.0.%d:7000", len(site.names)))
@@ -81,7 +81,7 @@
 				others = append(others, site.names[other])
 			}
 		}
-		site.entries[number].SetSharers(site.names[number], others)
+		site.entries[number].SetEntries(site.names[number], others)
 	}
 }
 
@@ -103,7 +103,7 @@
 	if placement.Replica.WarmAt != 0 {
 		site.sent[placement.Replica.ID] = append(site.sent[placement.Replica.ID], now)
 	}
-	entry.Began(placement, now)
+	entry.AnswerStarted(placement, now)
 	entry.End(placement, Served, now)
 	return placement
 }
@@ -228,7 +228,7 @@
 		settings.Seed = uint64(number)
 		entries[number] = New(settings)
 		entries[number].SetEngine("planner", Engine{Memory: 300000})
-		entries[number].SetWarming("planner", warming)
+		entries[number].SetWarmUp("planner", warming)
 		entries[number].SetReplicas(spreadOf("planner", count, 64), 1)
 		entries[number].Evacuate(NewEvacuations(3, []string{"kality"}), start)
 	}
@@ -249,7 +249,7 @@
 			if placement == nil {
 				continue
 			}
-			entry.Began(placement, now)
+			entry.AnswerStarted(placement, now)
 			entry.End(placement, Served, now)
 			if placement.Replica.DataCentre == "kality" {
 				sent[placement.Replica.ID] = append(sent[placement.Replica.ID], now)
@@ -264,7 +264,7 @@
 	// Guards against a replica that turns cold without a start, and is not treated so, and
 	// against one that counts as cold for good.
 	fleet := New(allowing)
-	fleet.SetWarming("planner", warming)
+	fleet.SetWarmUp("planner", warming)
 	list := replicasOf("planner", 1, 64)
 	fleet.SetReplicas(list, 1)
 	eligible := func(now timekeeper.Instant) Eligibility { return fleet.eligibility(fleet.replicas["planner-0"], now) }
@@ -283,14 +283,14 @@
 	Convey("cold again, before a row said that it was warm, is news for peers", t, func() {
 		changes := fleet.SetReplicas(warmAt(replicasOf("planner", 1, 64), start.Add(5000)), 5)
 		So(changes, ShouldHaveLength, 1)
-		So(changes[0].Chilled, ShouldBeTrue)
-		fleet.Chill(list[0].Key(), start.Add(7000))
+		So(changes[0].TurnedCold, ShouldBeTrue)
+		fleet.MarkCold(list[0].Key(), start.Add(7000))
 		So(eligible(start.Add(6999)).Access, ShouldEqual, Limited)
-		fleet.Chill(list[0].Key(), start.Add(6000))
+		fleet.MarkCold(list[0].Key(), start.Add(6000))
 		So(eligible(start.Add(6999)).Access, ShouldEqual, Limited)
 	})
 	Convey("a service that tolerates any rate has no cold replicas", t, func() {
-		fleet.SetWarming("planner", Warming{})
+		fleet.SetWarmUp("planner", WarmUp{})
 		So(eligible(start).Access, ShouldEqual, Open)
 	})
 }
@@ -304,8 +304,8 @@
 	}{
 		{"many entries", allowing, 28, 7, 1.5, 1.8},
 		{"few entries", allowing, 3, 3, 3.9, 4.1},
-		{"no more than the rate is allowed", Settings{ColdOver: 1}, 28, 1, 10.9, 11.1},
-		{"less than a request is left", Settings{ColdOver: 1, ColdSlack: 0.5}, 1, 1, 11.4, 11.6},
+		{"no more than the rate is allowed", Settings{ColdRateFactor: 1}, 28, 1, 10.9, 11.1},
+		{"less than a request is left", Settings{ColdRateFactor: 1, ColdSlack: 0.5}, 1, 1, 11.4, 11.6},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/internal/balancer/evacuation.go
+++ b/internal/balancer/evacuation.go
@@ -19,13 +19,13 @@
 	return Evacuations{Version: version, Centres: slices.Sorted(slices.Values(centres))}
 }
 
-// Same reports whether the same data centres are evacuated, at whatever versions.
-func (evacuations Evacuations) Same(other Evacuations) bool {
+// SameDataCentres reports whether the same data centres are evacuated, at whatever versions.
+func (evacuations Evacuations) SameDataCentres(other Evacuations) bool {
 	return slices.Equal(evacuations.Centres, other.Centres)
 }
 
-// Has reports whether a data centre is evacuated.
-func (evacuations Evacuations) Has(centre string) bool {
+// Contains reports whether a data centre is evacuated.
+func (evacuations Evacuations) Contains(centre string) bool {
 	return slices.Contains(evacuations.Centres, centre)
 }
 
@@ -41,12 +41,12 @@
 	}
 	before := fleet.evacuations
 	fleet.evacuations = evacuations
-	if before.Same(evacuations) {
+	if before.SameDataCentres(evacuations) {
 		return false
 	}
 	fleet.evacuated = now
 	for _, known := range fleet.replicas {
-		if before.Has(known.DataCentre) && !evacuations.Has(known.DataCentre) {
+		if before.Contains(known.DataCentre) && !evacuations.Contains(known.DataCentre) {
 			known.chill(now.Add(fleet.warming[known.Service].Span))
 		}
 	}
--- a/internal/balancer/evacuation_test.go
+++ b/internal/balancer/evacuation_test.go
@@ -66,16 +66,16 @@
 	for fleet.fill("planner", now) {
 		continue
 	}
-	waiter := &Waiter{Ask: promptAsk(1, 1), Until: now.Add(600)}
-	fleet.Join(waiter, now)
+	waiter := &Waiter{Request: promptAsk(1, 1), Until: now.Add(600)}
+	fleet.Enqueue(waiter, now)
 	Convey("who waits is told at once, and who comes then does not wait", t, func() {
 		So(waiter.Reason, ShouldEqual, noReason)
 		fleet.Evacuate(NewEvacuations(5, centres), now.Add(10))
 		decided := fleet.Dispatch(now.Add(20))
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].Reason, ShouldEqual, AllEvacuated)
-		late := &Waiter{Ask: promptAsk(2, 2), Until: now.Add(600)}
-		fleet.Join(late, now.Add(30))
+		late := &Waiter{Request: promptAsk(2, 2), Until: now.Add(600)}
+		fleet.Enqueue(late, now.Add(30))
 		So(late.Reason, ShouldEqual, AllEvacuated)
 	})
 	Convey("who waits looks again when a data centre is taken back", t, func() {
@@ -84,8 +84,8 @@
 		for fleet.fill("planner", now) {
 			continue
 		}
-		waiter := &Waiter{Ask: promptAsk(1, 1), Until: now.Add(600)}
-		fleet.Join(waiter, now)
+		waiter := &Waiter{Request: promptAsk(1, 1), Until: now.Add(600)}
+		fleet.Enqueue(waiter, now)
 		So(fleet.Dispatch(now.Add(10)), ShouldBeEmpty)
 		fleet.Evacuate(NewEvacuations(6, nil), now.Add(20))
 		So(fleet.Dispatch(now.Add(30)), ShouldHaveLength, 1)
@@ -95,7 +95,7 @@
 
 // fill gives a replica of a service one more request, and reports whether one took it.
 func (fleet *Fleet) fill(service string, now timekeeper.Instant) bool {
-	placement, _ := fleet.Choose(Ask{Service: service, Parts: chain(0, 0)}, now)
+	placement, _ := fleet.Choose(Request{Service: service, Parts: chain(0, 0)}, now)
 	return placement != nil
 }
 
@@ -113,7 +113,7 @@
 			thing = 7
 		}
 		placement := choose(t, fleet, promptAsk(thing, uint64(i)), start.Add(timekeeper.Span(i)))
-		fleet.Began(placement, start.Add(timekeeper.Span(i)))
+		fleet.AnswerStarted(placement, start.Add(timekeeper.Span(i)))
 		held[placement.Replica.ID]++
 	}
 	Convey("the fullest one is within twice the mean of all, and three", t, func() {
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -18,10 +18,10 @@
 	// Bound is how many times the mean of its service a replica may hold; zero
 	// means 2. See bounded.
 	Bound float64
-	// ColdOver is how many times the rate that a cold replica tolerates all entries
+	// ColdRateFactor is how many times the rate that a cold replica tolerates all entries
 	// together may send in a second, and ColdSlack how many requests more. Zero means once,
 	// and none.
-	ColdOver, ColdSlack float64
+	ColdRateFactor, ColdSlack float64
 	// MovePrice is how many prompt tokens that are read cost as much as a gigabyte
 	// that engines hand on; zero means 2,300. See DefaultMovePrice.
 	MovePrice float64
@@ -45,11 +45,11 @@
 	unlisted archive
 	services map[string][]*replica
 	engines  map[string]Engine
-	warming  map[string]Warming
+	warming  map[string]WarmUp
 	sharers  sharers
 	peers    map[string]peerDigest
 	// peerSums are what all peers have under way, by replica.
-	peerSums map[Key]Held
+	peerSums map[Key]InFlight
 	paces    map[string]*pace
 	queues   map[string]*serviceQueue
 	teams    map[string]*decaying
@@ -67,8 +67,8 @@
 	if settings.Bound == 0 {
 		settings.Bound = 2
 	}
-	if settings.ColdOver == 0 {
-		settings.ColdOver = 1
+	if settings.ColdRateFactor == 0 {
+		settings.ColdRateFactor = 1
 	}
 	if settings.MovePrice == 0 {
 		settings.MovePrice = DefaultMovePrice
@@ -88,9 +88,9 @@
 		unlisted: archive{},
 		services: map[string][]*replica{},
 		engines:  map[string]Engine{},
-		warming:  map[string]Warming{},
+		warming:  map[string]WarmUp{},
 		peers:    map[string]peerDigest{},
-		peerSums: map[Key]Held{},
+		peerSums: map[Key]InFlight{},
 		paces:    map[string]*pace{},
 		queues:   map[string]*serviceQueue{},
 		teams:    map[string]*decaying{},
@@ -104,9 +104,9 @@
 	// Restarted reports that the replica started again under its ID.
 	Restarted bool
 	Gone      bool
-	// Chilled reports that nothing has changed but that the replica has turned cold, or
+	// TurnedCold reports that nothing has changed but that the replica has turned cold, or
 	// stays so for longer than was known.
-	Chilled bool
+	TurnedCold bool
 }
 
 // SetReplicas takes in the platform's list of a version and returns what changed
@@ -126,7 +126,7 @@
 		}
 		if found && listing.same(known.Replica) {
 			if known.chill(listing.WarmAt) {
-				changes = append(changes, Change{Replica: listing, Chilled: true})
+				changes = append(changes, Change{Replica: listing, TurnedCold: true})
 			}
 			continue
 		}
@@ -156,7 +156,7 @@
 // relist takes in a listing of the same incarnation. Of one whose start isn't known another
 // address tells of a later life.
 func (known *replica) relist(listing Replica) {
-	if listing.Born == 0 && listing.Address != known.Address {
+	if listing.StartedAt == 0 && listing.Address != known.Address {
 		known.said = statements{}
 	}
 	known.Replica, known.key = listing, listing.Key()
@@ -166,7 +166,7 @@
 // placed returns the replica that has a placement, if that incarnation is listed.
 func (fleet *Fleet) placed(placement *Placement) (*replica, bool) {
 	known, found := fleet.replicas[placement.Replica.ID]
-	if !found || known.Born > placement.Replica.Born && placement.Replica.Born != 0 {
+	if !found || known.StartedAt > placement.Replica.StartedAt && placement.Replica.StartedAt != 0 {
 		return nil, false
 	}
 	return known, true
@@ -248,8 +248,8 @@
 	source *replica
 }
 
-// Began notes the first part of an answer: the prompt has been read.
-func (fleet *Fleet) Began(placement *Placement, now timekeeper.Instant) {
+// AnswerStarted notes the first part of an answer: the prompt has been read.
+func (fleet *Fleet) AnswerStarted(placement *Placement, now timekeeper.Instant) {
 	if !fleet.read(placement) {
 		return
 	}
@@ -290,12 +290,12 @@
 	return found
 }
 
-// Ending says how a request at a replica ended.
-type Ending uint8
+// Outcome says how a request at a replica ended.
+type Outcome uint8
 
 const (
 	// Served means that the replica gave a whole answer.
-	Served Ending = iota + 1
+	Served Outcome = iota + 1
 	// Failed means that it broke off or gave an error.
 	Failed
 	// Refused means that the replica said that it did not run the request.
@@ -307,7 +307,7 @@
 )
 
 // End notes how a request ended.
-func (fleet *Fleet) End(placement *Placement, ending Ending, now timekeeper.Instant) {
+func (fleet *Fleet) End(placement *Placement, ending Outcome, now timekeeper.Instant) {
 	silent := !placement.began && placement.late(now)
 	fleet.read(placement)
 	known, found := fleet.placed(placement)
@@ -337,8 +337,8 @@
 	}
 }
 
-// Suspect notes that a replica can't be reached, as this entry or a peer saw.
-func (fleet *Fleet) Suspect(id string, now timekeeper.Instant) {
+// MarkUnreachable notes that a replica can't be reached, as this entry or a peer saw.
+func (fleet *Fleet) MarkUnreachable(id string, now timekeeper.Instant) {
 	if known, found := fleet.replicas[id]; found {
 		known.doubt.unreachable(now)
 	}
@@ -347,9 +347,9 @@
 // mostLeaves bounds the replicas that peers saw leave and the own list still has.
 const mostLeaves = 4096
 
-// Leave notes that a peer has seen a replica leave at a version of the list, and reports
+// MarkLeaving notes that a peer has seen a replica leave at a version of the list, and reports
 // whether that is news. It holds until the own list is as new.
-func (fleet *Fleet) Leave(id string, version uint64) bool {
+func (fleet *Fleet) MarkLeaving(id string, version uint64) bool {
 	if version <= fleet.version {
 		return false
 	}
@@ -365,10 +365,10 @@
 	return news
 }
 
-// Confirm notes that the list which was taken in last is also that of a version. It
+// ConfirmVersion notes that the list which was taken in last is also that of a version. It
 // returns the replicas that get work again: a peer saw them leave at that version or
 // before it, and the list has them ready.
-func (fleet *Fleet) Confirm(version uint64) (back []string) {
+func (fleet *Fleet) ConfirmVersion(version uint64) (back []string) {
 	fleet.version = version
 	for id, seen := range fleet.left {
 		if seen > version {
@@ -382,8 +382,8 @@
 	return back
 }
 
-// Report takes in what a replica said of itself with an answer.
-func (fleet *Fleet) Report(id string, report LoadReport, now timekeeper.Instant) {
+// RecordReport takes in what a replica said of itself with an answer.
+func (fleet *Fleet) RecordReport(id string, report LoadReport, now timekeeper.Instant) {
 	if known, found := fleet.replicas[id]; found {
 		known.report, known.reported = report, now
 	}
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -42,10 +42,12 @@
 	return []Part{{ID: thing % 4, Tokens: 2500}, {ID: 100 + thing, Tokens: 6000}, {ID: 1000 + own, Tokens: 580}}
 }
 
-func promptAsk(thing, own uint64) Ask { return Ask{Service: "planner", Parts: chain(thing, own)} }
+func promptAsk(thing, own uint64) Request {
+	return Request{Service: "planner", Parts: chain(thing, own)}
+}
 
 // choose gives a request to a replica and fails the test when there is none.
-func choose(t *testing.T, fleet *Fleet, ask Ask, now timekeeper.Instant) *Placement {
+func choose(t *testing.T, fleet *Fleet, ask Request, now timekeeper.Instant) *Placement {
 	t.Helper()
 	placement, reason := fleet.Choose(ask, now)
 	if placement == nil {
@@ -57,7 +59,7 @@
 func TestAPromptGoesWhereItIsCached(t *testing.T) {
 	fleet := planners(9)
 	first := choose(t, fleet, promptAsk(1, 1), start)
-	fleet.Began(first, start.Add(230))
+	fleet.AnswerStarted(first, start.Add(230))
 	fleet.End(first, Served, start.Add(400))
 	Convey("the second request reads only its own part", t, func() {
 		second := choose(t, fleet, promptAsk(1, 2), start.Add(500))
@@ -68,7 +70,7 @@
 	Convey("a part counts only if all before it are cached", t, func() {
 		parts := chain(1, 3)
 		parts[0].ID = 77
-		third := choose(t, fleet, Ask{Service: "planner", Parts: parts}, start.Add(600))
+		third := choose(t, fleet, Request{Service: "planner", Parts: parts}, start.Add(600))
 		So(third.Uncached, ShouldEqual, 9080)
 	})
 }
@@ -91,7 +93,7 @@
 func TestAPeersPromptIsKnown(t *testing.T) {
 	fleet := planners(9)
 	Convey("a request follows what a peer has sent", t, func() {
-		fleet.Cached(KeyOf("planner-3"), chain(1, 1), start)
+		fleet.RecordCached(KeyOf("planner-3"), chain(1, 1), start)
 		placement := choose(t, fleet, promptAsk(1, 2), start)
 		So(placement.Replica.ID, ShouldEqual, "planner-3")
 		So(placement.Uncached, ShouldEqual, 580)
@@ -105,10 +107,10 @@
 	// for empty as long as it lives.
 	fleet := New(Settings{DataCentre: "bole", Seed: 1})
 	fleet.SetReplicas(replicasOf("planner", 9, 64), 1)
-	fleet.Cached(KeyOf("planner-3"), chain(1, 1), start)
+	fleet.RecordCached(KeyOf("planner-3"), chain(1, 1), start)
 	fleet.SetEngine("planner", Engine{Memory: 300000})
 	Convey("what comes after the configuration is known", t, func() {
-		fleet.Cached(KeyOf("planner-3"), chain(1, 2), start.Add(100))
+		fleet.RecordCached(KeyOf("planner-3"), chain(1, 2), start.Add(100))
 		placement := choose(t, fleet, promptAsk(1, 3), start.Add(200))
 		So(placement.Replica.ID, ShouldEqual, "planner-3")
 		So(placement.Uncached, ShouldEqual, 580)
@@ -156,12 +158,12 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := planners(4)
-			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
-			held := map[Key]Held{KeyOf("planner-0"): {Running: test.held}}
+			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
+			held := map[Key]InFlight{KeyOf("planner-0"): {Running: test.held}}
 			for _, other := range []string{"planner-1", "planner-2", "planner-3"} {
-				held[KeyOf(other)] = Held{Running: test.rest}
+				held[KeyOf(other)] = InFlight{Running: test.rest}
 			}
-			fleet.SetPeer("peer", held, timekeeper.Minute, start)
+			fleet.SetPeerInFlight("peer", held, timekeeper.Minute, start)
 			open, reason := fleet.candidates(promptAsk(1, 1), fleet.holdings(promptAsk(1, 1)), start)
 			So(reason, ShouldEqual, noReason)
 			first := slices.ContainsFunc(open, func(c candidate) bool { return c.ID == "planner-0" })
@@ -180,11 +182,11 @@
 		So(fleet.SetReplicas(list, 1), ShouldBeEmpty)
 	})
 	Convey("all goes to the other, also what was cached at it", t, func() {
-		fleet.Cached(KeyOf("planner-0"), chain(1, 1), start)
+		fleet.RecordCached(KeyOf("planner-0"), chain(1, 1), start)
 		for own := range uint64(5) {
 			So(choose(t, fleet, promptAsk(1, own), start).Replica.ID, ShouldEqual, "planner-1")
 		}
-		fleet.Leave("planner-1", 2)
+		fleet.MarkLeaving("planner-1", 2)
 		_, reason := fleet.Choose(promptAsk(1, 9), start)
 		So(reason, ShouldEqual, NoReplicas)
 		So(fleet.Count("planner"), ShouldEqual, 0)
@@ -200,19 +202,19 @@
 	// A replica refuses connections. It gets nothing for a moment; then one request
 	// finds out whether it is back, and only when it is do others follow.
 	fleet := orders(1)
-	ask := Ask{Service: "orders"}
+	ask := Request{Service: "orders"}
 	first := choose(t, fleet, ask, start)
 	fleet.End(first, Unreachable, start)
 	Convey("it gets nothing until the pause is over", t, func() {
 		_, reason := fleet.Choose(ask, start.Add(firstPause-1))
-		So(reason, ShouldEqual, AllUnreached)
+		So(reason, ShouldEqual, AllUnreachable)
 	})
 	Convey("then one request tries, and the others wait for it", t, func() {
 		now := start.Add(firstPause)
 		trial := choose(t, fleet, ask, now)
 		_, reason := fleet.Choose(ask, now.Add(1))
-		So(reason, ShouldEqual, AllUnreached)
-		fleet.Began(trial, now.Add(20))
+		So(reason, ShouldEqual, AllUnreachable)
+		fleet.AnswerStarted(trial, now.Add(20))
 		So(choose(t, fleet, ask, now.Add(21)), ShouldNotBeNil)
 	})
 }
@@ -221,14 +223,14 @@
 	// A replica takes requests and never answers. Before the first caller has left,
 	// new requests go to the others.
 	fleet := orders(4)
-	ask := Ask{Service: "orders"}
+	ask := Request{Service: "orders"}
 	silent := choose(t, fleet, ask, start).Replica.ID
 	Convey("overdue answers count while they wait", t, func() {
 		now := start.Add(overdueSlack + 100)
 		for range 20 {
 			placement := choose(t, fleet, ask, now)
 			So(placement.Replica.ID, ShouldNotEqual, silent)
-			fleet.Began(placement, now)
+			fleet.AnswerStarted(placement, now)
 			fleet.End(placement, Served, now)
 		}
 	})
@@ -237,7 +239,7 @@
 func TestFailuresAreForgiven(t *testing.T) {
 	tests := []struct {
 		name    string
-		ending  Ending
+		ending  Outcome
 		avoided bool
 	}{
 		{"a failure", Failed, true},
@@ -247,7 +249,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := orders(2)
-			ask := Ask{Service: "orders"}
+			ask := Request{Service: "orders"}
 			first := choose(t, fleet, ask, start)
 			fleet.End(first, test.ending, start.Add(30))
 			count := 0
@@ -279,7 +281,7 @@
 	fleet := orders(4)
 	held := map[string]int{}
 	for {
-		placement, reason := fleet.Choose(Ask{Service: "orders"}, start)
+		placement, reason := fleet.Choose(Request{Service: "orders"}, start)
 		if placement == nil {
 			Convey("all are full", t, func() { So(reason, ShouldEqual, AllFull) })
 			break
@@ -295,28 +297,28 @@
 
 func TestAReplicasOwnCountIsBelievedForAMoment(t *testing.T) {
 	fleet := orders(2)
-	fleet.Report("orders-0", LoadReport{Running: 6, Waiting: 5, Slots: 6}, start)
+	fleet.RecordReport("orders-0", LoadReport{Running: 6, Waiting: 5, Slots: 6}, start)
 	Convey("others that nobody has told of count", t, func() {
 		for range 5 {
-			So(choose(t, fleet, Ask{Service: "orders"}, start.Add(10)).Replica.ID, ShouldEqual, "orders-1")
+			So(choose(t, fleet, Request{Service: "orders"}, start.Add(10)).Replica.ID, ShouldEqual, "orders-1")
 		}
-		So(choose(t, fleet, Ask{Service: "orders"}, start.Add(reportLife+1)).Replica.ID, ShouldEqual, "orders-0")
+		So(choose(t, fleet, Request{Service: "orders"}, start.Add(reportLife+1)).Replica.ID, ShouldEqual, "orders-0")
 	})
 }
 
 func TestAPeersRequestsCountForTheLifeOfItsDigest(t *testing.T) {
 	fleet := orders(2)
-	fleet.SetPeer("entry-2", map[Key]Held{KeyOf("orders-0"): {Running: 9}}, 800, start)
+	fleet.SetPeerInFlight("entry-2", map[Key]InFlight{KeyOf("orders-0"): {Running: 9}}, 800, start)
 	Convey("while it lives", t, func() {
-		So(choose(t, fleet, Ask{Service: "orders"}, start.Add(800)).Replica.ID, ShouldEqual, "orders-1")
+		So(choose(t, fleet, Request{Service: "orders"}, start.Add(800)).Replica.ID, ShouldEqual, "orders-1")
 	})
 	Convey("and not after", t, func() {
 		where := map[string]bool{}
 		for range 6 {
-			where[choose(t, fleet, Ask{Service: "orders"}, start.Add(801)).Replica.ID] = true
+			where[choose(t, fleet, Request{Service: "orders"}, start.Add(801)).Replica.ID] = true
 		}
 		So(where["orders-0"], ShouldBeTrue)
-		fleet.SetPeer("entry-3", nil, 800, start.Add(2*timekeeper.Minute))
+		fleet.SetPeerInFlight("entry-3", nil, 800, start.Add(2*timekeeper.Minute))
 		So(fleet.peers, ShouldHaveLength, 1)
 	})
 }
@@ -339,12 +341,12 @@
 				}
 			case 2:
 				if len(open) > 0 {
-					fleet.Began(open[rapid.IntRange(0, len(open)-1).Draw(t, "began")], now)
+					fleet.AnswerStarted(open[rapid.IntRange(0, len(open)-1).Draw(t, "began")], now)
 				}
 			default:
 				if len(open) > 0 {
 					last := len(open) - 1
-					fleet.End(open[last], Ending(rapid.IntRange(int(Served), int(Abandoned)).Draw(t, "ending")), now)
+					fleet.End(open[last], Outcome(rapid.IntRange(int(Served), int(Abandoned)).Draw(t, "ending")), now)
 					open = open[:last]
 				}
 			}
@@ -352,7 +354,7 @@
 		for _, placement := range open {
 			fleet.End(placement, Served, now)
 		}
-		if held := fleet.Held(); len(held) > 0 {
+		if held := fleet.InFlight(); len(held) > 0 {
 			t.Fatalf("still held: %v", held)
 		}
 	})
--- a/internal/balancer/preference_test.go
+++ b/internal/balancer/preference_test.go
@@ -34,14 +34,14 @@
 			if second.weight > first.weight {
 				first, second = second, first
 			}
-			fleet.Cached(first.key, parts, start)
+			fleet.RecordCached(first.key, parts, start)
 			if test.holders > 1 {
-				fleet.Cached(second.key, parts, start)
+				fleet.RecordCached(second.key, parts, start)
 			}
-			held := map[Key]Held{first.key: {Running: crowd}}
-			fleet.SetPeer("peer", held, timekeeper.Second, start)
-			fleet.SetPeer("peer", held, timekeeper.Second, start.Add(test.gap))
-			placement := choose(t, fleet, Ask{Service: "planner", Parts: chain(1, 2)}, start.Add(test.gap))
+			held := map[Key]InFlight{first.key: {Running: crowd}}
+			fleet.SetPeerInFlight("peer", held, timekeeper.Second, start)
+			fleet.SetPeerInFlight("peer", held, timekeeper.Second, start.Add(test.gap))
+			placement := choose(t, fleet, Request{Service: "planner", Parts: chain(1, 2)}, start.Add(test.gap))
 			So(placement.Replica.ID == second.ID, ShouldEqual, test.moves)
 		})
 	}
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -20,7 +20,7 @@
 // who can still be on time, then the team that has had least of late, then who came first.
 // Whoever can't be served in time is told so at once.
 type Waiter struct {
-	Ask Ask
+	Request Request
 	// Rank orders who waits: the lowest is the most urgent.
 	Rank int
 	Team string
@@ -68,18 +68,18 @@
 	return entryOf(fleet.queues, service)
 }
 
-// Join asks for a replica, now or when there is a place. The waiter is decided
+// Enqueue asks for a replica, now or when there is a place. The waiter is decided
 // when it has a placement or a reason; else it waits, and Dispatch decides it.
-func (fleet *Fleet) Join(waiter *Waiter, now timekeeper.Instant) {
+func (fleet *Fleet) Enqueue(waiter *Waiter, now timekeeper.Instant) {
 	fleet.number++
 	waiter.number = fleet.number
-	queue := fleet.queue(waiter.Ask.Service)
-	queue.arrivals[waiter.Ask.Priority].add(1, rateMemory, now)
+	queue := fleet.queue(waiter.Request.Service)
+	queue.arrivals[waiter.Request.Priority].add(1, rateMemory, now)
 	first := len(queue.waiting) == 0 || waiter.Rank < queue.mostUrgent()
 	if first && fleet.try(waiter, now) {
 		return
 	}
-	if first && !fleet.waits(waiter, now) || fleet.backsOffFor(waiter, fleet.BackoffLeft(waiter.Ask.Service, now), now) {
+	if first && !fleet.waits(waiter, now) || fleet.backsOffFor(waiter, fleet.BackoffRemaining(waiter.Request.Service, now), now) {
 		return
 	}
 	waiter.Reason = noReason
@@ -95,10 +95,10 @@
 // replicas that it has not met back off, others behind it find a place.
 func (fleet *Fleet) waits(waiter *Waiter, now timekeeper.Instant) bool {
 	switch waiter.Reason {
-	case AllFull, AllUnreached:
+	case AllFull, AllUnreachable:
 		return true
 	case AllBackingOff:
-		left := fleet.BackoffLeft(waiter.Ask.Service, now)
+		left := fleet.BackoffRemaining(waiter.Request.Service, now)
 		return left > 0 && !fleet.backsOffFor(waiter, left, now)
 	}
 	return false
@@ -116,7 +116,7 @@
 
 // try gives a waiter a replica if there is one.
 func (fleet *Fleet) try(waiter *Waiter, now timekeeper.Instant) bool {
-	waiter.Placement, waiter.Reason = fleet.Choose(waiter.Ask, now)
+	waiter.Placement, waiter.Reason = fleet.Choose(waiter.Request, now)
 	if waiter.Placement == nil {
 		return false
 	}
@@ -154,9 +154,9 @@
 	return timekeeper.Span(float64(ahead) * steady * float64(rateMemory) / ends)
 }
 
-// Quit takes a waiter out whose caller has left.
-func (fleet *Fleet) Quit(waiter *Waiter) {
-	queue := fleet.queue(waiter.Ask.Service)
+// Dequeue takes a waiter out whose caller has left.
+func (fleet *Fleet) Dequeue(waiter *Waiter) {
+	queue := fleet.queue(waiter.Request.Service)
 	queue.waiting = slices.DeleteFunc(queue.waiting, func(other *Waiter) bool { return other == waiter })
 }
 
@@ -183,7 +183,7 @@
 
 func (fleet *Fleet) dispatch(queue *serviceQueue, now timekeeper.Instant) []*Waiter {
 	var decided []*Waiter
-	left := fleet.BackoffLeft(queue.waiting[0].Ask.Service, now)
+	left := fleet.BackoffRemaining(queue.waiting[0].Request.Service, now)
 	queue.waiting = slices.DeleteFunc(queue.waiting, func(waiter *Waiter) bool {
 		switch {
 		case now >= waiter.Until:
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -12,11 +12,11 @@
 // fill takes all places of a fleet of one plain replica and returns them.
 func fill(t *testing.T, fleet *Fleet, now timekeeper.Instant) []*Placement {
 	t.Helper()
-	return fillBy(fleet, func(uint64) Ask { return Ask{Service: "orders"} }, now)
+	return fillBy(fleet, func(uint64) Request { return Request{Service: "orders"} }, now)
 }
 
 // fillBy gives requests to a fleet until it takes no more, and returns their placements.
-func fillBy(fleet *Fleet, ask func(number uint64) Ask, now timekeeper.Instant) (taken []*Placement) {
+func fillBy(fleet *Fleet, ask func(number uint64) Request, now timekeeper.Instant) (taken []*Placement) {
 	for number := uint64(0); ; number++ {
 		placement, _ := fleet.Choose(ask(number), now)
 		if placement == nil {
@@ -27,7 +27,7 @@
 }
 
 func waiterOf(rank int, team string, now timekeeper.Instant) *Waiter {
-	return &Waiter{Ask: Ask{Service: "orders"}, Rank: rank, Team: team, Due: now.Add(300), Until: now.Add(600)}
+	return &Waiter{Request: Request{Service: "orders"}, Rank: rank, Team: team, Due: now.Add(300), Until: now.Add(600)}
 }
 
 func TestWhoGetsThePlacesThatComeFree(t *testing.T) {
@@ -43,7 +43,7 @@
 		waiterOf(5, "greedy", start),
 	}
 	for _, waiter := range waiters {
-		fleet.Join(waiter, start)
+		fleet.Enqueue(waiter, start)
 	}
 	Convey("all wait", t, func() {
 		So(fleet.Waiting(), ShouldEqual, len(waiters))
@@ -65,7 +65,7 @@
 	fleet := orders(1)
 	fill(t, fleet, start)
 	waiter := waiterOf(1, "bole", start)
-	fleet.Join(waiter, start)
+	fleet.Enqueue(waiter, start)
 	Convey("at the end of its time", t, func() {
 		So(fleet.Dispatch(start.Add(599)), ShouldBeEmpty)
 		decided := fleet.Dispatch(start.Add(600))
@@ -85,11 +85,11 @@
 	for range 30 {
 		waiter := waiterOf(10, "bole", start)
 		waiter.Until = start.Add(timekeeper.Minute)
-		fleet.Join(waiter, start)
+		fleet.Enqueue(waiter, start)
 	}
 	late, urgent := waiterOf(10, "bole", start), waiterOf(5, "bole", start)
-	fleet.Join(late, start)
-	fleet.Join(urgent, start)
+	fleet.Enqueue(late, start)
+	fleet.Enqueue(urgent, start)
 	Convey("the late one is refused with the time to come back", t, func() {
 		So(late.Reason, ShouldEqual, AllFull)
 		So(late.Wait, ShouldBeBetween, 2900, 3300)
@@ -105,8 +105,8 @@
 	fleet := orders(1)
 	taken := fill(t, fleet, start)
 	waiter := waiterOf(1, "bole", start)
-	fleet.Join(waiter, start)
-	fleet.Quit(waiter)
+	fleet.Enqueue(waiter, start)
+	fleet.Dequeue(waiter)
 	fleet.End(taken[0], Served, start)
 	Convey("it gets no place", t, func() {
 		So(fleet.Waiting(), ShouldEqual, 0)
@@ -118,17 +118,17 @@
 	tests := []struct {
 		name   string
 		fleet  *Fleet
-		ask    Ask
+		ask    Request
 		reason Reason
 	}{
-		{"no replica", orders(0), Ask{Service: "orders"}, NoReplicas},
-		{"another service", orders(1), Ask{Service: "planner"}, NoReplicas},
-		{"every replica has had it", orders(1), Ask{Service: "orders", Excluded: []string{"orders-0"}}, AllTried},
+		{"no replica", orders(0), Request{Service: "orders"}, NoReplicas},
+		{"another service", orders(1), Request{Service: "planner"}, NoReplicas},
+		{"every replica has had it", orders(1), Request{Service: "orders", Excluded: []string{"orders-0"}}, AllTried},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			waiter := &Waiter{Ask: test.ask, Until: start.Add(500)}
-			test.fleet.Join(waiter, start)
+			waiter := &Waiter{Request: test.ask, Until: start.Add(500)}
+			test.fleet.Enqueue(waiter, start)
 			So(waiter.Reason, ShouldEqual, test.reason)
 			So(test.fleet.Waiting(), ShouldEqual, 0)
 		})
@@ -139,10 +139,10 @@
 	fleet := orders(1)
 	fill(t, fleet, start)
 	for range mostWaiting {
-		fleet.Join(waiterOf(1, "bole", start), start)
+		fleet.Enqueue(waiterOf(1, "bole", start), start)
 	}
 	beyond := waiterOf(1, "bole", start)
-	fleet.Join(beyond, start)
+	fleet.Enqueue(beyond, start)
 	Convey("one too many is refused", t, func() {
 		So(beyond.Reason, ShouldEqual, AllFull)
 		So(fleet.Waiting(), ShouldEqual, mostWaiting)
@@ -154,9 +154,9 @@
 	// fifty requests, which reading 8,500 tokens would hold up for a fifth of a
 	// second each. The caller waits for the first, or reads at an idle one.
 	ask := promptAsk(1, 1)
-	ask.Within = 600
+	ask.MaxEngineWait = 600
 	crowd := func(fleet *Fleet, id string, running, unread int) {
-		fleet.SetPeer("peer-"+id, map[Key]Held{KeyOf(id): {Running: running, Unread: unread}}, timekeeper.Minute, start)
+		fleet.SetPeerInFlight("peer-"+id, map[Key]InFlight{KeyOf(id): {Running: running, PendingTokens: unread}}, timekeeper.Minute, start)
 	}
 	tests := []struct {
 		name   string
@@ -169,7 +169,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := planners(2)
-			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 			crowd(fleet, "planner-0", 20, 50000)
 			crowd(fleet, "planner-1", test.others, 0)
 			placement, reason := fleet.Choose(ask, start)
@@ -186,14 +186,14 @@
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			fleet := orders(4)
 			for {
-				if placement, _ := fleet.Choose(Ask{Service: "orders"}, start); placement == nil {
+				if placement, _ := fleet.Choose(Request{Service: "orders"}, start); placement == nil {
 					break
 				}
 			}
 			for number := range waiting {
 				waiter := waiterOf(number%3, fmt.Sprint(number%10), start)
 				waiter.Until = start.Add(timekeeper.Hour)
-				fleet.Join(waiter, start)
+				fleet.Enqueue(waiter, start)
 			}
 			for b.Loop() {
 				fleet.Dispatch(start)
@@ -226,12 +226,12 @@
 			for range test.urgent {
 				fleet.queue("planner").arrivals[0].add(1, rateMemory, start)
 			}
-			fleet.SetPeer("peer", map[Key]Held{KeyOf("planner-0"): {Running: test.held}}, timekeeper.Minute, start)
+			fleet.SetPeerInFlight("peer", map[Key]InFlight{KeyOf("planner-0"): {Running: test.held}}, timekeeper.Minute, start)
 			waiter := &Waiter{
-				Ask: Ask{Service: "planner", Parts: chain(1, 1), Priority: test.priority}, Rank: test.priority,
+				Request: Request{Service: "planner", Parts: chain(1, 1), Priority: test.priority}, Rank: test.priority,
 				Due: start.Add(300), Until: start.Add(600),
 			}
-			fleet.Join(waiter, start)
+			fleet.Enqueue(waiter, start)
 			So(waiter.Placement != nil, ShouldEqual, test.placed)
 			So(fleet.Waiting() == 1, ShouldEqual, test.waitsForAPlace)
 		})
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -11,8 +11,8 @@
 // lives returns a list of two replicas; the first has a start.
 func lives(born timekeeper.Instant, leaving bool) []Replica {
 	list := replicasOf("planner", 2, 64)
-	list[0].Born, list[0].Leaving = born, leaving
-	list[1].Born = 1000
+	list[0].StartedAt, list[0].Leaving = born, leaving
+	list[1].StartedAt = 1000
 	return list
 }
 
@@ -42,7 +42,7 @@
 		So(fleet.cacheOf(fresh).uncached(chain(1, 1)), ShouldEqual, 9080)
 	})
 	Convey("a request of the earlier life that ends changes nothing", t, func() {
-		fleet.Began(placement, start.Add(10))
+		fleet.AnswerStarted(placement, start.Add(10))
 		fleet.End(placement, Failed, start.Add(10))
 		fresh := fleet.replicas["planner-0"]
 		So(fresh.running, ShouldEqual, 0)
@@ -50,8 +50,8 @@
 		So(fresh.doubt.penalty(start.Add(10)), ShouldEqual, 0)
 	})
 	Convey("what peers say of the earlier life is not about this one", t, func() {
-		fleet.Cached(old.key, chain(1, 3), start)
-		fleet.SetPeer("peer", map[Key]Held{old.key: {Running: 9}}, timekeeper.Minute, start)
+		fleet.RecordCached(old.key, chain(1, 3), start)
+		fleet.SetPeerInFlight("peer", map[Key]InFlight{old.key: {Running: 9}}, timekeeper.Minute, start)
 		fresh := fleet.replicas["planner-0"]
 		So(fleet.cacheOf(fresh).uncached(chain(1, 1)), ShouldEqual, 9080)
 		So(fleet.peersAt(fresh.key).Running, ShouldEqual, 0)
--- a/internal/balancer/statement_test.go
+++ b/internal/balancer/statement_test.go
@@ -14,7 +14,7 @@
 func plannersBorn(count int, born timekeeper.Instant) []Replica {
 	list := replicasOf("planner", count, 64)
 	for i := range list {
-		list[i].Born = born
+		list[i].StartedAt = born
 	}
 	return list
 }
@@ -25,7 +25,7 @@
 
 // fillPlanners takes all places of a fleet of planners and returns them.
 func fillPlanners(fleet *Fleet) []*Placement {
-	return fillBy(fleet, func(number uint64) Ask { return promptAsk(number, number) }, start)
+	return fillBy(fleet, func(number uint64) Request { return promptAsk(number, number) }, start)
 }
 
 func TestAnAnnouncedLeaveHoldsForItsLife(t *testing.T) {
@@ -49,8 +49,8 @@
 		}, false},
 		{"a peer's word that it leaves is corrected", func(fleet *Fleet) {
 			fleet.AnnounceLeave(life(first), start)
-			fleet.Leave("planner-0", 12)
-			So(fleet.Confirm(13), ShouldBeEmpty)
+			fleet.MarkLeaving("planner-0", 12)
+			So(fleet.ConfirmVersion(13), ShouldBeEmpty)
 		}, false},
 		{"its row lapses and comes back", func(fleet *Fleet) {
 			fleet.AnnounceLeave(life(first), start)
@@ -147,8 +147,8 @@
 	chosen := fillPlanners(fleet)
 	waiters := make([]*Waiter, 50)
 	for i := range waiters {
-		waiters[i] = &Waiter{Ask: promptAsk(uint64(i), uint64(1000+i)), Due: start.Add(300), Until: start.Add(600)}
-		fleet.Join(waiters[i], start)
+		waiters[i] = &Waiter{Request: promptAsk(uint64(i), uint64(1000+i)), Due: start.Add(300), Until: start.Add(600)}
+		fleet.Enqueue(waiters[i], start)
 	}
 	fleet.AnnounceLeave(list[0].Incarnation(), start)
 	Convey("none that was chosen for it may still be sent", t, func() {
@@ -209,12 +209,12 @@
 				version++
 				fleet.SetReplicas(append(append([]Replica{}, list[:which]...), list[which+1:]...), version)
 			case "restart":
-				list[which].Born++
+				list[which].StartedAt++
 			case "leave":
-				fleet.Leave(list[which].ID, version+rapid.Uint64Range(0, 3).Draw(t, "ahead"))
+				fleet.MarkLeaving(list[which].ID, version+rapid.Uint64Range(0, 3).Draw(t, "ahead"))
 			case "confirm":
 				version += 2
-				fleet.Confirm(version)
+				fleet.ConfirmVersion(version)
 			case "ask":
 				placement, _ := fleet.Choose(promptAsk(uint64(step), uint64(step)), now)
 				if placement != nil && announced[placement.Replica.Incarnation()] {
--- a/internal/balancer/survey.go
+++ b/internal/balancer/survey.go
@@ -7,8 +7,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// ServiceSurvey is what a fleet believes of one service, for metrics.
-type ServiceSurvey struct {
+// ServiceStats is what a fleet believes of one service, for metrics.
+type ServiceStats struct {
 	Service string
 	// Listed replicas get work unless they are among the others; those that are Cold get
 	// some.
@@ -16,19 +16,19 @@
 	// Running counts this entry's requests, Waiting those that wait for a replica.
 	Running, Waiting int
 	// Held is the mean of what replicas are believed to hold, Most the largest.
-	Held float64
-	Most int
+	Held    float64
+	MaxHeld int
 	// Excess is how much later than expected answers of late began, in
 	// milliseconds; less than zero means sooner. A value that stays away from zero
 	// means that the model of the engines no longer fits them.
 	Excess float64
 }
 
-// Survey returns what the fleet believes, ordered by service.
-func (fleet *Fleet) Survey(now timekeeper.Instant) []ServiceSurvey {
-	out := make([]ServiceSurvey, 0, len(fleet.services))
+// Stats returns what the fleet believes, ordered by service.
+func (fleet *Fleet) Stats(now timekeeper.Instant) []ServiceStats {
+	out := make([]ServiceStats, 0, len(fleet.services))
 	for _, name := range slices.Sorted(maps.Keys(fleet.services)) {
-		survey := ServiceSurvey{
+		survey := ServiceStats{
 			Service: name, Waiting: len(fleet.queue(name).waiting), Excess: fleet.paceOf(name).excess.now(paceMemory, now),
 		}
 		total := 0
@@ -36,7 +36,7 @@
 			held := member.held(fleet.peersAt(member.key), now)
 			survey.Listed++
 			survey.Running += member.running
-			survey.Most = max(survey.Most, held)
+			survey.MaxHeld = max(survey.MaxHeld, held)
 			total += held
 			switch fleet.eligibility(member, now).Cause {
 			case Leaving, LeaveAnnounced:
@@ -45,7 +45,7 @@
 				survey.Evacuated++
 			case BackingOff:
 				survey.BackingOff++
-			case Unreached:
+			case NoConnection:
 				survey.Unreachable++
 			case Cold:
 				survey.Cold++
--- a/internal/balancer/time_weight_test.go
+++ b/internal/balancer/time_weight_test.go
@@ -33,7 +33,7 @@
 	// peers, and by answers that begin later than expected: engines that read more slowly
 	// than they are taken to look idle otherwise, while their callers leave.
 	ask := promptAsk(1, 1)
-	ask.Within = 600
+	ask.MaxEngineWait = 600
 	weightAfter := func(happen func(fleet *Fleet)) float64 {
 		fleet := plannersWith(quickLink, 3)
 		happen(fleet)
@@ -48,15 +48,15 @@
 	}{
 		{"nothing waits", func(*Fleet) {}, leastTimeWeight},
 		{"peers have sent much", func(fleet *Fleet) {
-			held := map[Key]Held{}
+			held := map[Key]InFlight{}
 			for _, replica := range replicasOf("planner", 3, 64) {
-				held[replica.Key()] = Held{Running: 2, Unread: 30000}
+				held[replica.Key()] = InFlight{Running: 2, PendingTokens: 30000}
 			}
-			fleet.SetPeer("peer", held, timekeeper.Minute, start)
+			fleet.SetPeerInFlight("peer", held, timekeeper.Minute, start)
 		}, 1},
 		{"one engine of three is full", func(fleet *Fleet) {
-			held := map[Key]Held{KeyOf("planner-0"): {Running: 2, Unread: 18000}}
-			fleet.SetPeer("peer", held, timekeeper.Minute, start)
+			held := map[Key]InFlight{KeyOf("planner-0"): {Running: 2, PendingTokens: 18000}}
+			fleet.SetPeerInFlight("peer", held, timekeeper.Minute, start)
 		}, 0.5},
 		{"answers begin late", func(fleet *Fleet) {
 			for range 20 {
@@ -82,14 +82,14 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := plannersWith(engine, 3)
-			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
-			held := map[Key]Held{KeyOf("planner-0"): {Running: 40, Unread: test.unread}}
+			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
+			held := map[Key]InFlight{KeyOf("planner-0"): {Running: 40, PendingTokens: test.unread}}
 			for _, id := range []string{"planner-1", "planner-2"} {
-				held[KeyOf(id)] = Held{Unread: test.unread}
+				held[KeyOf(id)] = InFlight{PendingTokens: test.unread}
 			}
-			fleet.SetPeer("crowd", held, timekeeper.Minute, start)
+			fleet.SetPeerInFlight("crowd", held, timekeeper.Minute, start)
 			ask := promptAsk(1, 1)
-			ask.Within = 2 * timekeeper.Second
+			ask.MaxEngineWait = 2 * timekeeper.Second
 			placement := choose(t, fleet, ask, start)
 			So(placement.Replica.ID, ShouldNotEqual, "planner-0")
 			So(placement.Fetched > 0, ShouldEqual, test.moved)
--- a/internal/balancer/transfer_test.go
+++ b/internal/balancer/transfer_test.go
@@ -24,7 +24,7 @@
 
 // crowd makes a replica hold more than its share, as a peer tells.
 func crowd(fleet *Fleet, id string, now timekeeper.Instant) {
-	fleet.SetPeer("crowd", map[Key]Held{KeyOf(id): {Running: 40}}, timekeeper.Minute, now)
+	fleet.SetPeerInFlight("crowd", map[Key]InFlight{KeyOf(id): {Running: 40}}, timekeeper.Minute, now)
 }
 
 func TestAPromptThatLeavesItsEngineIsHandedOn(t *testing.T) {
@@ -45,7 +45,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := plannersWith(test.engine, 3)
-			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 			crowd(fleet, "planner-0", start)
 			placement := choose(t, fleet, promptAsk(1, 1), start)
 			So(placement.Replica.ID, ShouldNotEqual, "planner-0")
@@ -71,7 +71,7 @@
 		}, "planner-0:1"},
 		{"not one that takes no connections", func(fleet *Fleet) {
 			crowd(fleet, "planner-0", start)
-			fleet.Suspect("planner-0", start)
+			fleet.MarkUnreachable("planner-0", start)
 		}, ""},
 		{"not one that fails", func(fleet *Fleet) {
 			crowd(fleet, "planner-0", start)
@@ -84,7 +84,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := plannersWith(quickLink, 3)
-			fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 			test.happen(fleet)
 			placement := choose(t, fleet, promptAsk(1, 1), start)
 			So(placement.Replica.ID, ShouldNotEqual, "planner-0")
@@ -96,7 +96,7 @@
 	}
 	Convey("not one that has had the request and failed it", t, func() {
 		fleet := plannersWith(quickLink, 3)
-		fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+		fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 		ask := promptAsk(1, 1)
 		ask.Excluded = []string{"planner-0"}
 		So(choose(t, fleet, ask, start).Fetched, ShouldEqual, 0)
@@ -109,7 +109,7 @@
 	// tried again.
 	Convey("is not named again soon", t, func() {
 		fleet := plannersWith(quickLink, 3)
-		fleet.Cached(KeyOf("planner-0"), chain(1, 9), start)
+		fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
 		crowd(fleet, "planner-0", start)
 		now := start
 		for own := range uint64(4) {
@@ -118,13 +118,13 @@
 				delete(fleet.replicas[id].cache.parts, 101)
 			}
 			now = now.Add(1500)
-			fleet.Began(placement, now)
+			fleet.AnswerStarted(placement, now)
 			fleet.End(placement, Served, now)
 		}
 		crowd(fleet, "planner-0", now)
 		So(choose(t, fleet, promptAsk(1, 9), now).Source, ShouldNotEqual, "planner-0:1")
 		now = now.Add(15 * timekeeper.Second)
-		fleet.Cached(KeyOf("planner-0"), chain(1, 9), now)
+		fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), now)
 		crowd(fleet, "planner-0", now)
 		for _, id := range []string{"planner-1", "planner-2"} {
 			delete(fleet.replicas[id].cache.parts, 101)
@@ -142,7 +142,7 @@
 	engine.Memory = 2_000_000
 	fleet := plannersWith(engine, 12)
 	for thing := range uint64(100) {
-		fleet.Cached(KeyOf("planner-0"), chain(thing, 900+thing), start)
+		fleet.RecordCached(KeyOf("planner-0"), chain(thing, 900+thing), start)
 	}
 	fleet.replicas["planner-0"].Leaving = true
 	fetched := 0
@@ -158,7 +158,7 @@
 	Convey("and is used again when it is free", t, func() {
 		later := fleet.replicas["planner-0"].linkFree
 		So(later, ShouldBeLessThan, start.Add(timekeeper.Second))
-		fleet.Cached(KeyOf("planner-0"), chain(200, 1000), later)
+		fleet.RecordCached(KeyOf("planner-0"), chain(200, 1000), later)
 		So(choose(t, fleet, promptAsk(200, 1001), later).Source, ShouldEqual, "planner-0:1")
 	})
 }
@@ -169,7 +169,7 @@
 		for _, busy := range []string{"planner-0", "planner-1"} {
 			fleet := plannersWith(quickLink, 4)
 			for _, id := range []string{"planner-0", "planner-1"} {
-				fleet.Cached(KeyOf(id), chain(1, 9), start)
+				fleet.RecordCached(KeyOf(id), chain(1, 9), start)
 				fleet.replicas[id].Leaving = true
 			}
 			fleet.replicas[busy].linkFree = start.Add(50)
@@ -200,7 +200,7 @@
 		crowd(fleet, first.ID, start)
 		for _, other := range replicasOf("planner", 5, 64) {
 			if other.ID != first.ID {
-				fleet.Cached(KeyOf(other.ID), chain(1, 1)[:1], start)
+				fleet.RecordCached(KeyOf(other.ID), chain(1, 1)[:1], start)
 				break
 			}
 		}
@@ -211,7 +211,7 @@
 		So(choose(t, plannersWith(slowLink, 5), promptAsk(1, 1), start).Source, ShouldEqual, "")
 	})
 	Convey("not for a prompt that nobody shares", t, func() {
-		ask := Ask{Service: "planner", Parts: []Part{{ID: 7, Tokens: 9000}}}
+		ask := Request{Service: "planner", Parts: []Part{{ID: 7, Tokens: 9000}}}
 		So(choose(t, plannersWith(quickLink, 5), ask, start).Source, ShouldEqual, "")
 	})
 }
--- a/internal/follower/dispute_test.go
+++ b/internal/follower/dispute_test.go
@@ -55,19 +55,19 @@
 			sum := func(key string, value int) uint64 { return uint64(key[0])<<32 + uint64(value) }
 			follower := New(Settings[int]{
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: source, Sum: sum,
-				Apply: func(rows map[string]int, _ Version) { copied = rows },
-				Reads: func() bool { return test.reads }, Doubted: func() bool { return true },
+				Apply:    func(rows map[string]int, _ Version) { copied = rows },
+				IsReader: func() bool { return test.reads }, FailingElsewhere: func() bool { return true },
 			})
 			follower.Step(t.Context())
 			wholes = 0
-			other := Listing{Version: table.version, Sum: follower.sum ^ 1}
+			other := Summary{Version: table.version, Sum: follower.sum ^ 1}
 			if test.wrong {
 				other.Sum = follower.sum
 				follower.drop("b")
 				follower.apply()
 			}
 			if test.told {
-				follower.Told(News[int]{Version: table.version + 1, Changes: []Change[int]{{Key: "c", Value: 1}}})
+				follower.ApplyUpdate(Update[int]{Version: table.version + 1, Changes: []Change[int]{{Key: "c", Value: 1}}})
 			}
 			for passed := timekeeper.Span(0); passed <= test.lasts; passed += test.every {
 				follower.Compare(other)
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -86,8 +86,8 @@
 	return follower.synced
 }
 
-// Answered returns when the store answered last; zero means never.
-func (follower *Follower[T]) Answered() timekeeper.Instant {
+// LastAnswered returns when the store answered last; zero means never.
+func (follower *Follower[T]) LastAnswered() timekeeper.Instant {
 	follower.mu.Lock()
 	defer follower.mu.Unlock()
 	return follower.answered
@@ -122,7 +122,7 @@
 		follower.borrow(ctx)
 		return pause
 	}
-	follower.takeIn(answer, follower.settings.Doubted(), now)
+	follower.takeIn(answer, follower.settings.FailingElsewhere(), now)
 	return follower.pace()
 }
 
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -140,7 +140,7 @@
 		table.fail = nil
 		So(follower.Step(context.Background()), ShouldEqual, 0)
 		So(follower.Synced(), ShouldBeTrue)
-		So(follower.Answered(), ShouldEqual, clock.Now())
+		So(follower.LastAnswered(), ShouldEqual, clock.Now())
 		table.fail = eris.New("away")
 		So(follower.Step(context.Background()), ShouldBeLessThanOrEqualTo, firstPause)
 	})
@@ -187,7 +187,7 @@
 func TestReadersShareTheCalls(t *testing.T) {
 	// Dozens of processes read one table. Together they read as often as a few
 	// would, and each still for itself within a bound.
-	pacing := Pacing{Least: 450, Most: 1300, Alone: 4}
+	pacing := Interval{Min: 450, Max: 1300, MaxUnshared: 4}
 	tests := []struct {
 		readers int
 		want    timekeeper.Span
@@ -209,7 +209,7 @@
 		}
 		follower := New(Settings[int]{
 			Name: "test", Clock: timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour)).Clock(), Log: quiet(), Source: source,
-			Apply: func(map[string]int, Version) {}, Pace: pacing, Wait: Pacing{Least: 1500, Most: 3000, Alone: 4},
+			Apply: func(map[string]int, Version) {}, ReadInterval: pacing, Wait: Interval{Min: 1500, Max: 3000, MaxUnshared: 4},
 			Readers: func() int { return readers },
 		})
 		So(follower.Step(t.Context()), ShouldEqual, 450)
@@ -225,7 +225,7 @@
 	// replica that leaves in between would get work all that time. Each span is drawn, so
 	// that after a few reads some process reads every few hundred milliseconds.
 	const readers, fleetGap = 30, 450
-	pacing := Pacing{Least: fleetGap, Most: 4000, Alone: 4}
+	pacing := Interval{Min: fleetGap, Max: 4000, MaxUnshared: 4}
 	draws := rand.New(rand.NewPCG(1, 2))
 	var reads []timekeeper.Span
 	for range readers {
@@ -257,7 +257,7 @@
 		clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 		follower := New(Settings[int]{
 			Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Apply: func(map[string]int, Version) {},
-			Pace: Pacing{Least: 450, Most: 4000, Alone: 4}, Readers: func() int { return int(readers.Load()) },
+			ReadInterval: Interval{Min: 450, Max: 4000, MaxUnshared: 4}, Readers: func() int { return int(readers.Load()) },
 		})
 		follower.Step(t.Context())
 		clock.Advance(settling)
@@ -287,7 +287,7 @@
 		clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 		follower := New(Settings[int]{
 			Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Apply: func(map[string]int, Version) {},
-			Pace: Pacing{Least: 450, Most: 4000, Alone: 4}, Readers: func() int { return 40 }, Lapse: 2200,
+			ReadInterval: Interval{Min: 450, Max: 4000, MaxUnshared: 4}, Readers: func() int { return 40 }, Lapse: 2200,
 		})
 		So(follower.Step(t.Context()), ShouldEqual, 900)
 		clock.Advance(settling)
@@ -316,7 +316,7 @@
 	follower := New(Settings[int]{
 		Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(),
 		Apply: func(applied map[string]int, _ Version) { rows = applied },
-		Copy: func(context.Context) ([]Change[int], Version, error) {
+		FetchCopy: func(context.Context) ([]Change[int], Version, error) {
 			asked++
 			return copied, version, nil
 		},
@@ -329,7 +329,7 @@
 		step(0)
 		So(rows, ShouldResemble, map[string]int{"a": 1, "b": 2})
 		So(follower.Synced(), ShouldBeTrue)
-		So(follower.Answered(), ShouldEqual, 0)
+		So(follower.LastAnswered(), ShouldEqual, 0)
 		Convey("not again and again, and not older ones", func() {
 			step(100)
 			So(asked, ShouldEqual, 1)
--- a/internal/follower/outage_test.go
+++ b/internal/follower/outage_test.go
@@ -140,7 +140,7 @@
 	borrower := New(Settings[int]{
 		Name: "test", Clock: clock.Clock(), Log: quiet(), Lapse: 2200, Sum: sum,
 		Apply: func(rows map[string]int, _ Version) { copied = rows },
-		Copy: func(context.Context) ([]Change[int], Version, error) {
+		FetchCopy: func(context.Context) ([]Change[int], Version, error) {
 			rows, version, _ := lender.Rows()
 			return rows, version, nil
 		},
@@ -158,7 +158,7 @@
 	Convey("it serves with all rows and tells nobody of them", t, func() {
 		So(copied, ShouldResemble, map[string]int{"lives": 1, "died": 1})
 		borrower.answered = clock.Now()
-		_, tells := borrower.Listing()
+		_, tells := borrower.Summary()
 		So(tells, ShouldBeFalse)
 	})
 	clock.Advance(900)
@@ -179,11 +179,11 @@
 	table, clock := newTable(), newClock()
 	table.put("stays", 1)
 	table.put("leaves", 1)
-	var told []News[int]
+	var told []Update[int]
 	follower := New(Settings[int]{
 		Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
 		Sum:   func(key string, value int) uint64 { return uint64(len(key) + 100*value) },
-		Apply: func(map[string]int, Version) {}, Tell: func(news News[int]) { told = append(told, news) },
+		Apply: func(map[string]int, Version) {}, Publish: func(news Update[int]) { told = append(told, news) },
 	})
 	step := func() { follower.Step(t.Context()) }
 	step()
@@ -196,10 +196,10 @@
 	table.remove("leaves")
 	step()
 	Convey("until it is gone", t, func() {
-		So(told, ShouldResemble, []News[int]{{Version: table.version, Changes: []Change[int]{{Key: "stays", Value: 2}}}})
+		So(told, ShouldResemble, []Update[int]{{Version: table.version, Changes: []Change[int]{{Key: "stays", Value: 2}}}})
 		clock.Advance(2200)
 		step()
-		So(told[1:], ShouldResemble, []News[int]{{Version: table.version, Changes: []Change[int]{{Key: "leaves", Removed: true}}}})
+		So(told[1:], ShouldResemble, []Update[int]{{Version: table.version, Changes: []Change[int]{{Key: "leaves", Removed: true}}}})
 	})
 }
 
@@ -221,8 +221,8 @@
 			served := clock.Now().Add(1000)
 			follower := New(Settings[int]{
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
-				Apply: func(rows map[string]int, _ Version) { copied = rows },
-				Reads: func() bool { return false }, Doubted: func() bool { return doubted },
+				Apply:    func(rows map[string]int, _ Version) { copied = rows },
+				IsReader: func() bool { return false }, FailingElsewhere: func() bool { return doubted },
 				OthersServed: func(from timekeeper.Instant) timekeeper.Instant {
 					if served > from && clock.Now().Since(served) <= sharedOutage {
 						return served
@@ -269,9 +269,9 @@
 			copied, doubted := map[string]int{}, false
 			follower := New(Settings[int]{
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
-				Sum:   func(string, int) uint64 { return 7 },
-				Apply: func(rows map[string]int, _ Version) { copied = rows },
-				Reads: func() bool { return false }, Doubted: func() bool { return doubted },
+				Sum:      func(string, int) uint64 { return 7 },
+				Apply:    func(rows map[string]int, _ Version) { copied = rows },
+				IsReader: func() bool { return false }, FailingElsewhere: func() bool { return doubted },
 			})
 			follower.Step(t.Context())
 			clock.Advance(1000)
@@ -280,7 +280,7 @@
 			clock.Advance(3000)
 			doubted = false
 			if test.confirmed {
-				follower.Compare(Listing{Version: table.version, Sum: 7, At: clock.Now()})
+				follower.Compare(Summary{Version: table.version, Sum: 7, At: clock.Now()})
 			}
 			table.remove("lives")
 			follower.Step(t.Context())
@@ -329,7 +329,7 @@
 			table.remove("b")
 			step()
 			So(copied, ShouldResemble, map[string]int{"a": 1, "b": 1})
-			listing := Listing{Version: table.version + test.newer}
+			listing := Summary{Version: table.version + test.newer}
 			for key, value := range test.other {
 				listing.Sum ^= sum(key, value)
 			}
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -20,10 +20,10 @@
 // digest is what one process tells the others.
 type digest struct {
 	member  elector.Member
-	listing follower.Listing
+	listing follower.Summary
 	reads   bool
 	served  timekeeper.Instant
-	news    []follower.News[string]
+	news    []follower.Update[string]
 	leaves  []leave
 }
 
@@ -67,7 +67,7 @@
 	heard  map[string]elector.Member
 	at     map[string]timekeeper.Instant
 	served []timekeeper.Instant
-	news   []follower.News[string]
+	news   []follower.Update[string]
 	leaves []leave
 	known  map[string]timekeeper.Instant
 	rows   map[string]string
@@ -129,9 +129,9 @@
 	one.follower = follower.New(follower.Settings[string]{
 		Name: "test", Clock: fleet.clock, Log: fleet.log, Source: fleet.table.source(one), Seed: seed + uint64(number),
 		Apply: one.apply, Confirm: one.confirm, Lapse: 2200, Sum: func(key, value string) uint64 { return xxhash.Sum64String(key + "=" + value) },
-		Pace: follower.Pacing{Least: 450, Most: 4000, Alone: 1}, Wait: follower.Every(1500),
-		Readers: one.takingTurns, Sharers: func() int { return len(one.members()) }, Reads: one.reads, Doubted: one.doubted,
-		Tell: one.tell, Copy: one.copy, OthersServed: one.othersServed,
+		ReadInterval: follower.Interval{Min: 450, Max: 4000, MaxUnshared: 1}, Wait: follower.Every(1500),
+		Readers: one.takingTurns, Processes: func() int { return len(one.members()) }, IsReader: one.reads, FailingElsewhere: one.doubted,
+		Publish: one.tell, FetchCopy: one.copy, OthersServed: one.othersServed,
 	})
 	return one
 }
@@ -187,7 +187,7 @@
 func (one *process) confirm(version follower.Version) {
 	one.mu.Lock()
 	defer one.mu.Unlock()
-	one.balancer.Confirm(uint64(version))
+	one.balancer.ConfirmVersion(uint64(version))
 }
 
 // works returns how many replicas could get work, and how many at the least since the
@@ -239,7 +239,7 @@
 // mostTold is how many changes are told one by one, as entries do.
 const mostTold = 32
 
-func (one *process) tell(news follower.News[string]) {
+func (one *process) tell(news follower.Update[string]) {
 	one.mu.Lock()
 	for _, change := range news.Changes {
 		if change.Removed || change.Value == "leaving" {
@@ -289,8 +289,8 @@
 	}
 	out := digest{member: one.own}
 	out.member.Failing = one.follower.Failing()
-	out.listing, out.reads = one.follower.Listing()
-	out.served = one.follower.Answered()
+	out.listing, out.reads = one.follower.Summary()
+	out.served = one.follower.LastAnswered()
 	one.mu.Lock()
 	out.news, out.leaves = one.news, one.leaves
 	one.news, one.leaves = nil, nil
@@ -307,12 +307,12 @@
 	one.heard[in.member.Address], one.at[in.member.Address] = in.member, one.clock.Now()
 	one.served = append(one.served, in.served)
 	for _, leave := range in.leaves {
-		one.balancer.Leave(leave.replica, uint64(leave.version))
+		one.balancer.MarkLeaving(leave.replica, uint64(leave.version))
 	}
 	one.fewest = min(one.fewest, one.balancer.Count("planner"))
 	one.mu.Unlock()
 	for _, news := range in.news {
-		one.follower.Told(news)
+		one.follower.ApplyUpdate(news)
 	}
 	if in.reads {
 		one.follower.Compare(in.listing)
--- a/internal/follower/rest.go
+++ b/internal/follower/rest.go
@@ -26,17 +26,17 @@
 // from [0, 1).
 func (follower *Follower[T]) due(factor float64) timekeeper.Span {
 	if !follower.Failing() {
-		return follower.settings.Pace.spread(follower.pace(), factor)
+		return follower.settings.ReadInterval.spread(follower.pace(), factor)
 	}
 	probing := probing(follower.pause)
-	return probing.spread(probing.For(follower.settings.Sharers()), factor)
+	return probing.spread(probing.For(follower.settings.Processes()), factor)
 }
 
 // probing returns the pacing of calls to a store that fails, by the pause of a process that
 // is alone. Each call is paid and one that finds the store back tells the others, so
 // together they ask as often as a few would.
-func probing(pause timekeeper.Span) Pacing {
-	return Pacing{Least: pause, Most: longestProbe, Alone: probers}
+func probing(pause timekeeper.Span) Interval {
+	return Interval{Min: pause, Max: longestProbe, MaxUnshared: probers}
 }
 
 const (
@@ -52,7 +52,7 @@
 // the shortest, since who still has them must hear from the store; while the table
 // may still fill it is short.
 func (follower *Follower[T]) pace() timekeeper.Span {
-	pacing, now := follower.settings.Pace, follower.settings.Clock.Now()
+	pacing, now := follower.settings.ReadInterval, follower.settings.Clock.Now()
 	shared := pacing.For(follower.settings.Readers())
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
@@ -60,9 +60,9 @@
 	case follower.isBehind(now):
 		return 0
 	case len(follower.lapsing) > 0 || now < follower.lenient:
-		return pacing.Least
+		return pacing.Min
 	case now < follower.settles:
-		return min(shared, settlingPaces*pacing.Least)
+		return min(shared, settlingPaces*pacing.Min)
 	}
 	return shared
 }
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -9,15 +9,15 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// News is what a read has changed in a reader's copy, for others.
-type News[T any] struct {
+// Update is what a read has changed in a reader's copy, for others.
+type Update[T any] struct {
 	// Version is that of the table at which the rows were so.
 	Version Version
 	Changes []Change[T]
 }
 
-// Listing says how a copy of a table was.
-type Listing struct {
+// Summary says how a copy of a table was.
+type Summary struct {
 	Version Version
 	// Sum is the checksum of all rows.
 	Sum uint64
@@ -54,8 +54,8 @@
 // where it has not heard for seconds that its copy holds, or where readers that have read
 // anew still have another one.
 func (follower *Follower[T]) duty() duty {
-	reads := follower.settings.Reads()
-	doubted := follower.settings.Doubted()
+	reads := follower.settings.IsReader()
+	doubted := follower.settings.FailingElsewhere()
 	now := follower.settings.Clock.Now()
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
@@ -81,21 +81,21 @@
 	return follower.behind != 0 && now.Since(follower.behind) >= behindFor
 }
 
-// Fresh returns when the copy was last known to be the table's; zero means never.
-func (follower *Follower[T]) Fresh() timekeeper.Instant {
+// LastConfirmed returns when the copy was last known to be the table's; zero means never.
+func (follower *Follower[T]) LastConfirmed() timekeeper.Instant {
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
 	return follower.fresh
 }
 
-// Listing returns what the last reading of this process found; false means that it has
+// Summary returns what the last reading of this process found; false means that it has
 // none to tell of, or that its copy holds rows which the table has no more.
-func (follower *Follower[T]) Listing() (Listing, bool) {
-	answered := follower.Answered()
+func (follower *Follower[T]) Summary() (Summary, bool) {
+	answered := follower.LastAnswered()
 	now := follower.settings.Clock.Now()
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
-	listing := Listing{Version: follower.version, Sum: follower.sum, At: answered}
+	listing := Summary{Version: follower.version, Sum: follower.sum, At: answered}
 	return listing, answered != 0 && now.Since(answered) <= listingLife && len(follower.lapsing) == 0
 }
 
@@ -116,11 +116,11 @@
 	return rows, follower.version, follower.known
 }
 
-// Told takes in what another process has read. It reports whether that was news.
+// ApplyUpdate takes in what another process has read. It reports whether that was news.
 //
 // A change counts where it is newer than the copy. The copy's version stays: there may
 // be changes before this one that have not been told.
-func (follower *Follower[T]) Told(news News[T]) bool {
+func (follower *Follower[T]) ApplyUpdate(news Update[T]) bool {
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
 	if !follower.known || news.Version <= follower.version {
@@ -151,7 +151,7 @@
 // makes this copy as new; one that is newer and different has to be fetched, if the
 // changes between them don't come by themselves. Of two that are different at one version
 // one is wrong.
-func (follower *Follower[T]) Compare(other Listing) {
+func (follower *Follower[T]) Compare(other Summary) {
 	now := follower.settings.Clock.Now()
 	follower.copying.Lock()
 	defer follower.copying.Unlock()
@@ -193,7 +193,7 @@
 	follower.copying.Lock()
 	follower.behind = 0
 	follower.copying.Unlock()
-	if follower.settings.Copy == nil {
+	if follower.settings.FetchCopy == nil {
 		return false
 	}
 	return follower.fetch(ctx)
@@ -202,7 +202,7 @@
 // tell tells others what has changed since an earlier copy, but nothing of rows that are
 // kept though missing: others would take them for rows of the table. The lock must be held.
 func (follower *Follower[T]) tell(before map[string]T) {
-	news := News[T]{Version: follower.version}
+	news := Update[T]{Version: follower.version}
 	for key, value := range follower.rows {
 		if _, lapsing := follower.lapsing[key]; lapsing {
 			continue
@@ -218,6 +218,6 @@
 		}
 	}
 	if len(news.Changes) > 0 {
-		follower.settings.Tell(news)
+		follower.settings.Publish(news)
 	}
 }
--- a/internal/follower/told_test.go
+++ b/internal/follower/told_test.go
@@ -38,7 +38,7 @@
 						return old, 55, nil
 					},
 					Changes: func(context.Context, Version, timekeeper.Span) ([]Change[int], Version, error) {
-						So(follower.Told(News[int]{Version: 60, Changes: []Change[int]{
+						So(follower.ApplyUpdate(Update[int]{Version: 60, Changes: []Change[int]{
 							{Key: "leaves", Value: 2}, {Key: "goes", Removed: true}, {Key: "comes", Value: 1},
 						}}), ShouldBeTrue)
 						if test.whole {
@@ -75,7 +75,7 @@
 		{"a whole read", func(follower *Follower[int]) {
 			follower.takeIn(answer[int]{version: 60, rows: []Change[int]{{Key: "a", Value: 1}}, whole: true}, false, follower.settings.Clock.Now())
 		}},
-		{"another's copy that is the same", func(follower *Follower[int]) { follower.Compare(Listing{Version: 60, Sum: follower.sum}) }},
+		{"another's copy that is the same", func(follower *Follower[int]) { follower.Compare(Summary{Version: 60, Sum: follower.sum}) }},
 		{"another's copy that was fetched", func(follower *Follower[int]) { follower.fetch(context.Background()) }},
 	}
 	for _, test := range tests {
@@ -85,7 +85,7 @@
 				Name: "test", Clock: newClock().Clock(), Log: quiet(), Sum: func(string, int) uint64 { return 7 },
 				Apply:   func(_ map[string]int, version Version) { newest = version },
 				Confirm: func(version Version) { newest = version },
-				Copy: func(context.Context) ([]Change[int], Version, error) {
+				FetchCopy: func(context.Context) ([]Change[int], Version, error) {
 					return []Change[int]{{Key: "a", Value: 1}}, 60, nil
 				},
 				Source: Source[int]{Snapshot: func(context.Context) ([]Change[int], Version, error) {
@@ -126,7 +126,7 @@
 				for i, change := range table.log[from:] {
 					version := table.kept + Version(from+i) + 1
 					if version > follower.version {
-						follower.Told(News[int]{Version: version, Changes: []Change[int]{change}})
+						follower.ApplyUpdate(Update[int]{Version: version, Changes: []Change[int]{change}})
 						newest[change.Key] = max(newest[change.Key], change.Value)
 					}
 				}
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -40,8 +40,8 @@
 	Scope      tally.Scope
 	// Conn carries the datagrams; its address is the one that peers know.
 	Conn net.PacketConn
-	// Held returns what this entry has under way.
-	Held func() map[balancer.Key]balancer.Held
+	// InFlight returns what this entry has under way.
+	InFlight func() map[balancer.Key]balancer.InFlight
 	// Version returns the version of the configuration in force.
 	Version func() uint64
 	// StoreAnswered returns when the store answered this entry last; zero means never.
@@ -49,14 +49,14 @@
 	// StoreFailing reports whether the store did not answer the last call. Nil means
 	// that it did.
 	StoreFailing func() bool
-	// Listing returns what the last own reading of the list of replicas found; false
+	// ListSummary returns what the last own reading of the list of replicas found; false
 	// means that there is none to tell of. Nil means that there never is.
-	Listing func() (follower.Listing, bool)
+	ListSummary func() (follower.Summary, bool)
 	// Evacuations returns what is in force here, and whether peers should be told of it.
 	// Nil means that nothing ever is.
 	Evacuations func() (balancer.Evacuations, bool)
-	// Hear takes what a peer tells.
-	Hear func(heard Heard)
+	// OnDigest takes what a peer tells.
+	OnDigest func(heard Digest)
 	// Budget is in bytes a second; zero means 7,700.
 	Budget float64
 }
@@ -88,8 +88,8 @@
 	if settings.StoreFailing == nil {
 		settings.StoreFailing = func() bool { return false }
 	}
-	if settings.Listing == nil {
-		settings.Listing = func() (follower.Listing, bool) { return follower.Listing{}, false }
+	if settings.ListSummary == nil {
+		settings.ListSummary = func() (follower.Summary, bool) { return follower.Summary{}, false }
 	}
 	if settings.Evacuations == nil {
 		settings.Evacuations = noEvacuations
@@ -100,18 +100,18 @@
 	}
 }
 
-// Learn notes the address of an entry.
-func (gossiper *Gossiper) Learn(address string) {
+// AddPeer notes the address of an entry.
+func (gossiper *Gossiper) AddPeer(address string) {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	gossiper.peers.learn(address, now)
 }
 
-// Placed tells peers of a prompt that was sent to a replica. first says that the
+// SendPlacement tells peers of a prompt that was sent to a replica. first says that the
 // replica reads a part there that other requests share, which peers must know
 // soon: they are told of these parts alone, for the last one is the request's own.
-func (gossiper *Gossiper) Placed(replica balancer.Key, parts []balancer.Part, first bool) {
+func (gossiper *Gossiper) SendPlacement(replica balancer.Key, parts []balancer.Part, first bool) {
 	placed := placement{replica: replica, parts: parts}
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
@@ -123,45 +123,45 @@
 	gossiper.outbox.placements.add(placed)
 }
 
-// Unreachable tells peers at once of a replica that takes no connections.
-func (gossiper *Gossiper) Unreachable(replica string) {
+// SendUnreachable tells peers at once of a replica that takes no connections.
+func (gossiper *Gossiper) SendUnreachable(replica string) {
 	gossiper.tell(func(outbox *outbox) { outbox.unreachable.add(replica) })
 }
 
-// LeaveAnnounced tells peers at once of the incarnation of a replica that has said that it
+// SendLeaveAnnounced tells peers at once of the incarnation of a replica that has said that it
 // leaves.
-func (gossiper *Gossiper) LeaveAnnounced(incarnation string) {
+func (gossiper *Gossiper) SendLeaveAnnounced(incarnation string) {
 	gossiper.tell(func(outbox *outbox) { outbox.announced.add(incarnation) })
 }
 
-// Leaving tells peers at once of a replica that the store lists as leaving or gone.
-func (gossiper *Gossiper) Leaving(leave Leave) {
+// SendLeaving tells peers at once of a replica that the store lists as leaving or gone.
+func (gossiper *Gossiper) SendLeaving(leave Leave) {
 	gossiper.tell(func(outbox *outbox) { outbox.leaves.add(leave) })
 }
 
-// Listed tells peers at once of a change of the list of replicas.
-func (gossiper *Gossiper) Listed(news ReplicaNews) {
+// SendListChange tells peers at once of a change of the list of replicas.
+func (gossiper *Gossiper) SendListChange(news ReplicaUpdate) {
 	gossiper.tell(func(outbox *outbox) { outbox.listed.add(news) })
 }
 
-// Cold tells peers at once of a replica that has turned cold.
-func (gossiper *Gossiper) Cold(notice ColdNotice) {
+// SendCold tells peers at once of a replica that has turned cold.
+func (gossiper *Gossiper) SendCold(notice ColdNotice) {
 	gossiper.tell(func(outbox *outbox) { outbox.cold.add(notice) })
 }
 
-// Struck tells peers at once of a request that was at a replica when it crashed.
-func (gossiper *Gossiper) Struck(strike Strike) {
+// SendStrike tells peers at once of a request that was at a replica when it crashed.
+func (gossiper *Gossiper) SendStrike(strike Strike) {
 	gossiper.tell(func(outbox *outbox) { outbox.strikes.add(strike) })
 }
 
-// Evacuated tells peers at once of the evacuations in force here.
-func (gossiper *Gossiper) Evacuated() { gossiper.kick() }
+// SendEvacuations tells peers at once of the evacuations in force here.
+func (gossiper *Gossiper) SendEvacuations() { gossiper.kick() }
 
-// Configured tells peers at once that the version in force has changed.
-func (gossiper *Gossiper) Configured() { gossiper.kick() }
+// SendVersion tells peers at once that the version in force has changed.
+func (gossiper *Gossiper) SendVersion() { gossiper.kick() }
 
-// Stop tells peers that this entry takes no more callers.
-func (gossiper *Gossiper) Stop() {
+// AnnounceStop tells peers that this entry takes no more callers.
+func (gossiper *Gossiper) AnnounceStop() {
 	gossiper.mu.Lock()
 	gossiper.stopping = true
 	gossiper.mu.Unlock()
@@ -183,33 +183,33 @@
 	}
 }
 
-// Up returns the addresses of the peers that count as up.
-func (gossiper *Gossiper) Up() []string {
+// LivePeers returns the addresses of the peers that count as up.
+func (gossiper *Gossiper) LivePeers() []string {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	return gossiper.peers.up(now)
 }
 
-// Near returns how many peers have been heard of within a span.
-func (gossiper *Gossiper) Near(span timekeeper.Span) int {
+// CountRecentPeers returns how many peers have been heard of within a span.
+func (gossiper *Gossiper) CountRecentPeers(span timekeeper.Span) int {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	return len(gossiper.peers.heardWithin(span, now))
 }
 
-// Known returns the addresses of the peers that were heard or learnt of within a span, those
+// KnownPeers returns the addresses of the peers that were heard or learnt of within a span, those
 // that are silent now among them.
-func (gossiper *Gossiper) Known(span timekeeper.Span) []string {
+func (gossiper *Gossiper) KnownPeers(span timekeeper.Span) []string {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	return gossiper.peers.knownWithin(span, now)
 }
 
-// Members returns the peers that have been heard of within a span.
-func (gossiper *Gossiper) Members(span timekeeper.Span) []elector.Member {
+// RecentMembers returns the peers that have been heard of within a span.
+func (gossiper *Gossiper) RecentMembers(span timekeeper.Span) []elector.Member {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
@@ -267,11 +267,11 @@
 
 // next returns the digest to send, and to whom.
 func (gossiper *Gossiper) next() (*encoder.PeerDigest, []string) {
-	held := gossiper.settings.Held()
-	gossiper.settings.Scope.Gauge("peers-up").Update(float64(len(gossiper.Up())))
+	held := gossiper.settings.InFlight()
+	gossiper.settings.Scope.Gauge("peers-up").Update(float64(len(gossiper.LivePeers())))
 	version := gossiper.settings.Version()
 	failing := gossiper.settings.StoreFailing()
-	listing, reads := gossiper.settings.Listing()
+	listing, reads := gossiper.settings.ListSummary()
 	evacuations, telling := gossiper.settings.Evacuations()
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
@@ -297,7 +297,7 @@
 		Incarnation: digest.Incarnation, Sequence: gossiper.sequence, IntervalMs: digest.IntervalMs,
 		Configuration: version, Stopping: digest.Stopping, StoreAgeMs: ageOf(gossiper.settings.StoreAnswered(), now),
 		Replicas: digest.Replicas, Running: digest.Running, Unread: digest.Unread,
-		DataCentre: CentreKey(gossiper.settings.DataCentre), StoreFailing: failing, Evacuations: digest.Evacuations,
+		DataCentre: DataCentreKey(gossiper.settings.DataCentre), StoreFailing: failing, Evacuations: digest.Evacuations,
 	}
 	if reads {
 		full.Listing = &encoder.PeerListing{Version: uint64(listing.Version), Sum: listing.Sum, AgeMs: ageOf(listing.At, now)}
@@ -382,7 +382,7 @@
 	gossiper.mu.Unlock()
 	if fresh {
 		heard := heardOf(digest, address, now)
-		heard.SameCentre = digest.DataCentre == CentreKey(gossiper.settings.DataCentre)
-		gossiper.settings.Hear(heard)
+		heard.SameDataCentre = digest.DataCentre == DataCentreKey(gossiper.settings.DataCentre)
+		gossiper.settings.OnDigest(heard)
 	}
 }
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -21,10 +21,10 @@
 type listener struct {
 	*Gossiper
 	conn net.PacketConn
-	held map[balancer.Key]balancer.Held
+	held map[balancer.Key]balancer.InFlight
 
 	mu    sync.Mutex
-	heard []Heard
+	heard []Digest
 }
 
 func newListener(t *testing.T, incarnation uint64, clock timekeeper.Clock) *listener {
@@ -35,12 +35,12 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	entry := &listener{conn: conn, held: map[balancer.Key]balancer.Held{}}
+	entry := &listener{conn: conn, held: map[balancer.Key]balancer.InFlight{}}
 	entry.Gossiper = New(Settings{
 		Incarnation: incarnation, Clock: clock, Log: log, Scope: tally.NoopScope, Conn: conn,
-		Held: func() map[balancer.Key]balancer.Held { return entry.held }, Version: func() uint64 { return 7 },
+		InFlight: func() map[balancer.Key]balancer.InFlight { return entry.held }, Version: func() uint64 { return 7 },
 		StoreAnswered: func() timekeeper.Instant { return clock.Now().Add(-250) },
-		Hear: func(heard Heard) {
+		OnDigest: func(heard Digest) {
 			entry.mu.Lock()
 			defer entry.mu.Unlock()
 			entry.heard = append(entry.heard, heard)
@@ -55,7 +55,7 @@
 func (entry *listener) address() string { return entry.conn.LocalAddr().String() }
 
 // wait returns what was heard once there are so many digests.
-func (entry *listener) wait(t *testing.T, count int) []Heard {
+func (entry *listener) wait(t *testing.T, count int) []Digest {
 	t.Helper()
 	for range 2000 {
 		entry.mu.Lock()
@@ -73,23 +73,23 @@
 func TestWhatADigestTells(t *testing.T) {
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	first, second := newListener(t, 1, clock.Clock()), newListener(t, 2, clock.Clock())
-	first.Learn(second.address())
-	first.held[balancer.KeyOf("planner-1")] = balancer.Held{Running: 3, Unread: 9200}
+	first.AddPeer(second.address())
+	first.held[balancer.KeyOf("planner-1")] = balancer.InFlight{Running: 3, PendingTokens: 9200}
 	parts := []balancer.Part{{ID: 1 << 60, Tokens: 2500}, {ID: 2, Tokens: 580}}
-	first.Placed(balancer.KeyOf("planner-1"), parts, false)
-	first.Placed(balancer.KeyOf("planner-2"), parts, true)
-	first.Unreachable("planner-2")
-	first.Leaving(Leave{Replica: "planner-3", Version: 12})
-	first.LeaveAnnounced("planner-5@17")
-	first.Struck(Strike{Request: 1 << 63, Replica: "planner-2"})
-	first.Cold(ColdNotice{Replica: balancer.KeyOf("planner-4"), Until: clock.Now().Add(2500)})
+	first.SendPlacement(balancer.KeyOf("planner-1"), parts, false)
+	first.SendPlacement(balancer.KeyOf("planner-2"), parts, true)
+	first.SendUnreachable("planner-2")
+	first.SendLeaving(Leave{Replica: "planner-3", Version: 12})
+	first.SendLeaveAnnounced("planner-5@17")
+	first.SendStrike(Strike{Request: 1 << 63, Replica: "planner-2"})
+	first.SendCold(ColdNotice{Replica: balancer.KeyOf("planner-4"), Until: clock.Now().Add(2500)})
 	first.round()
 	Convey("all of it arrives", t, func() {
 		heard := second.wait(t, 1)[0]
 		So(heard.Address, ShouldEqual, first.address())
 		So(heard.Configuration, ShouldEqual, 7)
 		So(heard.StoreAnswered, ShouldEqual, clock.Now().Add(-250))
-		So(heard.Held, ShouldResemble, map[balancer.Key]balancer.Held{balancer.KeyOf("planner-1"): {Running: 3, Unread: 9200}})
+		So(heard.InFlight, ShouldResemble, map[balancer.Key]balancer.InFlight{balancer.KeyOf("planner-1"): {Running: 3, PendingTokens: 9200}})
 		So(heard.Placements, ShouldResemble, []Placement{
 			{Replica: balancer.KeyOf("planner-2"), Parts: parts[:1]},
 			{Replica: balancer.KeyOf("planner-1"), Parts: parts},
@@ -101,7 +101,7 @@
 		So(heard.Strikes, ShouldResemble, []Strike{{Request: 1 << 63, Replica: "planner-2"}})
 	})
 	Convey("the peer has heard of the sender, and answers", t, func() {
-		So(second.Up(), ShouldResemble, []string{first.address()})
+		So(second.LivePeers(), ShouldResemble, []string{first.address()})
 		second.round()
 		So(first.wait(t, 1)[0].Address, ShouldEqual, second.address())
 	})
@@ -118,7 +118,7 @@
 		clock.Advance(restful - 1)
 		first.round()
 		So(first.sequence, ShouldEqual, before)
-		first.held[balancer.KeyOf("planner-1")] = balancer.Held{Running: 4}
+		first.held[balancer.KeyOf("planner-1")] = balancer.InFlight{Running: 4}
 		first.round()
 		So(first.sequence, ShouldEqual, before+1)
 	})
@@ -242,7 +242,7 @@
 	// waits for other news.
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	first, second := newListener(t, 1, clock.Clock()), newListener(t, 2, clock.Clock())
-	first.Learn(second.address())
+	first.AddPeer(second.address())
 	first.round()
 	second.wait(t, 1)
 	second.round()
--- a/internal/gossiper/heard.go
+++ b/internal/gossiper/heard.go
@@ -9,13 +9,13 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Heard is what a peer has told.
-type Heard struct {
+// Digest is what a peer has told.
+type Digest struct {
 	// Address is where the peer is reached, by datagrams and by connections.
 	Address string
-	// Life is how long it counts.
-	Life          timekeeper.Span
-	Held          map[balancer.Key]balancer.Held
+	// Lifetime is how long it counts.
+	Lifetime      timekeeper.Span
+	InFlight      map[balancer.Key]balancer.InFlight
 	Configuration uint64
 	// StoreAnswered is when the store answered the peer last; zero means never.
 	StoreAnswered timekeeper.Instant
@@ -27,21 +27,21 @@
 	// leave.
 	LeaveAnnounced []string
 	Strikes        []Strike
-	// SameCentre reports whether the peer stands in the same data centre.
-	SameCentre bool
-	// Listing is what the peer's last reading of the list of replicas found; nil where
+	// SameDataCentre reports whether the peer stands in the same data centre.
+	SameDataCentre bool
+	// ListSummary is what the peer's last reading of the list of replicas found; nil where
 	// it leaves the reading to others.
-	Listing *follower.Listing
-	// Listed are changes of the list that the peer has read.
-	Listed []ReplicaNews
+	ListSummary *follower.Summary
+	// ListChanges are changes of the list that the peer has read.
+	ListChanges []ReplicaUpdate
 	// Cold are replicas that have turned cold, as the peer has read.
 	Cold []ColdNotice
 	// Evacuations are those in force at the peer; nil where it doesn't tell.
 	Evacuations *balancer.Evacuations
 }
 
-// ReplicaNews is a change of the list of replicas.
-type ReplicaNews = follower.News[balancer.Replica]
+// ReplicaUpdate is a change of the list of replicas.
+type ReplicaUpdate = follower.Update[balancer.Replica]
 
 // Placement is a prompt that a peer has sent to a replica.
 type Placement struct {
@@ -49,8 +49,8 @@
 	Parts   []balancer.Part
 }
 
-// CentreKey returns the short name of a data centre in digests.
-func CentreKey(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
+// DataCentreKey returns the short name of a data centre in digests.
+func DataCentreKey(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 const (
 	// lifeRounds is how many intervals a digest counts.
@@ -60,18 +60,18 @@
 )
 
 // heardOf decodes a digest. Lists that don't fit together are cut to the shorter.
-func heardOf(digest *encoder.PeerDigest, address string, now timekeeper.Instant) Heard {
-	heard := Heard{
+func heardOf(digest *encoder.PeerDigest, address string, now timekeeper.Instant) Digest {
+	heard := Digest{
 		Address: address, Configuration: digest.Configuration, Stopping: digest.Stopping,
-		Life: min(max(shortestLife, lifeRounds*timekeeper.Span(digest.IntervalMs)), lifeRounds*longest),
-		Held: make(map[balancer.Key]balancer.Held, len(digest.Replicas)), Unreachable: digest.Unreachable,
+		Lifetime: min(max(shortestLife, lifeRounds*timekeeper.Span(digest.IntervalMs)), lifeRounds*longest),
+		InFlight: make(map[balancer.Key]balancer.InFlight, len(digest.Replicas)), Unreachable: digest.Unreachable,
 		LeaveAnnounced: digest.LeaveAnnounced,
 	}
 	if digest.StoreAgeMs > 0 {
 		heard.StoreAnswered = now.Add(-timekeeper.Span(digest.StoreAgeMs))
 	}
 	for i := range min(len(digest.Replicas), len(digest.Running), len(digest.Unread)) {
-		heard.Held[balancer.Key(digest.Replicas[i])] = balancer.Held{Running: int(digest.Running[i]), Unread: int(digest.Unread[i])}
+		heard.InFlight[balancer.Key(digest.Replicas[i])] = balancer.InFlight{Running: int(digest.Running[i]), PendingTokens: int(digest.Unread[i])}
 	}
 	for _, placed := range digest.Placements {
 		out := Placement{Replica: balancer.Key(placed.Replica)}
@@ -84,12 +84,12 @@
 		heard.Leaves = append(heard.Leaves, Leave{Replica: leave.Replica, Version: leave.Version})
 	}
 	if listing := digest.Listing; listing != nil && listing.AgeMs > 0 {
-		heard.Listing = &follower.Listing{
+		heard.ListSummary = &follower.Summary{
 			Version: follower.Version(listing.Version), Sum: listing.Sum, At: now.Add(-timekeeper.Span(listing.AgeMs)),
 		}
 	}
 	for _, listed := range digest.Listed {
-		heard.Listed = append(heard.Listed, newsOf(listed, now))
+		heard.ListChanges = append(heard.ListChanges, newsOf(listed, now))
 	}
 	for _, cold := range digest.Cold {
 		heard.Cold = append(heard.Cold, ColdNotice{
--- a/internal/gossiper/outbox.go
+++ b/internal/gossiper/outbox.go
@@ -110,7 +110,7 @@
 	leaves      news[Leave]
 	announced   news[string]
 	strikes     news[Strike]
-	listed      news[ReplicaNews]
+	listed      news[ReplicaUpdate]
 	cold        news[ColdNotice]
 }
 
@@ -121,7 +121,7 @@
 		leaves:      news[Leave]{most: mostNews},
 		announced:   news[string]{most: mostNews},
 		strikes:     news[Strike]{most: mostNews},
-		listed:      news[ReplicaNews]{most: mostListed},
+		listed:      news[ReplicaUpdate]{most: mostListed},
 		cold:        news[ColdNotice]{most: mostNews},
 	}
 }
@@ -187,12 +187,12 @@
 }
 
 // fillLoads writes what is under way into a digest, in a fixed order.
-func fillLoads(digest *encoder.PeerDigest, held map[balancer.Key]balancer.Held) {
+func fillLoads(digest *encoder.PeerDigest, held map[balancer.Key]balancer.InFlight) {
 	keys := slices.Sorted(maps.Keys(held))
 	for _, key := range keys {
 		digest.Replicas = append(digest.Replicas, uint32(key))
 		digest.Running = append(digest.Running, uint32(max(0, held[key].Running)))
-		digest.Unread = append(digest.Unread, uint32(max(0, held[key].Unread)))
+		digest.Unread = append(digest.Unread, uint32(max(0, held[key].PendingTokens)))
 	}
 }
 
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -13,7 +13,7 @@
 
 func TestAListOfReplicas(t *testing.T) {
 	list := ReplicaList{Version: 7, Replicas: []balancer.Replica{
-		{ID: "i-1", Born: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64, Leaving: true},
+		{ID: "i-1", StartedAt: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64, Leaving: true},
 		{ID: "i-2", Service: "orders", Address: "10.0.0.2:80"},
 	}, Lapses: map[string]timekeeper.Span{"i-2": 1700}}
 	Convey("arrives as it was", t, func() {
@@ -47,35 +47,35 @@
 	reader, other := newListener(t, 1, clock.Clock()), newListener(t, 2, clock.Clock())
 	reader.settings.DataCentre, other.settings.DataCentre = "bole", "merkato"
 	reader.settings.StoreFailing = func() bool { return true }
-	reader.settings.Listing = func() (follower.Listing, bool) {
-		return follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)}, true
+	reader.settings.ListSummary = func() (follower.Summary, bool) {
+		return follower.Summary{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)}, true
 	}
 	joined := balancer.Replica{
-		ID: "i-1", Born: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64,
+		ID: "i-1", StartedAt: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64,
 	}
-	news := ReplicaNews{Version: 39, Changes: []follower.Change[balancer.Replica]{
+	news := ReplicaUpdate{Version: 39, Changes: []follower.Change[balancer.Replica]{
 		{Key: "i-1", Value: joined}, {Key: "i-2", Removed: true},
 	}}
-	reader.Learn(other.address())
-	reader.Listed(news)
+	reader.AddPeer(other.address())
+	reader.SendListChange(news)
 	reader.round()
 	heard := other.wait(t, 1)[0]
 	Convey("all of it arrives", t, func() {
-		So(heard.Listed, ShouldResemble, []ReplicaNews{news})
-		So(*heard.Listing, ShouldResemble, follower.Listing{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
-		So(heard.SameCentre, ShouldBeFalse)
-		So(other.Members(timekeeper.Second), ShouldResemble, []elector.Member{
-			{Address: reader.address(), DataCentre: CentreKey("bole"), Failing: true},
+		So(heard.ListChanges, ShouldResemble, []ReplicaUpdate{news})
+		So(*heard.ListSummary, ShouldResemble, follower.Summary{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
+		So(heard.SameDataCentre, ShouldBeFalse)
+		So(other.RecentMembers(timekeeper.Second), ShouldResemble, []elector.Member{
+			{Address: reader.address(), DataCentre: DataCentreKey("bole"), Failing: true},
 		})
 	})
 	Convey("a row that names no replica is left out", t, func() {
-		message := messageOf(ReplicaNews{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-3"}}}, 0)
+		message := messageOf(ReplicaUpdate{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-3"}}}, 0)
 		So(newsOf(message, 0).Changes, ShouldBeEmpty)
 	})
 	Convey("for how long a replica is cold is told, not until when", t, func() {
 		cold := joined
 		cold.WarmAt = 5000
-		message := messageOf(ReplicaNews{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-1", Value: cold}}}, 2000)
+		message := messageOf(ReplicaUpdate{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-1", Value: cold}}}, 2000)
 		told := newsOf(message, 70000).Changes[0].Value
 		So(told.WarmAt, ShouldEqual, 73000)
 		text, err := ReplicaList{Version: 1, Replicas: []balancer.Replica{cold}}.Encode(6000)
@@ -87,7 +87,7 @@
 	})
 	Convey("each field of a row counts in its checksum", t, func() {
 		changed := []balancer.Replica{joined, joined, joined, joined, joined, joined}
-		changed[0].Born++
+		changed[0].StartedAt++
 		changed[1].Service = "orders"
 		changed[2].Address = "10.0.0.1:81"
 		changed[3].DataCentre = "ayat"
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -111,8 +111,8 @@
 // Measure measures how late the entry's own work is, until ctx ends.
 func (entry *Entry) Measure(ctx context.Context) { entry.pressure.run(ctx) }
 
-// AskToLeave makes each answer end its connection.
-func (entry *Entry) AskToLeave() { entry.leaving.Store(true) }
+// CloseConnections makes each answer end its connection.
+func (entry *Entry) CloseConnections() { entry.leaving.Store(true) }
 
 // Stop follows AskToLeave: requests that might not be answered by the instant at
 // which the entry ends are refused, so that none is cut off.
@@ -121,9 +121,9 @@
 // Active returns how many requests are on their way.
 func (entry *Entry) Active() int64 { return entry.active.Load() }
 
-// Strike notes, as a peer saw it, that an incarnation of a replica crashed while it
+// RecordStrike notes, as a peer saw it, that an incarnation of a replica crashed while it
 // had a request.
-func (entry *Entry) Strike(request uint64, replica string) {
+func (entry *Entry) RecordStrike(request uint64, replica string) {
 	if entry.strikes.add(request, replica, entry.settings.Clock.Now()) {
 		entry.meters.struck()
 		entry.settings.Log.WithFields(logrus.Fields{
@@ -263,8 +263,8 @@
 	return allowed
 }
 
-// RetriesLeft returns what this entry may still send again, by service.
-func (entry *Entry) RetriesLeft() map[string]float64 {
+// RetriesRemaining returns what this entry may still send again, by service.
+func (entry *Entry) RetriesRemaining() map[string]float64 {
 	sharers, now := entry.settings.Sharers(), entry.settings.Clock.Now()
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
@@ -312,7 +312,7 @@
 // suspect takes a replica out of service for a while.
 func (entry *Entry) suspect(replica balancer.Replica, why string) {
 	now := entry.settings.Clock.Now()
-	entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.Suspect(replica.ID, now) })
+	entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.MarkUnreachable(replica.ID, now) })
 	entry.settings.Pool.Retire(replica.ID)
 	entry.settings.Unreachable(replica.ID)
 	entry.settings.Log.WithFields(logrus.Fields{
--- a/internal/relayer/statement.go
+++ b/internal/relayer/statement.go
@@ -21,7 +21,7 @@
 	}
 	now := task.entry.settings.Clock.Now()
 	if head.Load != nil {
-		task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.Report(replica.ID, *head.Load, now) })
+		task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.RecordReport(replica.ID, *head.Load, now) })
 	}
 	// The lines are about the replica: the story of each request that met it has them.
 	fields := logrus.Fields{
@@ -35,7 +35,7 @@
 	if head.Backoff > 0 {
 		ends := now
 		task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) {
-			ends = fleet.AskBackoff(replica.Incarnation(), head.Backoff, now)
+			ends = fleet.StartBackoff(replica.Incarnation(), head.Backoff, now)
 		})
 		fields["backoff-ms"], fields["kept-ms"] = int64(head.Backoff), int64(ends.Since(now))
 		task.state(fields, statementBackoff, "answer asks for a backoff")
--- a/internal/relayer/statement_test.go
+++ b/internal/relayer/statement_test.go
@@ -18,7 +18,7 @@
 func TestWhatAnswersSayOfTheirReplicas(t *testing.T) {
 	// Guards against what another replica at the address says of itself being taken for the
 	// word of the one that was meant.
-	replica := balancer.Replica{ID: "r", Born: 1000, Service: "orders", Address: "10.0.0.1:80", Slots: 6}
+	replica := balancer.Replica{ID: "r", StartedAt: 1000, Service: "orders", Address: "10.0.0.1:80", Slots: 6}
 	said := Head{
 		NotRun: true, Leaving: true, Backoff: timekeeper.Second, BackoffFault: "cut",
 		Load: &balancer.LoadReport{Running: 6, Slots: 6},
@@ -52,8 +52,8 @@
 			task.hear(replica, 503, test.head)
 			task.hear(replica, 503, test.head)
 			So(announced, ShouldResemble, test.announced)
-			So(fleet.Survey(clock.Now())[0].Most, ShouldEqual, test.held)
-			_, reason := fleet.Choose(balancer.Ask{Service: "orders"}, clock.Now())
+			So(fleet.Stats(clock.Now())[0].MaxHeld, ShouldEqual, test.held)
+			_, reason := fleet.Choose(balancer.Request{Service: "orders"}, clock.Now())
 			So(reason, ShouldEqual, test.reason)
 		})
 	}
@@ -72,7 +72,7 @@
 			fleet.AnnounceLeave("i-1", now)
 		}, http.StatusServiceUnavailable},
 		{"it asks for a backoff", func(fleet *balancer.Fleet, now timekeeper.Instant) {
-			fleet.AskBackoff("i-1", timekeeper.Minute, now)
+			fleet.StartBackoff("i-1", timekeeper.Minute, now)
 		}, http.StatusServiceUnavailable},
 		{"its data centre is evacuated", func(fleet *balancer.Fleet, now timekeeper.Instant) {
 			fleet.Evacuate(balancer.NewEvacuations(1, []string{""}), now)
--- a/internal/relayer/task.go
+++ b/internal/relayer/task.go
@@ -215,9 +215,9 @@
 // place gets a replica for the request, or the reason why there is none.
 func (task *task) place(ctx context.Context) *balancer.Waiter {
 	waiter := &balancer.Waiter{
-		Ask: balancer.Ask{
+		Request: balancer.Request{
 			Service: task.service, Parts: task.call.Parts, Excluded: task.excluded, Connections: task.connections(),
-			Priority: task.rank().EnginePriority(), Within: task.route.Target,
+			Priority: task.rank().EnginePriority(), MaxEngineWait: task.route.Target,
 		},
 		Rank: int(task.rank()), Team: task.team.Name,
 		Due: task.arrived.Add(task.route.Target), Until: task.arrived.Add(task.wait()),
@@ -274,7 +274,7 @@
 // takes work.
 func (task *task) backoffLeft() (left timekeeper.Span) {
 	now := task.entry.settings.Clock.Now()
-	task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { left = fleet.BackoffLeft(task.service, now) })
+	task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { left = fleet.BackoffRemaining(task.service, now) })
 	return left
 }
 
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -118,7 +118,7 @@
 // digests sends what each entry has under way to all others.
 func (run *run) digests(now float64) {
 	for i, from := range run.entries {
-		held, placed := from.fleet.Held(), from.placed
+		held, placed := from.fleet.InFlight(), from.placed
 		from.placed = nil
 		for j, to := range run.entries {
 			if i == j {
@@ -126,9 +126,9 @@
 			}
 			name := fmt.Sprintf("entry-%d", i)
 			run.at(now+transit, func(now float64) {
-				to.fleet.SetPeer(name, held, timekeeper.Second, instant(now))
+				to.fleet.SetPeerInFlight(name, held, timekeeper.Second, instant(now))
 				for _, prompt := range placed {
-					to.fleet.Cached(balancer.KeyOf(run.engines[prompt.engine].id), prompt.parts, instant(now))
+					to.fleet.RecordCached(balancer.KeyOf(run.engines[prompt.engine].id), prompt.parts, instant(now))
 				}
 			})
 		}
@@ -219,13 +219,13 @@
 	}
 	class, left := fresh.class, float64(fresh.class.Patience)
 	waiter := &balancer.Waiter{
-		Ask: balancer.Ask{
-			Service: "planner", Parts: fresh.parts, Priority: class.Urgency, Within: class.Target,
+		Request: balancer.Request{
+			Service: "planner", Parts: fresh.parts, Priority: class.Urgency, MaxEngineWait: class.Target,
 		},
 		Rank: class.Urgency, Team: "team", Due: instant(now).Add(class.Target),
 		Until: instant(now + math.Min(waitTargets*float64(class.Target), waitShare*left)),
 	}
-	fresh.entry.fleet.Join(waiter, instant(now))
+	fresh.entry.fleet.Enqueue(waiter, instant(now))
 	if !run.decided(fresh, waiter, now) {
 		fresh.entry.waiting[waiter] = fresh
 	}
@@ -284,7 +284,7 @@
 	run.count(request, chosen, placement)
 	run.numbers++
 	work := &job{parts: request.parts, output: request.class.Output, priority: request.class.Urgency, number: run.numbers}
-	end := func(ending balancer.Ending, now float64) {
+	end := func(ending balancer.Outcome, now float64) {
 		request.over = true
 		entry.running[chosen]--
 		if placement != nil {
@@ -354,7 +354,7 @@
 // first notes the first event of an answer.
 func (run *run) first(request *request, placement *balancer.Placement, now float64) {
 	if placement != nil {
-		request.entry.fleet.Began(placement, instant(now))
+		request.entry.fleet.AnswerStarted(placement, instant(now))
 	}
 	request.answered = true
 	onTime := now-request.arrived <= float64(request.class.Target)
