--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -52,7 +52,7 @@
 		held[i].peers = fleet.peersAt(held[i].key)
 		held[i].load = held[i].held(held[i].peers, now)
 		if len(ask.Parts) > 0 {
-			held[i].waiting = held[i].waitingFor(ask.Priority, held[i].peers.PendingTokens) / fleet.settings.ReadRate
+			held[i].waiting = held[i].waitingFor(ask.Priority, held[i].peers.PendingTokens) / fleet.settings.PrefillRate
 		}
 	}
 }
@@ -191,7 +191,7 @@
 		if ask.MaxEngineWait > 0 && c.waiting > float64(ask.MaxEngineWait) {
 			return true
 		}
-		extra := float64(c.uncached-least) / fleet.settings.ReadRate
+		extra := float64(c.uncached-least) / fleet.settings.PrefillRate
 		return extra*float64(c.held) > mostDisturbed
 	})
 }
@@ -213,7 +213,7 @@
 	fetch := sources.to(member.replica, member.shared, held, now)
 	uncached := member.uncached - fetch.tokens
 	waiting := member.waiting
-	reading := float64(uncached) / fleet.settings.ReadRate
+	reading := float64(uncached) / fleet.settings.PrefillRate
 	expected := waiting + fetch.time + reading
 	weight := sources.weight.at(expected)
 	read := readCost(reading, held, weight) + fetch.price + weight*fetch.time
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -25,9 +25,9 @@
 	// MovePrice is how many prompt tokens that are read cost as much as a gigabyte
 	// that engines hand on; zero means 2,300. See DefaultMovePrice.
 	MovePrice float64
-	// ReadRate is how many prompt tokens an engine reads in a millisecond; zero means
+	// PrefillRate is how many prompt tokens an engine reads in a millisecond; zero means
 	// 40. See DefaultReadRate.
-	ReadRate float64
+	PrefillRate float64
 	// KnownParts is how many prompt parts are remembered of all replicas together; zero
 	// means 262,144. See DefaultKnownParts.
 	KnownParts int
@@ -73,8 +73,8 @@
 	if settings.MovePrice == 0 {
 		settings.MovePrice = DefaultMovePrice
 	}
-	if settings.ReadRate == 0 {
-		settings.ReadRate = DefaultReadRate
+	if settings.PrefillRate == 0 {
+		settings.PrefillRate = DefaultReadRate
 	}
 	if settings.KnownParts == 0 {
 		settings.KnownParts = DefaultKnownParts
--- a/internal/balancer/transfer.go
+++ b/internal/balancer/transfer.go
@@ -58,7 +58,7 @@
 func (fleet *Fleet) sourcesOf(ask Request, held []holding, now timekeeper.Instant) sources {
 	engine := fleet.engines[ask.Service]
 	found := sources{
-		engine: engine, rate: fleet.settings.ReadRate, price: fleet.movePrice(engine), weight: fleet.timeWeight(ask, held, now),
+		engine: engine, rate: fleet.settings.PrefillRate, price: fleet.movePrice(engine), weight: fleet.timeWeight(ask, held, now),
 	}
 	if !engine.hands() {
 		return found
@@ -86,7 +86,7 @@
 // reading as much as that would take an engine.
 func (fleet *Fleet) movePrice(engine Engine) float64 {
 	const gigabyte = 1e9
-	return priceWeight * fleet.settings.MovePrice * engine.TokenBytes / gigabyte / fleet.settings.ReadRate
+	return priceWeight * fleet.settings.MovePrice * engine.TokenBytes / gigabyte / fleet.settings.PrefillRate
 }
 
 // fetch is how an engine would get parts of a prompt from another one.
@@ -140,7 +140,7 @@
 // withoutFetch returns the candidate as one that reads all it lacks.
 func (fleet *Fleet) withoutFetch(c candidate) candidate {
 	c.uncached += c.fetch.tokens
-	c.expected += float64(c.fetch.tokens)/fleet.settings.ReadRate - c.fetch.time
+	c.expected += float64(c.fetch.tokens)/fleet.settings.PrefillRate - c.fetch.time
 	c.fetch = fetch{}
 	return c
 }
@@ -157,8 +157,8 @@
 		return nil
 	}
 	missing := chosen.uncached - ask.Parts[len(ask.Parts)-1].Tokens
-	if missing <= chosen.fetch.tokens || engine.transfer(missing) >= float64(missing)/fleet.settings.ReadRate ||
-		float64(missing)*fleet.movePrice(engine) >= readCost(float64(missing)/fleet.settings.ReadRate, 0, 1) {
+	if missing <= chosen.fetch.tokens || engine.transfer(missing) >= float64(missing)/fleet.settings.PrefillRate ||
+		float64(missing)*fleet.movePrice(engine) >= readCost(float64(missing)/fleet.settings.PrefillRate, 0, 1) {
 		return nil
 	}
 	part := shared[len(shared)-1].ID
