--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// DefaultReadRate is how many prompt tokens an engine is taken to read in a
+	// DefaultPrefillRate is how many prompt tokens an engine is taken to read in a
 	// millisecond: it only has to weigh reading against waiting. It isn't learnt from
 	// how long answers take, since at full engines that time is spent waiting.
-	DefaultReadRate = 40.0
+	DefaultPrefillRate = 40.0
 	// reuseWeight is how many times its own time reading a prompt again counts. It
 	// delays all others at the engine, evicts what they have cached, and the
 	// operator pays for it.
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -74,7 +74,7 @@
 		settings.MovePrice = DefaultMovePrice
 	}
 	if settings.PrefillRate == 0 {
-		settings.PrefillRate = DefaultReadRate
+		settings.PrefillRate = DefaultPrefillRate
 	}
 	if settings.KnownParts == 0 {
 		settings.KnownParts = DefaultKnownParts
