--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -239,7 +239,7 @@
 		return nil, AllFull
 	}
 	even := meanHeld(open)
-	share := max(even, margin*fleet.settings.Bound*spread.mean(even)) + spare
+	share := max(even, margin*fleet.settings.LoadFactor*spread.mean(even)) + spare
 	places := 1 - kept*fleet.queue(ask.Service).moreUrgent(ask.Priority, now)
 	free := slices.DeleteFunc(open, func(c candidate) bool {
 		held := float64(c.held)
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -15,9 +15,9 @@
 	DataCentre string
 	// Seed seeds the choice among equals.
 	Seed uint64
-	// Bound is how many times the mean of its service a replica may hold; zero
+	// LoadFactor is how many times the mean of its service a replica may hold; zero
 	// means 2. See bounded.
-	Bound float64
+	LoadFactor float64
 	// ColdRateFactor is how many times the rate that a cold replica tolerates all entries
 	// together may send in a second, and ColdSlack how many requests more. Zero means once,
 	// and none.
@@ -64,8 +64,8 @@
 
 // New returns a fleet without replicas.
 func New(settings Settings) *Fleet {
-	if settings.Bound == 0 {
-		settings.Bound = 2
+	if settings.LoadFactor == 0 {
+		settings.LoadFactor = 2
 	}
 	if settings.ColdRateFactor == 0 {
 		settings.ColdRateFactor = 1
