--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -118,12 +118,12 @@
 			direct.chilled(change.Replica)
 			continue
 		}
-		if change.Gone || change.Restarted {
+		if change.Removed || change.Restarted {
 			direct.pool.Retire(change.Replica.ID)
 		}
 		direct.log.WithFields(logrus.Fields{
 			labelReplica: change.Replica.ID, "service": change.Replica.Service, "address": change.Replica.Address,
-			"leaving": change.Replica.Leaving, "gone": change.Gone, "restarted": change.Restarted,
+			"leaving": change.Replica.Leaving, "gone": change.Removed, "restarted": change.Restarted,
 		}).Info("replica listed")
 	}
 }
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -103,7 +103,7 @@
 	Replica Replica
 	// Restarted reports that the replica started again under its ID.
 	Restarted bool
-	Gone      bool
+	Removed      bool
 	// TurnedCold reports that nothing has changed but that the replica has turned cold, or
 	// stays so for longer than was known.
 	TurnedCold bool
@@ -142,7 +142,7 @@
 	}
 	for id, known := range fleet.replicas {
 		if !listed[id] {
-			changes = append(changes, Change{Replica: known.Replica, Gone: true})
+			changes = append(changes, Change{Replica: known.Replica, Removed: true})
 			fleet.unlisted.put(known.Incarnation(), known.said)
 			delete(fleet.replicas, id)
 		}
