--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -131,7 +131,7 @@
 	placement := &Placement{
 		Replica: chosen.Replica, Uncached: chosen.uncached, Expected: timekeeper.Span(chosen.expected),
 		Held: chosen.held, Candidates: count, Access: chosen.access, ListVersion: fleet.version,
-		FirstRead: firstRead, at: now, priority: ask.Priority,
+		FirstPrefill: firstRead, at: now, priority: ask.Priority,
 	}
 	if guessed != nil {
 		placement.Source = guessed.Address
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -238,9 +238,9 @@
 	// version of the list that the choice went by.
 	Access      Access
 	ListVersion uint64
-	// FirstRead reports whether the replica is believed to read a part there for
+	// FirstPrefill reports whether the replica is believed to read a part there for
 	// the first time that other requests share.
-	FirstRead bool
+	FirstPrefill bool
 	at        timekeeper.Instant
 	priority  int
 	began     bool
