--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -68,7 +68,7 @@
 		if !pool.admits(eligibility, slices.Contains(ask.Excluded, member.ID)) {
 			continue
 		}
-		if ask.Connections > 0 && member.running >= ask.Connections {
+		if ask.MaxConnections > 0 && member.running >= ask.MaxConnections {
 			continue
 		}
 		if eligibility.Access == Limited {
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -76,9 +76,9 @@
 	Parts []Part
 	// Excluded are incarnations that have had the request.
 	Excluded []string
-	// Connections is how many requests this entry may have at one replica; zero
+	// MaxConnections is how many requests this entry may have at one replica; zero
 	// means any number.
-	Connections int
+	MaxConnections int
 	// Priority is the one that engines read the prompt in, from 0, which is first,
 	// to Priorities-1.
 	Priority int
--- a/internal/relayer/task.go
+++ b/internal/relayer/task.go
@@ -216,7 +216,7 @@
 func (task *task) place(ctx context.Context) *balancer.Waiter {
 	waiter := &balancer.Waiter{
 		Request: balancer.Request{
-			Service: task.service, Parts: task.call.Parts, Excluded: task.excluded, Connections: task.connections(),
+			Service: task.service, Parts: task.call.Parts, Excluded: task.excluded, MaxConnections: task.connections(),
 			Priority: task.rank().EnginePriority(), MaxEngineWait: task.route.Target,
 		},
 		Rank: int(task.rank()), Team: task.team.Name,
