--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -191,7 +191,7 @@
 			}
 		}
 		for _, incarnation := range heard.LeaveAnnounced {
-			if fleet.AnnounceLeave(incarnation, now) {
+			if fleet.MarkLeaveAnnounced(incarnation, now) {
 				announced = append(announced, incarnation)
 			}
 		}
--- a/internal/balancer/backoff_test.go
+++ b/internal/balancer/backoff_test.go
@@ -106,8 +106,8 @@
 	fleet, list := refusing(2, 1, timekeeper.Second)
 	fleet.SetReplicas(list[1:], 6)
 	Convey("both are kept", t, func() {
-		So(fleet.AnnounceLeave(list[0].Incarnation(), start), ShouldBeTrue)
-		So(fleet.AnnounceLeave(list[0].Incarnation(), start), ShouldBeFalse)
+		So(fleet.MarkLeaveAnnounced(list[0].Incarnation(), start), ShouldBeTrue)
+		So(fleet.MarkLeaveAnnounced(list[0].Incarnation(), start), ShouldBeFalse)
 		fleet.SetReplicas(list, 7)
 		So(chosenAt(fleet, latest(timekeeper.Second)), ShouldEqual, 0)
 	})
@@ -244,10 +244,10 @@
 	})
 	Convey("those that leave or are evacuated don't count", t, func() {
 		fleet, list := refusing(3, 1, span)
-		fleet.AnnounceLeave(list[1].Incarnation(), start)
+		fleet.MarkLeaveAnnounced(list[1].Incarnation(), start)
 		fleet.MarkLeaving(list[2].ID, 99)
 		So(fleet.BackoffRemaining("planner", start), ShouldBeGreaterThanOrEqualTo, span)
-		fleet.AnnounceLeave(list[0].Incarnation(), start)
+		fleet.MarkLeaveAnnounced(list[0].Incarnation(), start)
 		So(fleet.BackoffRemaining("planner", start), ShouldEqual, 0)
 		waiter := waiterFor(2 * span)
 		fleet.Enqueue(waiter, start)
--- a/internal/balancer/statement.go
+++ b/internal/balancer/statement.go
@@ -62,9 +62,9 @@
 	return nil, false
 }
 
-// AnnounceLeave notes that an incarnation of a replica has said, to this entry or to a peer,
+// MarkLeaveAnnounced notes that an incarnation of a replica has said, to this entry or to a peer,
 // that it leaves, and reports whether that is news. It gets no work any more.
-func (fleet *Fleet) AnnounceLeave(incarnation string, now timekeeper.Instant) bool {
+func (fleet *Fleet) MarkLeaveAnnounced(incarnation string, now timekeeper.Instant) bool {
 	said := fleet.saidBy(incarnation)
 	if said.leaving != 0 {
 		return false
--- a/internal/balancer/statement_test.go
+++ b/internal/balancer/statement_test.go
@@ -38,55 +38,55 @@
 		play  func(fleet *Fleet)
 		works bool
 	}{
-		{"nothing else", func(fleet *Fleet) { fleet.AnnounceLeave(life(first), start) }, false},
+		{"nothing else", func(fleet *Fleet) { fleet.MarkLeaveAnnounced(life(first), start) }, false},
 		{"a newer list has it ready", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
+			fleet.MarkLeaveAnnounced(life(first), start)
 			fleet.SetReplicas(bornAt(first), 9)
 		}, false},
 		{"an older list has it ready", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
+			fleet.MarkLeaveAnnounced(life(first), start)
 			fleet.SetReplicas(bornAt(first), 3)
 		}, false},
 		{"a peer's word that it leaves is corrected", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
+			fleet.MarkLeaveAnnounced(life(first), start)
 			fleet.MarkLeaving("planner-0", 12)
 			So(fleet.ConfirmVersion(13), ShouldBeEmpty)
 		}, false},
 		{"its row lapses and comes back", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
+			fleet.MarkLeaveAnnounced(life(first), start)
 			fleet.SetReplicas(bornAt(first)[1:], 9)
 			fleet.SetReplicas(bornAt(first), 10)
 		}, false},
 		{"its data centre is evacuated and taken back", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
+			fleet.MarkLeaveAnnounced(life(first), start)
 			fleet.Evacuate(NewEvacuations(1, []string{"bole"}), start)
 			fleet.Evacuate(NewEvacuations(2, nil), start)
 		}, false},
 		{"it is heard before the list has the replica", func(fleet *Fleet) {
 			fleet.SetReplicas(bornAt(first)[1:], 9)
-			fleet.AnnounceLeave(life(first), start)
+			fleet.MarkLeaveAnnounced(life(first), start)
 			fleet.SetReplicas(bornAt(first), 10)
 		}, false},
 		{"the replica starts again under its name", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
+			fleet.MarkLeaveAnnounced(life(first), start)
 			fleet.SetReplicas(bornAt(second), 9)
 		}, true},
 		{"it goes, and starts again under its name", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
+			fleet.MarkLeaveAnnounced(life(first), start)
 			fleet.SetReplicas(bornAt(first)[1:], 9)
 			fleet.SetReplicas(bornAt(second), 10)
 		}, true},
 		{"it is heard of the earlier life when the later one is listed", func(fleet *Fleet) {
 			fleet.SetReplicas(bornAt(second), 9)
-			fleet.AnnounceLeave(life(first), start)
+			fleet.MarkLeaveAnnounced(life(first), start)
 		}, true},
 		{"it is heard of the later life first", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(second), start)
+			fleet.MarkLeaveAnnounced(life(second), start)
 			So(fleet.Count("planner"), ShouldEqual, 2)
 			fleet.SetReplicas(bornAt(second), 9)
 		}, false},
 		{"another replica takes its address", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
+			fleet.MarkLeaveAnnounced(life(first), start)
 			list := bornAt(first)
 			list[0].ID = "planner-7"
 			fleet.SetReplicas(list, 9)
@@ -124,7 +124,7 @@
 			fleet := New(Settings{Seed: 1})
 			list := replicasOf("planner", 2, 64)
 			fleet.SetReplicas(list, 5)
-			So(fleet.AnnounceLeave("planner-0", start), ShouldBeTrue)
+			So(fleet.MarkLeaveAnnounced("planner-0", start), ShouldBeTrue)
 			So(fleet.Count("planner"), ShouldEqual, 1)
 			test.play(fleet, replicasOf("planner", 2, 64))
 			So(fleet.Count("planner"), ShouldEqual, map[bool]int{true: 2, false: 1}[test.works])
@@ -132,7 +132,7 @@
 	}
 	Convey("nothing is kept of one that isn't listed", t, func() {
 		fleet := New(Settings{Seed: 1})
-		So(fleet.AnnounceLeave("planner-0", start), ShouldBeFalse)
+		So(fleet.MarkLeaveAnnounced("planner-0", start), ShouldBeFalse)
 		fleet.SetReplicas(replicasOf("planner", 2, 64), 5)
 		So(fleet.Count("planner"), ShouldEqual, 2)
 	})
@@ -150,7 +150,7 @@
 		waiters[i] = &Waiter{Request: promptAsk(uint64(i), uint64(1000+i)), Due: start.Add(300), Until: start.Add(600)}
 		fleet.Enqueue(waiters[i], start)
 	}
-	fleet.AnnounceLeave(list[0].Incarnation(), start)
+	fleet.MarkLeaveAnnounced(list[0].Incarnation(), start)
 	Convey("none that was chosen for it may still be sent", t, func() {
 		So(len(chosen), ShouldBeGreaterThan, 50)
 		for _, placement := range chosen {
@@ -178,12 +178,12 @@
 	// Guards against memory that grows with each replica that leaves.
 	fleet := New(Settings{Seed: 1})
 	for number := range mostStatements + 100 {
-		fleet.AnnounceLeave(fmt.Sprintf("planner-%d@1", number), start.Add(timekeeper.Span(number)))
+		fleet.MarkLeaveAnnounced(fmt.Sprintf("planner-%d@1", number), start.Add(timekeeper.Span(number)))
 	}
 	Convey("the oldest go", t, func() {
 		So(fleet.unlisted, ShouldHaveLength, mostStatements)
-		So(fleet.AnnounceLeave("planner-0@1", start), ShouldBeTrue)
-		So(fleet.AnnounceLeave(fmt.Sprintf("planner-%d@1", mostStatements+99), start), ShouldBeFalse)
+		So(fleet.MarkLeaveAnnounced("planner-0@1", start), ShouldBeTrue)
+		So(fleet.MarkLeaveAnnounced(fmt.Sprintf("planner-%d@1", mostStatements+99), start), ShouldBeFalse)
 	})
 }
 
@@ -200,7 +200,7 @@
 			now, which := start.Add(timekeeper.Span(step)), rapid.IntRange(0, count-1).Draw(t, "which")
 			switch rapid.SampledFrom([]string{"announce", "list", "lapse", "restart", "leave", "confirm", "ask"}).Draw(t, "what") {
 			case "announce":
-				fleet.AnnounceLeave(list[which].Incarnation(), now)
+				fleet.MarkLeaveAnnounced(list[which].Incarnation(), now)
 				announced[list[which].Incarnation()] = true
 			case "list":
 				version++
--- a/internal/relayer/statement.go
+++ b/internal/relayer/statement.go
@@ -56,7 +56,7 @@
 func (entry *Entry) announceLeave(replica balancer.Replica) {
 	now, news := entry.settings.Clock.Now(), false
 	incarnation := replica.Incarnation()
-	entry.settings.Fleet.With(func(fleet *balancer.Fleet) { news = fleet.AnnounceLeave(incarnation, now) })
+	entry.settings.Fleet.With(func(fleet *balancer.Fleet) { news = fleet.MarkLeaveAnnounced(incarnation, now) })
 	if news {
 		entry.settings.LeaveAnnounced(incarnation)
 	}
--- a/internal/relayer/statement_test.go
+++ b/internal/relayer/statement_test.go
@@ -69,7 +69,7 @@
 	}{
 		{"nothing happens", func(*balancer.Fleet, timekeeper.Instant) {}, http.StatusOK},
 		{"it announces its leave", func(fleet *balancer.Fleet, now timekeeper.Instant) {
-			fleet.AnnounceLeave("i-1", now)
+			fleet.MarkLeaveAnnounced("i-1", now)
 		}, http.StatusServiceUnavailable},
 		{"it asks for a backoff", func(fleet *balancer.Fleet, now timekeeper.Instant) {
 			fleet.StartBackoff("i-1", timekeeper.Minute, now)
