--- a/internal/assembler/direct_survey.go
+++ b/internal/assembler/direct_survey.go
@@ -91,7 +91,7 @@
 		{"requests-waiting", float64(service.Waiting)},
 		{"held-mean", service.Held},
 		{"held-most", float64(service.MaxHeld)},
-		{"later-than-expected-ms", service.Excess},
+		{"later-than-expected-ms", service.ExcessLatency},
 	}
 	for _, gauge := range gauges {
 		scope.Gauge(gauge.name).Update(gauge.value)
--- a/internal/balancer/survey.go
+++ b/internal/balancer/survey.go
@@ -18,10 +18,10 @@
 	// Held is the mean of what replicas are believed to hold, Most the largest.
 	Held    float64
 	MaxHeld int
-	// Excess is how much later than expected answers of late began, in
+	// ExcessLatency is how much later than expected answers of late began, in
 	// milliseconds; less than zero means sooner. A value that stays away from zero
 	// means that the model of the engines no longer fits them.
-	Excess float64
+	ExcessLatency float64
 }
 
 // Stats returns what the fleet believes, ordered by service.
@@ -29,7 +29,7 @@
 	out := make([]ServiceStats, 0, len(fleet.services))
 	for _, name := range slices.Sorted(maps.Keys(fleet.services)) {
 		survey := ServiceStats{
-			Service: name, Waiting: len(fleet.queue(name).waiting), Excess: fleet.paceOf(name).excess.now(paceMemory, now),
+			Service: name, Waiting: len(fleet.queue(name).waiting), ExcessLatency: fleet.paceOf(name).excess.now(paceMemory, now),
 		}
 		total := 0
 		for _, member := range fleet.services[name] {
--- a/internal/balancer/survey_test.go
+++ b/internal/balancer/survey_test.go
@@ -23,8 +23,8 @@
 	Convey("each state, the load and the drift of the model", t, func() {
 		survey := fleet.Stats(start.Add(placement.Expected + 200))
 		So(survey, ShouldHaveLength, 1)
-		So(survey[0].Excess, ShouldBeGreaterThan, 0)
-		survey[0].Excess = 0
+		So(survey[0].ExcessLatency, ShouldBeGreaterThan, 0)
+		survey[0].ExcessLatency = 0
 		So(survey[0], ShouldResemble, ServiceStats{
 			Service: "planner", Listed: 3, Leaving: 1, Unreachable: 1, Running: 1, Held: 2, MaxHeld: 6,
 		})
