--- a/internal/assembler/direct_evacuations.go
+++ b/internal/assembler/direct_evacuations.go
@@ -33,7 +33,7 @@
 // evacuations returns what is in force here, and whether digests tell of it.
 func (fellows *fellows) evacuations() (current balancer.Evacuations, tell bool) {
 	fellows.direct.fleet.With(func(fleet *balancer.Fleet) { current = fleet.Evacuations() })
-	return current, len(current.Centres) > 0 || fellows.notice.active(fellows.direct.clock.Now())
+	return current, len(current.DataCentres) > 0 || fellows.notice.active(fellows.direct.clock.Now())
 }
 
 // evacuate puts evacuations in force, unless newer ones are, and reports whether they are
@@ -48,7 +48,7 @@
 	}
 	direct.fellows.notice.extend(now.Add(endNotice))
 	direct.log.WithFields(logrus.Fields{
-		"version": evacuations.Version, "data-centres": evacuations.Centres, "from": from,
+		"version": evacuations.Version, "data-centres": evacuations.DataCentres, "from": from,
 	}).Info("evacuations in force")
 	return true
 }
--- a/internal/assembler/direct_evacuations_test.go
+++ b/internal/assembler/direct_evacuations_test.go
@@ -13,7 +13,7 @@
 
 // evacuated returns the data centres that an entry sends nothing to.
 func (direct *Direct) evacuated() (centres []string) {
-	direct.fleet.With(func(fleet *balancer.Fleet) { centres = fleet.Evacuations().Centres })
+	direct.fleet.With(func(fleet *balancer.Fleet) { centres = fleet.Evacuations().DataCentres })
 	return centres
 }
 
--- a/internal/balancer/evacuation.go
+++ b/internal/balancer/evacuation.go
@@ -10,23 +10,23 @@
 // it at a version of their table. Of two the newer holds. The zero value knows nothing.
 type Evacuations struct {
 	Version uint64
-	// Centres are in ascending order.
-	Centres []string
+	// DataCentres are in ascending order.
+	DataCentres []string
 }
 
 // NewEvacuations returns the evacuations of a version.
 func NewEvacuations(version uint64, centres []string) Evacuations {
-	return Evacuations{Version: version, Centres: slices.Sorted(slices.Values(centres))}
+	return Evacuations{Version: version, DataCentres: slices.Sorted(slices.Values(centres))}
 }
 
 // SameDataCentres reports whether the same data centres are evacuated, at whatever versions.
 func (evacuations Evacuations) SameDataCentres(other Evacuations) bool {
-	return slices.Equal(evacuations.Centres, other.Centres)
+	return slices.Equal(evacuations.DataCentres, other.DataCentres)
 }
 
 // Contains reports whether a data centre is evacuated.
 func (evacuations Evacuations) Contains(centre string) bool {
-	return slices.Contains(evacuations.Centres, centre)
+	return slices.Contains(evacuations.DataCentres, centre)
 }
 
 // Evacuations returns what is in force.
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -281,7 +281,7 @@
 		IntervalMs: uint32(max(gossiper.span, restful)), Stopping: gossiper.stopping,
 	}
 	if telling {
-		digest.Evacuations = &encoder.PeerEvacuations{Version: evacuations.Version, DataCentres: evacuations.Centres}
+		digest.Evacuations = &encoder.PeerEvacuations{Version: evacuations.Version, DataCentres: evacuations.DataCentres}
 	}
 	fillLoads(digest, held)
 	if gossiper.outbox.empty() && same(gossiper.last, digest) && now.Since(gossiper.lastSent) < restful {
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -260,7 +260,7 @@
 			first.round()
 			heard := second.wait(t, 4)[3]
 			So(heard.Evacuations.Version, ShouldEqual, told.Version)
-			So(heard.Evacuations.Centres, ShouldBeEmpty)
+			So(heard.Evacuations.DataCentres, ShouldBeEmpty)
 		})
 	})
 }
