--- a/internal/assembler/direct_leaves_test.go
+++ b/internal/assembler/direct_leaves_test.go
@@ -30,7 +30,7 @@
 	direct.replicas.Step(t.Context())
 	listing, _ := direct.replicas.Summary()
 	works := func() (count int) {
-		direct.fleet.With(func(fleet *balancer.Fleet) { count = fleet.Count("planner") })
+		direct.fleet.With(func(fleet *balancer.Fleet) { count = fleet.CountAvailable("planner") })
 		return count
 	}
 	hear := func(heard gossiper.Digest) {
--- a/internal/balancer/evacuation_test.go
+++ b/internal/balancer/evacuation_test.go
@@ -163,6 +163,6 @@
 	fleet.Evacuate(NewEvacuations(7, []string{"kality"}), now)
 	// An older word that arrives late changes nothing.
 	fleet.Evacuate(NewEvacuations(3, nil), now)
-	fmt.Println(fleet.Count("orders"), fleet.Evacuations().DataCentres)
+	fmt.Println(fleet.CountAvailable("orders"), fleet.Evacuations().DataCentres)
 	// Output: 1 [kality]
 }
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -198,8 +198,8 @@
 	return known.Replica, true
 }
 
-// Count returns how many replicas of a service may get work.
-func (fleet *Fleet) Count(service string) int {
+// CountAvailable returns how many replicas of a service may get work.
+func (fleet *Fleet) CountAvailable(service string) int {
 	count := 0
 	for _, known := range fleet.services[service] {
 		if _, closed := fleet.closed(known); !closed {
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -189,7 +189,7 @@
 		fleet.MarkLeaving("planner-1", 2)
 		_, reason := fleet.Choose(promptAsk(1, 9), start)
 		So(reason, ShouldEqual, NoReplicas)
-		So(fleet.Count("planner"), ShouldEqual, 0)
+		So(fleet.CountAvailable("planner"), ShouldEqual, 0)
 	})
 	Convey("one that is gone is forgotten", t, func() {
 		So(fleet.SetReplicas(nil, 1), ShouldHaveLength, 2)
--- a/internal/balancer/leave_test.go
+++ b/internal/balancer/leave_test.go
@@ -38,14 +38,14 @@
 			if test.works {
 				want = 2
 			}
-			So(fleet.Count("planner"), ShouldEqual, want)
+			So(fleet.CountAvailable("planner"), ShouldEqual, want)
 		})
 	}
 	Convey("also one that the own list did not have yet", t, func() {
 		fleet := planners(1)
 		fleet.MarkLeaving("planner-1", 12)
 		fleet.SetReplicas(replicasOf("planner", 2, 64), 9)
-		So(fleet.Count("planner"), ShouldEqual, 1)
+		So(fleet.CountAvailable("planner"), ShouldEqual, 1)
 	})
 }
 
@@ -84,7 +84,7 @@
 			} else {
 				So(back, ShouldBeEmpty)
 			}
-			So(fleet.Count("planner"), ShouldEqual, want)
+			So(fleet.CountAvailable("planner"), ShouldEqual, want)
 			So(fleet.MarkLeaving("planner-0", test.confirmed), ShouldBeFalse)
 		})
 	}
@@ -96,9 +96,9 @@
 		fleet.MarkLeaving("planner-0", 12)
 		list[0].StartedAt = 10
 		fleet.SetReplicas(list, 10)
-		So(fleet.Count("planner"), ShouldEqual, 0)
+		So(fleet.CountAvailable("planner"), ShouldEqual, 0)
 		fleet.SetReplicas(list, 13)
-		So(fleet.Count("planner"), ShouldEqual, 1)
+		So(fleet.CountAvailable("planner"), ShouldEqual, 1)
 	})
 }
 
--- a/internal/balancer/statement_test.go
+++ b/internal/balancer/statement_test.go
@@ -82,7 +82,7 @@
 		}, true},
 		{"it is heard of the later life first", func(fleet *Fleet) {
 			fleet.MarkLeaveAnnounced(life(second), start)
-			So(fleet.Count("planner"), ShouldEqual, 2)
+			So(fleet.CountAvailable("planner"), ShouldEqual, 2)
 			fleet.SetReplicas(bornAt(second), 9)
 		}, false},
 		{"another replica takes its address", func(fleet *Fleet) {
@@ -97,7 +97,7 @@
 			fleet := New(Settings{Seed: 1})
 			fleet.SetReplicas(bornAt(first), 5)
 			test.play(fleet)
-			So(fleet.Count("planner"), ShouldEqual, map[bool]int{true: 2, false: 1}[test.works])
+			So(fleet.CountAvailable("planner"), ShouldEqual, map[bool]int{true: 2, false: 1}[test.works])
 		})
 	}
 }
@@ -125,16 +125,16 @@
 			list := replicasOf("planner", 2, 64)
 			fleet.SetReplicas(list, 5)
 			So(fleet.MarkLeaveAnnounced("planner-0", start), ShouldBeTrue)
-			So(fleet.Count("planner"), ShouldEqual, 1)
+			So(fleet.CountAvailable("planner"), ShouldEqual, 1)
 			test.play(fleet, replicasOf("planner", 2, 64))
-			So(fleet.Count("planner"), ShouldEqual, map[bool]int{true: 2, false: 1}[test.works])
+			So(fleet.CountAvailable("planner"), ShouldEqual, map[bool]int{true: 2, false: 1}[test.works])
 		})
 	}
 	Convey("nothing is kept of one that isn't listed", t, func() {
 		fleet := New(Settings{Seed: 1})
 		So(fleet.MarkLeaveAnnounced("planner-0", start), ShouldBeFalse)
 		fleet.SetReplicas(replicasOf("planner", 2, 64), 5)
-		So(fleet.Count("planner"), ShouldEqual, 2)
+		So(fleet.CountAvailable("planner"), ShouldEqual, 2)
 	})
 }
 
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -181,7 +181,7 @@
 		list = append(list, balancer.Replica{ID: key, Service: "planner", Leaving: value == "leaving"})
 	}
 	one.balancer.SetReplicas(list, uint64(version))
-	one.fewest = min(one.fewest, one.balancer.Count("planner"))
+	one.fewest = min(one.fewest, one.balancer.CountAvailable("planner"))
 }
 
 func (one *process) confirm(version follower.Version) {
@@ -195,7 +195,7 @@
 func (one *process) works() (now, fewest int) {
 	one.mu.Lock()
 	defer one.mu.Unlock()
-	now, fewest = one.balancer.Count("planner"), one.fewest
+	now, fewest = one.balancer.CountAvailable("planner"), one.fewest
 	one.fewest = now
 	return now, fewest
 }
@@ -309,7 +309,7 @@
 	for _, leave := range in.leaves {
 		one.balancer.MarkLeaving(leave.replica, uint64(leave.version))
 	}
-	one.fewest = min(one.fewest, one.balancer.Count("planner"))
+	one.fewest = min(one.fewest, one.balancer.CountAvailable("planner"))
 	one.mu.Unlock()
 	for _, news := range in.news {
 		one.follower.ApplyUpdate(news)
