--- a/internal/balancer/transfer_test.go
+++ b/internal/balancer/transfer_test.go
@@ -11,23 +11,23 @@
 // quickLink is an engine whose neighbours' memory is 2 ms and a few more away,
 // slowLink one whose link takes longer than reading.
 var (
-	quickLink = Engine{Memory: 300000, TokenBytes: 35136, LinkRate: 1.375e8}
+	fastLink  = Engine{Memory: 300000, TokenBytes: 35136, LinkRate: 1.375e8}
 	slowLink  = Engine{Memory: 300000, TokenBytes: 35136, LinkRate: 1e6}
 	bigTokens = Engine{Memory: 300000, TokenBytes: 2e6, LinkRate: 1.375e9}
 )
 
-func plannersWith(engine Engine, count int) *Fleet {
-	fleet := planners(count)
+func plannerFleetWith(engine Engine, count int) *Fleet {
+	fleet := plannerFleet(count)
 	fleet.SetEngine("planner", engine)
 	return fleet
 }
 
 // crowd makes a replica hold more than its share, as a peer tells.
-func crowd(fleet *Fleet, id string, now timekeeper.Instant) {
+func overload(fleet *Fleet, id string, now timekeeper.Instant) {
 	fleet.SetPeerInFlight("crowd", map[Key]InFlight{KeyOf(id): {Running: 40}}, timekeeper.Minute, now)
 }
 
-func TestAPromptThatLeavesItsEngineIsHandedOn(t *testing.T) {
+func TestPromptIsFetchedFromItsFullEngine(t *testing.T) {
 	// The engine that has a prompt is full. Its callers are served by another one,
 	// which would stop all its streams for 200 ms to read the prompt; it fetches it
 	// from the full one instead, and reads what is the request's own.
@@ -37,17 +37,17 @@
 		source  string
 		fetched int
 	}{
-		{"on a quick link", quickLink, "planner-0:1", 8500},
+		{"on a quick link", fastLink, "planner-0:1", 8500},
 		{"not on a link that is slower than reading", slowLink, "", 0},
 		{"not where moving is dearer to the operators", bigTokens, "", 0},
 		{"not by engines that can't", Engine{Memory: 300000}, "", 0},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			fleet := plannersWith(test.engine, 3)
-			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
-			crowd(fleet, "planner-0", start)
-			placement := choose(t, fleet, promptAsk(1, 1), start)
+			fleet := plannerFleetWith(test.engine, 3)
+			fleet.RecordCached(KeyOf("planner-0"), prompt(1, 9), start)
+			overload(fleet, "planner-0", start)
+			placement := mustChoose(t, fleet, promptRequest(1, 1), start)
 			So(placement.Replica.ID, ShouldNotEqual, "planner-0")
 			So(placement.Source, ShouldEqual, test.source)
 			So(placement.Fetched, ShouldEqual, test.fetched)
@@ -56,13 +56,13 @@
 	}
 }
 
-func TestWhoMayBeASource(t *testing.T) {
+func TestSourceEligibility(t *testing.T) {
 	// A source that is down, or fails its requests, would hold up a request for
 	// longer than reading does. One that leaves has what it had until it ends.
 	tests := []struct {
-		name   string
-		happen func(fleet *Fleet)
-		source string
+		name    string
+		prepare func(fleet *Fleet)
+		source  string
 	}{
 		{"one that leaves", func(fleet *Fleet) {
 			list := replicasOf("planner", 3, 64)
@@ -70,12 +70,12 @@
 			fleet.SetReplicas(list, 2)
 		}, "planner-0:1"},
 		{"not one that takes no connections", func(fleet *Fleet) {
-			crowd(fleet, "planner-0", start)
+			overload(fleet, "planner-0", start)
 			fleet.MarkUnreachable("planner-0", start)
 		}, ""},
 		{"not one that fails", func(fleet *Fleet) {
-			crowd(fleet, "planner-0", start)
-			fleet.replicas["planner-0"].doubt.failed(2, start)
+			overload(fleet, "planner-0", start)
+			fleet.replicas["planner-0"].health.recordFailure(2, start)
 		}, ""},
 		{"not one that is gone", func(fleet *Fleet) {
 			fleet.SetReplicas(replicasOf("planner", 3, 64)[1:], 2)
@@ -83,10 +83,10 @@
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			fleet := plannersWith(quickLink, 3)
-			fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
-			test.happen(fleet)
-			placement := choose(t, fleet, promptAsk(1, 1), start)
+			fleet := plannerFleetWith(fastLink, 3)
+			fleet.RecordCached(KeyOf("planner-0"), prompt(1, 9), start)
+			test.prepare(fleet)
+			placement := mustChoose(t, fleet, promptRequest(1, 1), start)
 			So(placement.Replica.ID, ShouldNotEqual, "planner-0")
 			So(placement.Fetched > 0, ShouldEqual, test.source != "")
 			if test.source != "" {
@@ -95,25 +95,25 @@
 		})
 	}
 	Convey("not one that has had the request and failed it", t, func() {
-		fleet := plannersWith(quickLink, 3)
-		fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
-		ask := promptAsk(1, 1)
-		ask.Excluded = []string{"planner-0"}
-		So(choose(t, fleet, ask, start).Fetched, ShouldEqual, 0)
+		fleet := plannerFleetWith(fastLink, 3)
+		fleet.RecordCached(KeyOf("planner-0"), prompt(1, 9), start)
+		request := promptRequest(1, 1)
+		request.Excluded = []string{"planner-0"}
+		So(mustChoose(t, fleet, request, start).Fetched, ShouldEqual, 0)
 	})
 }
 
-func TestASourceThatIsWrong(t *testing.T) {
+func TestSourceWithoutThePrompt(t *testing.T) {
 	// The source has forgotten the prompt, or hangs. Requests that name it begin late,
 	// or not at all. After a few of them nobody names it; after some seconds it is
 	// tried again.
 	Convey("is not named again soon", t, func() {
-		fleet := plannersWith(quickLink, 3)
-		fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), start)
-		crowd(fleet, "planner-0", start)
+		fleet := plannerFleetWith(fastLink, 3)
+		fleet.RecordCached(KeyOf("planner-0"), prompt(1, 9), start)
+		overload(fleet, "planner-0", start)
 		now := start
 		for own := range uint64(4) {
-			placement := choose(t, fleet, promptAsk(1, own), now)
+			placement := mustChoose(t, fleet, promptRequest(1, own), now)
 			for _, id := range []string{"planner-1", "planner-2"} {
 				delete(fleet.replicas[id].cache.parts, 101)
 			}
@@ -121,33 +121,33 @@
 			fleet.AnswerStarted(placement, now)
 			fleet.End(placement, Served, now)
 		}
-		crowd(fleet, "planner-0", now)
-		So(choose(t, fleet, promptAsk(1, 9), now).Source, ShouldNotEqual, "planner-0:1")
+		overload(fleet, "planner-0", now)
+		So(mustChoose(t, fleet, promptRequest(1, 9), now).Source, ShouldNotEqual, "planner-0:1")
 		now = now.Add(15 * timekeeper.Second)
-		fleet.RecordCached(KeyOf("planner-0"), chain(1, 9), now)
-		crowd(fleet, "planner-0", now)
+		fleet.RecordCached(KeyOf("planner-0"), prompt(1, 9), now)
+		overload(fleet, "planner-0", now)
 		for _, id := range []string{"planner-1", "planner-2"} {
 			delete(fleet.replicas[id].cache.parts, 101)
 		}
-		So(choose(t, fleet, promptAsk(1, 10), now).Source, ShouldEqual, "planner-0:1")
+		So(mustChoose(t, fleet, promptRequest(1, 10), now).Source, ShouldEqual, "planner-0:1")
 	})
 }
 
-func TestAllFetchFromOneEngine(t *testing.T) {
+func TestManyFetchesFromOneEngine(t *testing.T) {
 	// A hundred requests for as many prompts leave one engine at the same moment. Its
 	// link carries one after the other: the first are fetched, and as soon as the
 	// link is busy for longer than reading takes the others read.
-	engine := quickLink
-	engine.LinkRate = 3e6 // A prompt takes 100 ms, half of what reading takes.
+	engine := fastLink
+	engine.LinkRate = 3e6 // A prompt takes 100 ms, half of what prefill takes.
 	engine.Memory = 2_000_000
-	fleet := plannersWith(engine, 12)
-	for thing := range uint64(100) {
-		fleet.RecordCached(KeyOf("planner-0"), chain(thing, 900+thing), start)
+	fleet := plannerFleetWith(engine, 12)
+	for subject := range uint64(100) {
+		fleet.RecordCached(KeyOf("planner-0"), prompt(subject, 900+subject), start)
 	}
 	fleet.replicas["planner-0"].Leaving = true
 	fetched := 0
-	for thing := range uint64(100) {
-		if choose(t, fleet, promptAsk(thing, thing), start).Fetched > 6000 {
+	for subject := range uint64(100) {
+		if mustChoose(t, fleet, promptRequest(subject, subject), start).Fetched > 6000 {
 			fetched++
 		}
 	}
@@ -156,62 +156,62 @@
 		So(fetched, ShouldBeLessThan, 4)
 	})
 	Convey("and is used again when it is free", t, func() {
-		later := fleet.replicas["planner-0"].linkFree
+		later := fleet.replicas["planner-0"].linkFreeAt
 		So(later, ShouldBeLessThan, start.Add(timekeeper.Second))
-		fleet.RecordCached(KeyOf("planner-0"), chain(200, 1000), later)
-		So(choose(t, fleet, promptAsk(200, 1001), later).Source, ShouldEqual, "planner-0:1")
+		fleet.RecordCached(KeyOf("planner-0"), prompt(200, 1000), later)
+		So(mustChoose(t, fleet, promptRequest(200, 1001), later).Source, ShouldEqual, "planner-0:1")
 	})
 }
 
-func TestTheSourceWhoseLinkIsFree(t *testing.T) {
+func TestSourceWithAFreeLink(t *testing.T) {
 	// Two engines have a prompt, and the link of one is busy.
 	Convey("is named", t, func() {
 		for _, busy := range []string{"planner-0", "planner-1"} {
-			fleet := plannersWith(quickLink, 4)
+			fleet := plannerFleetWith(fastLink, 4)
 			for _, id := range []string{"planner-0", "planner-1"} {
-				fleet.RecordCached(KeyOf(id), chain(1, 9), start)
+				fleet.RecordCached(KeyOf(id), prompt(1, 9), start)
 				fleet.replicas[id].Leaving = true
 			}
-			fleet.replicas[busy].linkFree = start.Add(50)
-			placement := choose(t, fleet, promptAsk(1, 1), start)
+			fleet.replicas[busy].linkFreeAt = start.Add(50)
+			placement := mustChoose(t, fleet, promptRequest(1, 1), start)
 			So(placement.Fetched, ShouldEqual, 8500)
 			So(placement.Source, ShouldNotEqual, busy+":1")
 		}
 	})
 }
 
-func TestAnEntryThatKnowsNothingGuessesASource(t *testing.T) {
+func TestRestartedEntryGuessesASource(t *testing.T) {
 	// An entry starts again while a prompt is in the memory of the engine that all
 	// entries prefer, which is full. It doesn't know who has the prompt, but who
 	// should: a wrong guess costs two milliseconds, a right one saves reading.
 	Convey("the first in the preference order", t, func() {
-		first := choose(t, plannersWith(quickLink, 5), promptAsk(1, 1), start).Replica
-		fleet := plannersWith(quickLink, 5)
-		crowd(fleet, first.ID, start)
-		placement := choose(t, fleet, promptAsk(1, 2), start)
+		first := mustChoose(t, plannerFleetWith(fastLink, 5), promptRequest(1, 1), start).Replica
+		fleet := plannerFleetWith(fastLink, 5)
+		overload(fleet, first.ID, start)
+		placement := mustChoose(t, fleet, promptRequest(1, 2), start)
 		So(placement.Replica.ID, ShouldNotEqual, first.ID)
 		So(placement.Source, ShouldEqual, first.Address)
 		So(placement.Fetched, ShouldEqual, 0)
 		So(placement.Uncached, ShouldEqual, 9080)
 	})
 	Convey("also where only the root is known to be somewhere", t, func() {
-		first := choose(t, plannersWith(quickLink, 5), promptAsk(1, 1), start).Replica
-		fleet := plannersWith(quickLink, 5)
-		crowd(fleet, first.ID, start)
+		first := mustChoose(t, plannerFleetWith(fastLink, 5), promptRequest(1, 1), start).Replica
+		fleet := plannerFleetWith(fastLink, 5)
+		overload(fleet, first.ID, start)
 		for _, other := range replicasOf("planner", 5, 64) {
 			if other.ID != first.ID {
-				fleet.RecordCached(KeyOf(other.ID), chain(1, 1)[:1], start)
+				fleet.RecordCached(KeyOf(other.ID), prompt(1, 1)[:1], start)
 				break
 			}
 		}
-		placement := choose(t, fleet, promptAsk(1, 2), start)
+		placement := mustChoose(t, fleet, promptRequest(1, 2), start)
 		So(placement.Source, ShouldEqual, first.Address)
 	})
 	Convey("not where a transfer is no gain", t, func() {
-		So(choose(t, plannersWith(slowLink, 5), promptAsk(1, 1), start).Source, ShouldEqual, "")
+		So(mustChoose(t, plannerFleetWith(slowLink, 5), promptRequest(1, 1), start).Source, ShouldEqual, "")
 	})
 	Convey("not for a prompt that nobody shares", t, func() {
-		ask := Request{Service: "planner", Parts: []Part{{ID: 7, Tokens: 9000}}}
-		So(choose(t, plannersWith(quickLink, 5), ask, start).Source, ShouldEqual, "")
+		request := Request{Service: "planner", Parts: []Part{{ID: 7, Tokens: 9000}}}
+		So(mustChoose(t, plannerFleetWith(fastLink, 5), request, start).Source, ShouldEqual, "")
 	})
 }
