--- a/internal/balancer/backoff_test.go
+++ b/internal/balancer/backoff_test.go
@@ -8,8 +8,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// refusing returns a fleet of planners that started at 1000, and asks for backoffs of the
-// first ones of them.
+// newBackoffFleet returns a fleet of planners that started at 1000, the first ones of which
+// asked for a backoff.
 func newBackoffFleet(count, asking int, span timekeeper.Span) (*Fleet, []Replica) {
 	fleet := New(Settings{Seed: 1, DataCentre: "bole"})
 	list := plannersStartedAt(count, 1000)
@@ -20,12 +20,12 @@
 	return fleet, list
 }
 
-// latest is when a backoff asked for at the start has ended at the latest.
+// latestEnd returns the latest end of a backoff that was asked for at the start.
 func latestEnd(span timekeeper.Span) timekeeper.Instant {
 	return start.Add(span + min(timekeeper.Span(backoffSpread*float64(span)), maxBackoffSpread))
 }
 
-// chosenAt returns how many of some requests go to the first planner at an instant.
+// countForFirst returns how many of 50 requests go to the first planner at the given time.
 func countForFirst(fleet *Fleet, now timekeeper.Instant) (count int) {
 	for number := range 50 {
 		placement, _ := fleet.Choose(promptRequest(uint64(number), uint64(number)), now)
@@ -41,35 +41,35 @@
 }
 
 func TestRequestsDuringABackoff(t *testing.T) {
-	// Guards against requests to a replica before the end of the time that it asked for.
+	// Guards against requests to a replica before the end of its backoff.
 	const span = 3 * timekeeper.Second
 	tests := []struct {
 		name  string
 		apply func(fleet *Fleet, list []Replica)
-		// until is for how long after the start it holds.
+		// until is how long after the start the backoff holds.
 		until timekeeper.Span
 	}{
-		{"one", func(*Fleet, []Replica) {}, span},
-		{"a shorter one follows", func(fleet *Fleet, list []Replica) {
+		{"a single backoff", func(*Fleet, []Replica) {}, span},
+		{"a shorter backoff follows", func(fleet *Fleet, list []Replica) {
 			fleet.StartBackoff(list[0].Incarnation(), 100, start.Add(10))
 		}, span},
-		{"a longer one follows", func(fleet *Fleet, list []Replica) {
+		{"a longer backoff follows", func(fleet *Fleet, list []Replica) {
 			fleet.StartBackoff(list[0].Incarnation(), 2*span, start.Add(10))
 		}, 2*span + 10},
-		{"one of nothing follows", func(fleet *Fleet, list []Replica) {
+		{"a backoff of zero follows", func(fleet *Fleet, list []Replica) {
 			fleet.StartBackoff(list[0].Incarnation(), 0, start.Add(10))
 		}, span},
 		{"the row lapses and comes back", func(fleet *Fleet, list []Replica) {
 			fleet.SetReplicas(list[1:], 6)
 			fleet.SetReplicas(list, 7)
 		}, span},
-		{"it is asked for while the row has lapsed", func(fleet *Fleet, list []Replica) {
+		{"the replica asks for it while its row has lapsed", func(fleet *Fleet, list []Replica) {
 			fleet.SetReplicas(list[1:], 6)
 			fleet.StartBackoff(list[0].Incarnation(), 2*span, start.Add(10))
 			fleet.SetReplicas(list, 7)
 		}, 2*span + 10},
-		{"a newer list has it ready", func(fleet *Fleet, list []Replica) { fleet.SetReplicas(list, 8) }, span},
-		{"an earlier life asked for more", func(fleet *Fleet, list []Replica) {
+		{"a newer list has the replica ready", func(fleet *Fleet, list []Replica) { fleet.SetReplicas(list, 8) }, span},
+		{"an earlier incarnation asked for a longer backoff", func(fleet *Fleet, list []Replica) {
 			earlier := list[0]
 			earlier.StartedAt = 500
 			fleet.StartBackoff(earlier.Incarnation(), timekeeper.Hour, start)
@@ -85,7 +85,7 @@
 			So(countForFirst(fleet, latestEnd(test.until)), ShouldEqual, 1)
 		})
 	}
-	Convey("an answer to a request that was under way before does not end it", t, func() {
+	Convey("an answer to a request that was already in flight does not end it", t, func() {
 		fleet, list := newBackoffFleet(1, 0, span)
 		placement, _ := fleet.Choose(promptRequest(1, 1), start)
 		fleet.StartBackoff(list[0].Incarnation(), span, start)
@@ -93,7 +93,7 @@
 		fleet.End(placement, Served, start.Add(200))
 		So(countForFirst(fleet, start.Add(span-1)), ShouldEqual, 0)
 	})
-	Convey("a later life has none", t, func() {
+	Convey("a later incarnation has none", t, func() {
 		fleet, list := newBackoffFleet(1, 1, timekeeper.Hour)
 		list[0].StartedAt = 2000
 		fleet.SetReplicas(list, 6)
@@ -102,10 +102,10 @@
 }
 
 func TestLeaveAnnouncedDuringABackoffOfAnUnlistedReplica(t *testing.T) {
-	// Guards against a statement about an unlisted replica that hides the next one.
+	// Guards against a statement about an unlisted replica that overwrites another one.
 	fleet, list := newBackoffFleet(2, 1, timekeeper.Second)
 	fleet.SetReplicas(list[1:], 6)
-	Convey("both are kept", t, func() {
+	Convey("both statements are kept", t, func() {
 		So(fleet.MarkLeaveAnnounced(list[0].Incarnation(), start), ShouldBeTrue)
 		So(fleet.MarkLeaveAnnounced(list[0].Incarnation(), start), ShouldBeFalse)
 		fleet.SetReplicas(list, 7)
@@ -115,15 +115,15 @@
 
 func TestNoRequestToARemovedIncarnation(t *testing.T) {
 	// Guards against a request that was chosen for a replica and is sent after the list has
-	// lost it, or has a later life of it.
+	// removed it, or has a later incarnation of it.
 	tests := []struct {
 		name  string
 		apply func(fleet *Fleet, list []Replica)
 		want  bool
 	}{
-		{"it is listed", func(*Fleet, []Replica) {}, true},
-		{"it is gone", func(fleet *Fleet, list []Replica) { fleet.SetReplicas(list[1:], 6) }, false},
-		{"it has started again", func(fleet *Fleet, list []Replica) {
+		{"the incarnation is listed", func(*Fleet, []Replica) {}, true},
+		{"the replica is removed", func(fleet *Fleet, list []Replica) { fleet.SetReplicas(list[1:], 6) }, false},
+		{"the replica has restarted", func(fleet *Fleet, list []Replica) {
 			list[0].StartedAt = 2000
 			fleet.SetReplicas(list, 6)
 		}, false},
@@ -140,26 +140,26 @@
 }
 
 func TestTrialRequestAfterABackoff(t *testing.T) {
-	// Guards against a replica that gets all that waits at the end of its backoff.
+	// Guards against a replica that gets all waiting requests at the end of its backoff.
 	const span = timekeeper.Second
 	fleet, list := newBackoffFleet(1, 1, span)
 	over := latestEnd(span)
 	trial, _ := fleet.Choose(promptRequest(1, 1), over)
-	Convey("one", t, func() {
+	Convey("one trial request is admitted", t, func() {
 		So(trial, ShouldNotBeNil)
 		So(countForFirst(fleet, over), ShouldEqual, 0)
 		_, admitted := fleet.Admits(trial, over)
 		So(admitted, ShouldBeTrue)
 	})
-	Convey("another, where the first says nothing for a while", t, func() {
+	Convey("another one is admitted when the trial request times out", t, func() {
 		So(countForFirst(fleet, over.Add(trialTimeout)), ShouldEqual, 1)
 	})
-	Convey("none, where it is refused again", t, func() {
+	Convey("none is admitted after the trial request is refused", t, func() {
 		fleet.StartBackoff(list[0].Incarnation(), span, over)
 		fleet.End(trial, Refused, over)
 		So(countForFirst(fleet, over.Add(span-1)), ShouldEqual, 0)
 	})
-	Convey("all, once it is served", t, func() {
+	Convey("all are admitted after a trial request is served", t, func() {
 		now := over.Add(2 * span)
 		placement, _ := fleet.Choose(promptRequest(2, 2), now)
 		fleet.AnswerStarted(placement, now.Add(20))
@@ -168,12 +168,12 @@
 }
 
 func TestRequestsChosenBeforeABackoff(t *testing.T) {
-	// Guards against hundreds of requests that were chosen in the same millisecond and are
-	// sent after the refusal.
+	// Guards against hundreds of requests that were chosen in the same millisecond and are sent
+	// after the refusal.
 	fleet, list := newBackoffFleet(2, 0, 0)
 	chosen := fillPlanners(fleet)
 	fleet.StartBackoff(list[0].Incarnation(), timekeeper.Second, start)
-	Convey("they go elsewhere unsent", t, func() {
+	Convey("they are not sent to the replica in backoff", t, func() {
 		So(len(chosen), ShouldBeGreaterThan, 50)
 		for _, placement := range chosen {
 			current, admitted := fleet.Admits(placement, start)
@@ -187,13 +187,13 @@
 }
 
 func TestWaitersWhileReplicasBackOff(t *testing.T) {
-	// Guards against callers who are held, or refused, although it is known what waiting
-	// brings.
+	// Guards against callers who wait, or are refused without a time to come back, although the
+	// end of the backoff is known.
 	waiterFor := func(use timekeeper.Span) *Waiter {
 		return &Waiter{Request: promptRequest(1, 1), Due: start.Add(use / 2), Until: start.Add(use)}
 	}
 	const span = timekeeper.Second
-	Convey("where all do, whoever can't wait for so long is told at once when to come", t, func() {
+	Convey("a waiter that can't wait until the end of all backoffs is refused at once with the remaining time", t, func() {
 		fleet, _ := newBackoffFleet(3, 3, span)
 		waiter := waiterFor(span / 2)
 		fleet.Enqueue(waiter, start)
@@ -201,21 +201,21 @@
 		So(waiter.Wait, ShouldBeBetweenOrEqual, span, latestEnd(span).Since(start))
 		So(fleet.Waiting(), ShouldEqual, 0)
 	})
-	Convey("also who comes behind others that can", t, func() {
+	Convey("a waiter behind others that can wait is refused too", t, func() {
 		fleet, _ := newBackoffFleet(3, 3, span)
 		longWaiter, shortWaiter := waiterFor(2*span), waiterFor(span/2)
 		fleet.Enqueue(longWaiter, start)
 		fleet.Enqueue(shortWaiter, start)
 		So(longWaiter.Reason, ShouldBeEmpty)
 		So(shortWaiter.Reason, ShouldEqual, AllBackingOff)
-		Convey("who waits is served by the first that ends", func() {
+		Convey("a waiter is served when the first backoff ends", func() {
 			So(fleet.Dispatch(start.Add(span-1)), ShouldBeEmpty)
 			decided := fleet.Dispatch(latestEnd(span))
 			So(decided, ShouldHaveLength, 1)
 			So(decided[0].Placement, ShouldNotBeNil)
 		})
 	})
-	Convey("and who waits already when the last one asks for it", t, func() {
+	Convey("a waiter in the queue is refused when the last replica asks for a backoff", t, func() {
 		fleet, list := newBackoffFleet(2, 1, span)
 		fillPlanners(fleet)
 		waiter := waiterFor(span / 2)
@@ -226,7 +226,7 @@
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].Reason, ShouldEqual, AllBackingOff)
 	})
-	Convey("where some do, the others serve", t, func() {
+	Convey("the other replicas serve if only some back off", t, func() {
 		fleet, _ := newBackoffFleet(9, 3, span)
 		for number := range 60 {
 			waiter := &Waiter{Request: promptRequest(uint64(number), uint64(number)), Due: start.Add(300), Until: start.Add(600)}
@@ -235,14 +235,14 @@
 			So(waiter.Placement.Replica.ID, ShouldNotBeIn, "planner-0", "planner-1", "planner-2")
 		}
 	})
-	Convey("who has met all but those that back off is told, and holds up nobody", t, func() {
+	Convey("a waiter that has tried all other replicas is refused and doesn't block the queue", t, func() {
 		fleet, _ := newBackoffFleet(2, 1, span)
 		waiter := waiterFor(2 * span)
 		waiter.Request.Excluded = []string{"planner-1"}
 		fleet.Enqueue(waiter, start)
 		So(waiter.Reason, ShouldEqual, AllBackingOff)
 	})
-	Convey("those that leave or are evacuated don't count", t, func() {
+	Convey("leaving replicas don't count", t, func() {
 		fleet, list := newBackoffFleet(3, 1, span)
 		fleet.MarkLeaveAnnounced(list[1].Incarnation(), start)
 		fleet.MarkLeaving(list[2].ID, 99)
@@ -256,7 +256,7 @@
 }
 
 func TestSeveralCausesAtOnce(t *testing.T) {
-	// Guards against a replica that gets work when the first of several reasons ends.
+	// Guards against a replica that gets work when the first of several causes ends.
 	const span = timekeeper.Second
 	fleet, list := newBackoffFleet(1, 1, span)
 	fleet.SetWarmUp("planner", WarmUp{Span: 5 * span, Rate: 12})
@@ -265,7 +265,7 @@
 	fleet.SetReplicas(list, 6)
 	fleet.Evacuate(NewEvacuations(1, []string{list[0].DataCentre}), start)
 	member := fleet.replicas[list[0].ID]
-	Convey("the reasons end one by one", t, func() {
+	Convey("the causes end one by one", t, func() {
 		So(fleet.eligibility(member, start).Cause, ShouldEqual, Evacuated)
 		fleet.Evacuate(NewEvacuations(2, nil), start)
 		So(fleet.eligibility(member, start).Cause, ShouldEqual, BackingOff)
@@ -275,8 +275,8 @@
 }
 
 func TestBackoffsOfManyEntriesEndAtDifferentTimes(t *testing.T) {
-	// Guards against a replica that is refilled in one instant by all the entries that it
-	// refused in one instant.
+	// Guards against a replica that is refilled at once by all the entries that it refused at
+	// once.
 	const entries, span, slots = 103, 3 * timekeeper.Second, 64
 	reach := map[timekeeper.Instant]int{}
 	for number := range entries {
@@ -302,7 +302,7 @@
 		}
 		worst = max(worst, within)
 	}
-	Convey("no tenth of a second brings more than the replica has slots", t, func() {
+	Convey("no tenth of a second has more requests than the replica has slots", t, func() {
 		So(worst, ShouldBeBetweenOrEqual, 1, slots)
 	})
 }
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -11,16 +11,16 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// warming is how the engines of the tests here warm up, and what the operators allow.
+// warmUp is how the engines in these tests warm up, and coldSettings what the operators allow.
 var (
 	warmUp       = WarmUp{Span: 3 * timekeeper.Second, Rate: 12}
 	coldSettings = Settings{Seed: 1, ColdRateFactor: 1.5, ColdSlack: 5}
 )
 
-// allowedCold is how many requests a cold engine may get in a second by these.
+// maxColdPerSecond is how many requests a cold engine may get in a second under coldSettings.
 const maxColdPerSecond = 12*1.5 + 5
 
-// warmAt returns listings that say they are cold until an instant.
+// withWarmAt returns rows that say that the replicas are cold until the given time.
 func withWarmAt(list []Replica, until timekeeper.Instant) []Replica {
 	for i := range list {
 		list[i].WarmAt = until
@@ -28,14 +28,14 @@
 	return list
 }
 
-// coldSite is entries before engines of which some are cold. Every request that an entry
-// sends is noted.
+// coldSite has entries in front of engines, some of which are cold. It records every request
+// that an entry sends.
 type coldSite struct {
 	entries []*Fleet
 	names   []string
 	warm    []Replica
 	cold    []Replica
-	// sent are the instants of requests to each cold engine.
+	// sent holds the times of the requests to each cold engine.
 	sent   map[string][]timekeeper.Instant
 	random *rand.Rand
 }
@@ -54,7 +54,7 @@
 	return site
 }
 
-// join adds an entry that knows the engines and nothing of the others.
+// addEntry adds an entry that knows the engines but no peers.
 func (site *coldSite) addEntry() *Fleet {
 	settings := coldSettings
 	settings.Seed = uint64(len(site.entries))
@@ -67,7 +67,8 @@
 	return fleet
 }
 
-// introduce tells some entries of one another; without any, all of all.
+// introduce makes the entries of a group, or all entries if none is given, peers of one
+// another.
 func (site *coldSite) introduce(group ...int) {
 	if len(group) == 0 {
 		for number := range site.entries {
@@ -85,7 +86,7 @@
 	}
 }
 
-// play lets each entry ask as often as it can for a span, with requests that end at once.
+// run lets each entry send as many requests as it can for a span. Requests end at once.
 func (site *coldSite) run(from timekeeper.Instant, span timekeeper.Span) {
 	for now := from; now < from.Add(span); now = now.Add(10) {
 		for _, number := range site.random.Perm(len(site.entries)) {
@@ -108,7 +109,7 @@
 	return placement
 }
 
-// most returns the most requests that a cold engine got in any second.
+// maxPerSecond returns the highest number of requests that a cold engine got in any second.
 func (site *coldSite) maxPerSecond() (maxPerSecond int) {
 	for _, sent := range site.sent {
 		first := 0
@@ -124,7 +125,7 @@
 
 func TestColdEnginesGetAtMostTheToleratedRate(t *testing.T) {
 	// Guards against a cold engine that crashes, with all its streams, because every entry
-	// sends it a little: no engine is warm, and callers press.
+	// sends it a few requests: no engine is warm, and callers keep sending.
 	for _, size := range []struct{ entries, engines int }{{1, 3}, {4, 9}, {28, 50}, {103, 60}, {380, 40}} {
 		Convey(fmt.Sprintf("%d entries", size.entries), t, func() {
 			site := newColdSite(size.entries, 0, size.engines, start.Add(4*timekeeper.Second))
@@ -134,14 +135,15 @@
 			for _, sent := range site.sent {
 				total += len(sent)
 			}
-			// What the engines tolerate is used, but for what is lost while allowances fill.
+			// The tolerated rate is used, except for what is lost while allowances fill.
 			So(float64(total)/3/float64(size.engines), ShouldBeGreaterThan, 0.8*warmUp.Rate)
 		})
 	}
 }
 
 func TestBurstAfterAPause(t *testing.T) {
-	// Guards against entries whose allowances have all filled up while nobody asked.
+	// Guards against a burst from entries whose allowances have all filled up while there were
+	// no requests.
 	for _, entries := range []int{28, 103, 380} {
 		Convey(fmt.Sprintf("%d entries", entries), t, func() {
 			site := newColdSite(entries, 0, 20, start.Add(timekeeper.Minute))
@@ -153,10 +155,10 @@
 }
 
 func TestEntriesThatDisagreeAboutPeersWhileEnginesAreCold(t *testing.T) {
-	// Guards against entries that each take themselves for one of few, because they have
-	// just started or are cut off from the others but not from the engines.
+	// Guards against entries that each count too few peers, because they have just started or
+	// are cut off from their peers but not from the engines.
 	until := start.Add(10 * timekeeper.Second)
-	Convey("entries that know nobody yet send nothing", t, func() {
+	Convey("entries without known peers send nothing", t, func() {
 		site := newColdSite(10, 0, 5, until)
 		for range 18 {
 			site.addEntry()
@@ -164,7 +166,7 @@
 		site.run(start, timekeeper.Second)
 		So(site.maxPerSecond(), ShouldBeLessThanOrEqualTo, maxColdPerSecond)
 	})
-	Convey("entries are added, and known to the others one after the other", t, func() {
+	Convey("entries are added, and become known to the others one after the other", t, func() {
 		site := newColdSite(24, 0, 5, until)
 		for now := start; now < start.Add(4*timekeeper.Second); now = now.Add(timekeeper.Second) {
 			site.addEntry()
@@ -174,7 +176,7 @@
 		}
 		So(site.maxPerSecond(), ShouldBeLessThanOrEqualTo, maxColdPerSecond)
 	})
-	Convey("a third dies and is still counted, then is forgotten", t, func() {
+	Convey("a third of the entries dies, still counts for a while, and is then removed", t, func() {
 		site := newColdSite(28, 0, 5, until)
 		site.run(start, timekeeper.Second)
 		site.entries, site.names = site.entries[:19], site.names[:19]
@@ -186,19 +188,19 @@
 }
 
 func TestNewEnginesWhileOthersHaveRoom(t *testing.T) {
-	// Guards against new engines that are idle, empty and crashed by the first requests of
-	// all entries, while the others have room.
+	// Guards against new engines that are empty and idle, so that the first requests of all
+	// entries crash them although the others have room.
 	site := newColdSite(28, 35, 15, start.Add(3*timekeeper.Second))
 	site.run(start, 2*timekeeper.Second)
-	Convey("they get nothing as long as the others have room", t, func() { So(site.maxPerSecond(), ShouldEqual, 0) })
-	Convey("they get work when they are warm", t, func() {
+	Convey("new engines get nothing as long as the others have room", t, func() { So(site.maxPerSecond(), ShouldEqual, 0) })
+	Convey("new engines get work when they are warm", t, func() {
 		site.run(start.Add(3*timekeeper.Second), timekeeper.Second)
 		So(site.sent, ShouldHaveLength, 15)
 	})
 }
 
 func TestColdEnginesServeWhenTheOthersAreFull(t *testing.T) {
-	// Guards against callers who are refused while cold engines idle: the warm ones are
+	// Guards against callers who are refused while cold engines idle: the warm engines are
 	// full.
 	site := newColdSite(1, 2, 4, start.Add(10*timekeeper.Second))
 	entry := site.entries[0]
@@ -212,15 +214,15 @@
 			placed++
 		}
 	}
-	Convey("up to their rate", t, func() {
+	Convey("cold engines get requests up to their rate", t, func() {
 		So(placed, ShouldBeGreaterThan, 0)
 		So(site.maxPerSecond(), ShouldBeLessThanOrEqualTo, maxColdPerSecond)
 	})
 }
 
 func TestEndOfAnEvacuationUnderHotPrompts(t *testing.T) {
-	// Guards against engines that are taken back cold, before their rows say so, and get
-	// all requests for the new prompts that prefer them in their first second.
+	// Guards against engines that are cold when their data centre is taken back, before their
+	// rows say so, and get all requests for the new prompts that prefer them within a second.
 	const count = 20
 	entries := make([]*Fleet, 28)
 	for number := range entries {
@@ -244,7 +246,7 @@
 			if now == back.Add(timekeeper.Span(30*number)) {
 				entry.Evacuate(NewEvacuations(4, nil), now)
 			}
-			// All entries ask for one prompt after the other that no engine has.
+			// All entries ask for one new prompt after the other that no engine has cached.
 			placement, _ := entry.Choose(promptRequest(uint64(now), uint64(now)), now)
 			if placement == nil {
 				continue
@@ -257,30 +259,30 @@
 		}
 	}
 	site.sent = sent
-	Convey("they get no more than a cold engine may", t, func() { So(site.maxPerSecond(), ShouldBeLessThanOrEqualTo, maxColdPerSecond) })
+	Convey("engines get no more requests than a cold engine may", t, func() { So(site.maxPerSecond(), ShouldBeLessThanOrEqualTo, maxColdPerSecond) })
 }
 
 func TestReplicaTurnsColdWithoutARestart(t *testing.T) {
-	// Guards against a replica that turns cold without a start, and is not treated so, and
-	// against one that counts as cold for good.
+	// Guards against a replica that turns cold without a restart and isn't treated as cold, and
+	// against one that stays cold forever.
 	fleet := New(coldSettings)
 	fleet.SetWarmUp("planner", warmUp)
 	list := replicasOf("planner", 1, 64)
 	fleet.SetReplicas(list, 1)
 	eligible := func(now timekeeper.Instant) Eligibility { return fleet.eligibility(fleet.replicas["planner-0"], now) }
-	Convey("from its row until the time that it says", t, func() {
+	Convey("cold until the time in its row", t, func() {
 		So(eligible(start).Access, ShouldEqual, Open)
 		fleet.SetReplicas(withWarmAt(replicasOf("planner", 1, 64), start.Add(2000)), 2)
 		So(eligible(start.Add(1999)), ShouldResemble, Eligibility{Access: Limited, Cause: Cold, Until: start.Add(2000)})
 		So(eligible(start.Add(2000)).Access, ShouldEqual, Open)
 	})
-	Convey("a later heartbeat that says longer counts, an older one that says less does not", t, func() {
+	Convey("a later end of the cold period counts, an earlier one does not", t, func() {
 		So(fleet.SetReplicas(withWarmAt(replicasOf("planner", 1, 64), start.Add(2600)), 3), ShouldBeEmpty)
 		So(eligible(start.Add(2599)).Access, ShouldEqual, Limited)
 		fleet.SetReplicas(withWarmAt(replicasOf("planner", 1, 64), start.Add(2300)), 4)
 		So(eligible(start.Add(2599)).Access, ShouldEqual, Limited)
 	})
-	Convey("cold again, before a row said that it was warm, is news for peers", t, func() {
+	Convey("cold again before a row said that it was warm is a change for peers", t, func() {
 		changes := fleet.SetReplicas(withWarmAt(replicasOf("planner", 1, 64), start.Add(5000)), 5)
 		So(changes, ShouldHaveLength, 1)
 		So(changes[0].TurnedCold, ShouldBeTrue)
@@ -289,7 +291,7 @@
 		fleet.MarkCold(list[0].Key(), start.Add(6000))
 		So(eligible(start.Add(6999)).Access, ShouldEqual, Limited)
 	})
-	Convey("a service that tolerates any rate has no cold replicas", t, func() {
+	Convey("a service without a cold rate has no cold replicas", t, func() {
 		fleet.SetWarmUp("planner", WarmUp{})
 		So(eligible(start).Access, ShouldEqual, Open)
 	})
@@ -304,8 +306,8 @@
 	}{
 		{"many entries", coldSettings, 28, 7, 1.5, 1.8},
 		{"few entries", coldSettings, 3, 3, 3.9, 4.1},
-		{"no more than the rate is allowed", Settings{ColdRateFactor: 1}, 28, 1, 10.9, 11.1},
-		{"less than a request is left", Settings{ColdRateFactor: 1, ColdSlack: 0.5}, 1, 1, 11.4, 11.6},
+		{"no allowance beyond the rate", Settings{ColdRateFactor: 1}, 28, 1, 10.9, 11.1},
+		{"less than one request beyond the rate", Settings{ColdRateFactor: 1, ColdSlack: 0.5}, 1, 1, 11.4, 11.6},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/internal/balancer/evacuation_test.go
+++ b/internal/balancer/evacuation_test.go
@@ -11,10 +11,10 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// centres are the data centres of the tests here.
+// dataCentres are the data centres in these tests.
 var dataCentres = []string{"bole", "kality", "merkato", "piassa"}
 
-// spreadOf returns replicas that lie evenly in the data centres.
+// replicasInCentres returns replicas that are spread evenly over the data centres.
 func replicasInCentres(service string, count, slots int) []Replica {
 	list := replicasOf(service, count, slots)
 	for i := range list {
@@ -23,7 +23,7 @@
 	return list
 }
 
-// inCentres returns a fleet before engines in four data centres.
+// fleetInCentres returns a fleet of engines in four data centres.
 func fleetInCentres(count int) *Fleet {
 	fleet := New(Settings{DataCentre: "bole", Seed: 1})
 	fleet.SetEngine("planner", Engine{Memory: 300000})
@@ -32,12 +32,12 @@
 }
 
 func TestEvacuatedDataCentreGetsNoWork(t *testing.T) {
-	// Guards against work for a data centre that the operators empty: new requests, and
-	// requests that go on after a failure.
+	// Guards against work for an evacuated data centre: new requests, and requests that are
+	// retried after a failure.
 	fleet := fleetInCentres(8)
 	now := start
 	fleet.Evacuate(NewEvacuations(5, []string{"kality"}), now)
-	Convey("no choice leads there, also when all others have had the request", t, func() {
+	Convey("no request is placed there, even if all other replicas have had it", t, func() {
 		for i := range 200 {
 			request := promptRequest(uint64(i), uint64(i))
 			if i%2 == 1 {
@@ -60,7 +60,7 @@
 }
 
 func TestAllReplicasEvacuated(t *testing.T) {
-	// Guards against callers who wait, or go on waiting, for replicas that get no work.
+	// Guards against callers who start or continue to wait for replicas that get no work.
 	fleet := fleetInCentres(4)
 	now := start
 	for fleet.placeOne("planner", now) {
@@ -68,7 +68,7 @@
 	}
 	waiter := &Waiter{Request: promptRequest(1, 1), Until: now.Add(600)}
 	fleet.Enqueue(waiter, now)
-	Convey("who waits is told at once, and who comes then does not wait", t, func() {
+	Convey("waiters are refused at once, and new requests do not wait", t, func() {
 		So(waiter.Reason, ShouldEqual, noReason)
 		fleet.Evacuate(NewEvacuations(5, dataCentres), now.Add(10))
 		decided := fleet.Dispatch(now.Add(20))
@@ -78,7 +78,7 @@
 		fleet.Enqueue(late, now.Add(30))
 		So(late.Reason, ShouldEqual, AllEvacuated)
 	})
-	Convey("who waits looks again when a data centre is taken back", t, func() {
+	Convey("a waiter is placed when a data centre is no longer evacuated", t, func() {
 		fleet := fleetInCentres(4)
 		fleet.Evacuate(NewEvacuations(5, []string{"bole", "kality", "merkato"}), now)
 		for fleet.placeOne("planner", now) {
@@ -93,15 +93,16 @@
 	})
 }
 
-// fill gives a replica of a service one more request, and reports whether one took it.
+// placeOne places one more request at a replica of a service, and reports whether that
+// succeeded.
 func (fleet *Fleet) placeOne(service string, now timekeeper.Instant) bool {
 	placement, _ := fleet.Choose(Request{Service: service, Parts: prompt(0, 0)}, now)
 	return placement != nil
 }
 
 func TestTheBoundCountsEvacuatedReplicas(t *testing.T) {
-	// Guards against an engine that holds more than twice the mean of its service because
-	// a quarter of the engines, which hold nothing, were left out of the mean.
+	// Guards against an engine that holds more than twice the mean of its service because a
+	// quarter of the engines, which hold nothing, were left out of the mean.
 	const count, requests = 20, 300
 	fleet := fleetInCentres(count)
 	fleet.Evacuate(NewEvacuations(5, []string{"kality"}), start)
@@ -116,7 +117,7 @@
 		fleet.AnswerStarted(placement, start.Add(timekeeper.Span(i)))
 		held[placement.Replica.ID]++
 	}
-	Convey("the fullest one is within twice the mean of all, and three", t, func() {
+	Convey("the fullest engine holds at most twice the mean of all engines plus three", t, func() {
 		most := 0
 		for _, count := range held {
 			most = max(most, count)
@@ -125,9 +126,9 @@
 	})
 }
 
-// TestTheNewestEvacuationsHold lets an entry hear of evacuations in any order, read them
-// itself at any version, and know replicas before, between and after. What it knows to be
-// newest decides, for each replica, whatever came last.
+// TestTheNewestEvacuationsHold applies evacuations of any version in any order, as received
+// from peers or read from the store, with replicas listed before, between and after. The newest
+// version decides for each replica, whatever was applied last.
 func TestTheNewestEvacuationsHold(t *testing.T) {
 	const count = 8
 	rapid.Check(t, func(t *rapid.T) {
@@ -161,7 +162,7 @@
 	}, 1)
 	now := timekeeper.Instant(timekeeper.Hour)
 	fleet.Evacuate(NewEvacuations(7, []string{"kality"}), now)
-	// An older word that arrives late changes nothing.
+	// An older version that arrives late changes nothing.
 	fleet.Evacuate(NewEvacuations(3, nil), now)
 	fmt.Println(fleet.CountAvailable("orders"), fleet.Evacuations().DataCentres)
 	// Output: 1 [kality]
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -11,10 +11,10 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// start is an instant well after zero, which means "never".
+// start is a time well after zero, which means "never".
 const start = timekeeper.Instant(timekeeper.Hour)
 
-// planners returns a fleet before engines, orders one before plain replicas.
+// plannerFleet returns a fleet of engines, orderFleet one of plain replicas.
 func plannerFleet(count int) *Fleet {
 	fleet := New(Settings{DataCentre: "bole", Seed: 1})
 	fleet.SetEngine("planner", Engine{Memory: 300000})
@@ -37,7 +37,7 @@
 	return replicas
 }
 
-// chain returns a prompt of a root, a thing and a part of its own.
+// prompt returns a prompt of a root, a shared subject and a part of its own.
 func prompt(subject, own uint64) []Part {
 	return []Part{{ID: subject % 4, Tokens: 2500}, {ID: 100 + subject, Tokens: 6000}, {ID: 1000 + own, Tokens: 580}}
 }
@@ -46,12 +46,12 @@
 	return Request{Service: "planner", Parts: prompt(subject, own)}
 }
 
-// choose gives a request to a replica and fails the test when there is none.
+// mustChoose places a request at a replica and fails the test if there is none.
 func mustChoose(t *testing.T, fleet *Fleet, request Request, now timekeeper.Instant) *Placement {
 	t.Helper()
 	placement, reason := fleet.Choose(request, now)
 	if placement == nil {
-		t.Fatalf("no replica: %s", reason)
+		t.Fatalf("no replica was chosen: %s", reason)
 	}
 	return placement
 }
@@ -61,7 +61,7 @@
 	first := mustChoose(t, fleet, promptRequest(1, 1), start)
 	fleet.AnswerStarted(first, start.Add(230))
 	fleet.End(first, Served, start.Add(400))
-	Convey("the second request reads only its own part", t, func() {
+	Convey("the second request prefills only its own part", t, func() {
 		second := mustChoose(t, fleet, promptRequest(1, 2), start.Add(500))
 		So(first.Uncached, ShouldEqual, 9080)
 		So(second.Replica.ID, ShouldEqual, first.Replica.ID)
@@ -76,9 +76,8 @@
 }
 
 func TestEntriesWithoutDigestsAgree(t *testing.T) {
-	// Callers of one new prompt come by several entries in the same moment. The
-	// entries have not heard of each other; they read the prompt at one engine all
-	// the same.
+	// Callers of one new prompt arrive at several entries at the same time. The entries have
+	// not received each other's digests, but must prefill the prompt at one engine.
 	Convey("for each of many prompts", t, func() {
 		for subject := range uint64(50) {
 			where := map[string]bool{}
@@ -92,7 +91,7 @@
 
 func TestRequestFollowsAPeersPrompt(t *testing.T) {
 	fleet := plannerFleet(9)
-	Convey("a request follows what a peer has sent", t, func() {
+	Convey("a request goes to the engine that a peer has sent the prompt to", t, func() {
 		fleet.RecordCached(KeyOf("planner-3"), prompt(1, 1), start)
 		placement := mustChoose(t, fleet, promptRequest(1, 2), start)
 		So(placement.Replica.ID, ShouldEqual, "planner-3")
@@ -101,15 +100,14 @@
 }
 
 func TestPeersPromptBeforeTheConfiguration(t *testing.T) {
-	// An entry starts again. Its peers tell of their prompts some milliseconds
-	// before it knows the configuration, and so how much an engine holds. Later
-	// prompts are remembered all the same; else the entry would take these engines
-	// for empty as long as it lives.
+	// A restarted entry receives its peers' prompts some milliseconds before the configuration
+	// with the memory of an engine. Later prompts must still be remembered; otherwise the entry
+	// would take these engines for empty as long as it runs.
 	fleet := New(Settings{DataCentre: "bole", Seed: 1})
 	fleet.SetReplicas(replicasOf("planner", 9, 64), 1)
 	fleet.RecordCached(KeyOf("planner-3"), prompt(1, 1), start)
 	fleet.SetEngine("planner", Engine{Memory: 300000})
-	Convey("what comes after the configuration is known", t, func() {
+	Convey("a prompt after the configuration is remembered", t, func() {
 		fleet.RecordCached(KeyOf("planner-3"), prompt(1, 2), start.Add(100))
 		placement := mustChoose(t, fleet, promptRequest(1, 3), start.Add(200))
 		So(placement.Replica.ID, ShouldEqual, "planner-3")
@@ -118,9 +116,9 @@
 }
 
 func TestHotPromptIsSpread(t *testing.T) {
-	// Requests about one thing come in the same moment, more than one engine may
-	// hold of the service's mean. They spread over engines instead of waiting for
-	// one, and no engine holds more than the bound allows.
+	// Guards against a hot prompt whose requests wait for one engine. Requests about one
+	// subject arrive at the same time, more than one engine may hold by the bound. They must
+	// spread over several engines within the bound.
 	fleet := plannerFleet(9)
 	held := map[string]int{}
 	for own := range uint64(60) {
@@ -135,25 +133,25 @@
 		}
 		limit := 2*float64(total)/9 + 3
 		if float64(held[placement.Replica.ID]) > limit {
-			t.Fatalf("%d of %d at one engine", held[placement.Replica.ID], total)
+			t.Fatalf("an engine holds %d of %d requests, over the bound", held[placement.Replica.ID], total)
 		}
 	}
-	Convey("several engines have it", t, func() { So(len(held), ShouldBeGreaterThan, 2) })
+	Convey("several engines get the prompt", t, func() { So(len(held), ShouldBeGreaterThan, 2) })
 }
 
 func TestEngineBeyondItsShareGetsNoRequests(t *testing.T) {
-	// Many callers ask about one thing, and the engine that has its prompt is chosen
-	// again and again while others idle. Beyond its share of the mean load the prompt
-	// is read elsewhere; if not, one engine slows all its callers down.
+	// Guards against an overloaded engine that slows all its callers down while others idle:
+	// many callers ask about one subject, and the engine that has the prompt is chosen again
+	// and again. Beyond its share of the mean load another engine must prefill the prompt.
 	tests := []struct {
 		name       string
 		held, rest int
 		first      bool
 	}{
-		{"the mean", 4, 4, true},
+		{"at the mean", 4, 4, true},
 		{"within its share", 6, 4, true},
-		{"a little less than operators allow, for what peers have begun since", 16, 4, false},
-		{"beyond what operators allow", 19, 4, false},
+		{"slightly below the operators' bound, because of requests that peers have started since", 16, 4, false},
+		{"beyond the operators' bound", 19, 4, false},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -177,11 +175,11 @@
 	list := replicasOf("planner", 2, 64)
 	list[0].Leaving = true
 	changes := fleet.SetReplicas(list, 1)
-	Convey("the change is told", t, func() {
+	Convey("the change is returned once", t, func() {
 		So(changes, ShouldResemble, []Change{{Replica: list[0]}})
 		So(fleet.SetReplicas(list, 1), ShouldBeEmpty)
 	})
-	Convey("all goes to the other, also what was cached at it", t, func() {
+	Convey("all requests go to the other replica, even if the prompt is cached at the leaving one", t, func() {
 		fleet.RecordCached(KeyOf("planner-0"), prompt(1, 1), start)
 		for own := range uint64(5) {
 			So(mustChoose(t, fleet, promptRequest(1, own), start).Replica.ID, ShouldEqual, "planner-1")
@@ -191,7 +189,7 @@
 		So(reason, ShouldEqual, NoReplicas)
 		So(fleet.CountAvailable("planner"), ShouldEqual, 0)
 	})
-	Convey("one that is gone is forgotten", t, func() {
+	Convey("a removed replica is forgotten", t, func() {
 		So(fleet.SetReplicas(nil, 1), ShouldHaveLength, 2)
 		_, found := fleet.Replica("planner-1")
 		So(found, ShouldBeFalse)
@@ -199,17 +197,17 @@
 }
 
 func TestUnreachableReplica(t *testing.T) {
-	// A replica refuses connections. It gets nothing for a moment; then one request
-	// finds out whether it is back, and only when it is do others follow.
+	// A replica refuses connections. After a pause one trial request finds out whether it is
+	// back, and others follow only after it succeeds.
 	fleet := orderFleet(1)
 	request := Request{Service: "orders"}
 	first := mustChoose(t, fleet, request, start)
 	fleet.End(first, Unreachable, start)
-	Convey("it gets nothing until the pause is over", t, func() {
+	Convey("the replica gets no requests until the pause is over", t, func() {
 		_, reason := fleet.Choose(request, start.Add(minUnreachablePause-1))
 		So(reason, ShouldEqual, AllUnreachable)
 	})
-	Convey("then one request tries, and the others wait for it", t, func() {
+	Convey("then one trial request is sent, and the others wait for its result", t, func() {
 		now := start.Add(minUnreachablePause)
 		trial := mustChoose(t, fleet, request, now)
 		_, reason := fleet.Choose(request, now.Add(1))
@@ -220,12 +218,12 @@
 }
 
 func TestReplicaThatNeverAnswers(t *testing.T) {
-	// A replica takes requests and never answers. Before the first caller has left,
-	// new requests go to the others.
+	// A replica accepts requests and never answers. New requests must go to the others before
+	// the first caller has left.
 	fleet := orderFleet(4)
 	request := Request{Service: "orders"}
 	silent := mustChoose(t, fleet, request, start).Replica.ID
-	Convey("overdue answers count while they wait", t, func() {
+	Convey("overdue answers count before their requests end", t, func() {
 		now := start.Add(overdueSlack + 100)
 		for range 20 {
 			placement := mustChoose(t, fleet, request, now)
@@ -276,19 +274,19 @@
 }
 
 func TestPlainReplicasAreFilledEvenly(t *testing.T) {
-	// A burst comes to four replicas of six slots. Each gets the same, and beyond
-	// twice their slots nothing more, so that none sheds.
+	// A burst arrives for four replicas of six slots. Each must get the same number, and no
+	// more than twice its slots, so that none refuses requests.
 	fleet := orderFleet(4)
 	held := map[string]int{}
 	for {
 		placement, reason := fleet.Choose(Request{Service: "orders"}, start)
 		if placement == nil {
-			Convey("all are full", t, func() { So(reason, ShouldEqual, AllFull) })
+			Convey("all replicas are full", t, func() { So(reason, ShouldEqual, AllFull) })
 			break
 		}
 		held[placement.Replica.ID]++
 	}
-	Convey("evenly", t, func() {
+	Convey("all replicas hold the same number", t, func() {
 		for _, count := range held {
 			So(count, ShouldEqual, maxPlainPerSlot*6)
 		}
@@ -298,7 +296,7 @@
 func TestReplicasOwnCountExpires(t *testing.T) {
 	fleet := orderFleet(2)
 	fleet.RecordReport("orders-0", LoadReport{Running: 6, Waiting: 5, Slots: 6}, start)
-	Convey("others that nobody has told of count", t, func() {
+	Convey("requests that no digest has reported count", t, func() {
 		for range 5 {
 			So(mustChoose(t, fleet, Request{Service: "orders"}, start.Add(10)).Replica.ID, ShouldEqual, "orders-1")
 		}
@@ -309,10 +307,10 @@
 func TestPeersRequestsExpireWithItsDigest(t *testing.T) {
 	fleet := orderFleet(2)
 	fleet.SetPeerInFlight("entry-2", map[Key]InFlight{KeyOf("orders-0"): {Running: 9}}, 800, start)
-	Convey("while it lives", t, func() {
+	Convey("requests count until the digest expires", t, func() {
 		So(mustChoose(t, fleet, Request{Service: "orders"}, start.Add(800)).Replica.ID, ShouldEqual, "orders-1")
 	})
-	Convey("and not after", t, func() {
+	Convey("requests don't count after the digest expires", t, func() {
 		where := map[string]bool{}
 		for range 6 {
 			where[mustChoose(t, fleet, Request{Service: "orders"}, start.Add(801)).Replica.ID] = true
@@ -324,8 +322,8 @@
 }
 
 func TestCountsReturnToZero(t *testing.T) {
-	// Requests are placed, begin and end in any order, replicas come and go. When
-	// all have ended nothing is held, and nothing waits to be read.
+	// Requests are placed, start and end in any order. When all have ended nothing may be in
+	// flight and no tokens may be pending.
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := plannerFleet(4)
 		now := start
@@ -355,14 +353,14 @@
 			fleet.End(placement, Served, now)
 		}
 		if held := fleet.InFlight(); len(held) > 0 {
-			t.Fatalf("still held: %v", held)
+			t.Fatalf("still in flight after all requests ended: %v", held)
 		}
 	})
 }
 
 func TestPrefixCacheEvictsTheLeastRecentlyUsed(t *testing.T) {
 	cache := newPrefixCache(1000, maxPartsPerReplica)
-	Convey("what was used longest ago goes first", t, func() {
+	Convey("the least recently used part is evicted first", t, func() {
 		cache.touch([]Part{{ID: 1, Tokens: 300}}, start)
 		cache.touch([]Part{{ID: 2, Tokens: 300}}, start.Add(1))
 		cache.touch([]Part{{ID: 1, Tokens: 300}}, start.Add(2))
--- a/internal/balancer/hot_parts_test.go
+++ b/internal/balancer/hot_parts_test.go
@@ -9,8 +9,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// withPeers tells a fleet of peers that have nothing under way and send a digest
-// each so often.
+// withPeers gives a fleet peers that have nothing in flight and send digests at an interval.
 func withPeers(fleet *Fleet, count int, gap timekeeper.Span, now timekeeper.Instant) *Fleet {
 	for peer := range count {
 		fleet.SetPeerInFlight(fmt.Sprint(peer), nil, timekeeper.Minute, now.Add(-gap))
@@ -20,9 +19,9 @@
 }
 
 func TestEnginesForAHotPart(t *testing.T) {
-	// One of many entries sees a thirtieth of what all callers ask for. A part that
-	// it is asked for again and again is asked for thirty times as often by all; one
-	// that it is asked for once says nothing.
+	// One of many entries receives a thirtieth of all requests. If it is asked for a part
+	// several times, all entries together are asked for it thirty times as often; a single
+	// request shows nothing.
 	tests := []struct {
 		name  string
 		peers int
@@ -31,10 +30,10 @@
 		least int
 		most  int
 	}{
-		{"asked for once", 30, 600, 1, 1, 1},
-		{"asked for some times, by many entries", 30, 600, 5, 4, 10},
-		{"the same with fresh digests", 30, 100, 5, 1, 3},
-		{"the same by few entries", 3, 600, 5, 1, 2},
+		{"one request", 30, 600, 1, 1, 1},
+		{"several requests, many entries", 30, 600, 5, 4, 10},
+		{"several requests, many entries, recent digests", 30, 100, 5, 1, 3},
+		{"several requests, few entries", 3, 600, 5, 1, 2},
 		{"no peers", 0, 0, 50, 1, 1},
 	}
 	for _, test := range tests {
@@ -58,15 +57,15 @@
 }
 
 func TestHotPartAvoidsAFailingEngine(t *testing.T) {
-	// One of the engines that share a hot part has failed requests. It is left out,
-	// as it would be for any other request, though rendezvous ranks it first.
+	// One of the engines that share a hot part has failed requests. It must be left out, as for
+	// any other request, though it is first in rendezvous order.
 	fleet := plannerFleet(9)
 	all, _ := fleet.candidates(promptRequest(1, 1), fleet.estimateReplicas(promptRequest(1, 1)), start)
 	first := fleet.pickForHotPart(all, 101, 1).ID
 	for range 3 {
 		fleet.replicas[first].health.recordFailure(1, start)
 	}
-	Convey("the next ones take its part", t, func() {
+	Convey("the next engines in order take its requests", t, func() {
 		for range 50 {
 			open, _ := fleet.candidates(promptRequest(1, 1), fleet.estimateReplicas(promptRequest(1, 1)), start)
 			So(fleet.pickForHotPart(open, 101, 3).ID, ShouldNotEqual, first)
@@ -79,16 +78,15 @@
 	for part := range uint64(3 * maxPartRates) {
 		counted.count(part, start.Add(timekeeper.Span(part)))
 	}
-	Convey("no more parts than there is room for", t, func() {
+	Convey("no more parts are counted than the limit", t, func() {
 		So(len(counted), ShouldBeLessThanOrEqualTo, maxPartRates)
 	})
 }
 
 func TestRestartedEntryFollowsThePreferenceOrder(t *testing.T) {
-	// An entry starts again among others that have sent a prompt where it ranks
-	// first. It has heard of their load, not yet of their prompts; the engine is
-	// busier than the rest. It goes there all the same: reading the prompt elsewhere
-	// takes longer than the wait.
+	// A restarted entry has received its peers' load, but not yet their prompts. The engine
+	// that has a prompt, first in rendezvous order, is busier than the rest. The request must
+	// go there all the same: prefill elsewhere takes longer than the wait.
 	Convey("for each of many prompts", t, func() {
 		for subject := range uint64(50) {
 			usual := mustChoose(t, plannerFleet(9), promptRequest(subject, 1), start).Replica.ID
--- a/internal/balancer/leave_test.go
+++ b/internal/balancer/leave_test.go
@@ -11,20 +11,20 @@
 )
 
 func TestReplicaThatAPeerSawLeaveGetsNoWork(t *testing.T) {
-	// The store turns this entry away while a replica leaves; a peer tells of it.
-	// Then rows that lapsed are due to go, and the entry's own list is taken in once
-	// more: it is older than what the peer saw and still has the replica. If it
-	// counted, the replica would get work until the store answers again.
+	// Guards against work for a leaving replica until the store answers again. The store
+	// rejects this entry while the replica leaves, and a peer reports it. Then lapsed rows are
+	// due for removal, and the entry applies its own list once more, which is older than the
+	// peer's and still has the replica.
 	tests := []struct {
 		name           string
 		left, listed   uint64
 		leaving, works bool
 	}{
-		{"an older list", 12, 9, false, false},
-		{"a list as new as what the peer saw, which has it ready", 12, 12, false, true},
-		{"a newer list, after a lapse", 12, 15, false, true},
-		{"a newer list that says the same", 12, 15, true, false},
-		{"told of what the own list has outlived", 3, 9, false, true},
+		{"a list older than the peer's", 12, 9, false, false},
+		{"a list as new as the peer's, with the replica ready", 12, 12, false, true},
+		{"a newer list with the replica ready, after a lapse", 12, 15, false, true},
+		{"a newer list with the replica leaving", 12, 15, true, false},
+		{"an update older than the entry's list", 3, 9, false, true},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -41,7 +41,7 @@
 			So(fleet.CountAvailable("planner"), ShouldEqual, want)
 		})
 	}
-	Convey("also one that the own list did not have yet", t, func() {
+	Convey("a replica that the entry's list did not have yet", t, func() {
 		fleet := plannerFleet(1)
 		fleet.MarkLeaving("planner-1", 12)
 		fleet.SetReplicas(replicasOf("planner", 2, 64), 9)
@@ -50,22 +50,22 @@
 }
 
 func TestLeaveIsRevokedByTheList(t *testing.T) {
-	// A peer tells that a replica leaves, and it doesn't, or is back. The list that has it
-	// ready is as new, and no row of it changes: only its version is told. The replica got
-	// no work from this entry for the rest of the day.
+	// Guards against a replica that gets no work from this entry for the rest of the day. A
+	// peer reports that it leaves, but it doesn't, or it is back. The list that has it ready is
+	// as new and none of its rows changes, so that only its version is confirmed.
 	tests := []struct {
 		name            string
 		left, confirmed uint64
-		// listed is the version of a list that comes after the word; zero means none.
+		// listed is the version of a list that is applied after the update; zero means none.
 		listed         uint64
 		leaving, works bool
 	}{
 		{"the list is as new", 12, 12, 0, false, true},
-		{"it is newer", 12, 20, 0, false, true},
-		{"it is older", 12, 11, 0, false, false},
-		{"an older list came between", 12, 15, 10, false, true},
-		{"an older list came between, and it is older", 12, 11, 10, false, false},
-		{"the list itself says that it leaves", 12, 20, 10, true, false},
+		{"the list is newer", 12, 20, 0, false, true},
+		{"the list is older", 12, 11, 0, false, false},
+		{"an older list was applied in between", 12, 15, 10, false, true},
+		{"an older list was applied in between, and the confirmed version is older", 12, 11, 10, false, false},
+		{"the list has the replica leaving", 12, 20, 10, true, false},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -88,7 +88,7 @@
 			So(fleet.MarkLeaving("planner-0", test.confirmed), ShouldBeFalse)
 		})
 	}
-	Convey("a listing of an earlier life says nothing of the later one", t, func() {
+	Convey("a row of an earlier incarnation doesn't revoke the leave of the later one", t, func() {
 		fleet := plannerFleet(1)
 		list := replicasOf("planner", 1, 64)
 		list[0].StartedAt = 20
@@ -102,14 +102,14 @@
 	})
 }
 
-// leaver is a store on which replicas begin to leave and go, for good, and an
+// leaveModel is a store in which replicas start to leave and are removed, for good, and an
 // entry that reads it late.
 type leaveModel struct {
 	fleet *Fleet
-	// history is the list at each version, from one on.
+	// history is the list at each version, starting at one.
 	history [][]Replica
-	// left is the version at which a replica was seen to leave first; known are those
-	// of which the entry could know it.
+	// left is the version at which a replica was first seen to leave; known are the replicas of
+	// which the entry could know it.
 	left  map[string]uint64
 	known map[string]bool
 	read  uint64
@@ -124,7 +124,7 @@
 	return model
 }
 
-// leave lets a replica of the list begin to leave, or go.
+// beginLeave makes a replica of the list start to leave, or removes it.
 func (model *leaveModel) beginLeave(which int, silently bool) {
 	next := slices.Clone(model.history[len(model.history)-1])
 	if which >= len(next) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// take lets the entry read the list of a version.
+// readList makes the entry read the list of a version.
 func (model *leaveModel) readList(version uint64) {
 	model.read = version
 	model.fleet.SetReplicas(slices.Clone(model.history[version-1]), version)
@@ -151,7 +151,7 @@
 	}
 }
 
-// confirm moves the entry to the newest version whose list is the one that it has.
+// confirm moves the entry to the newest version whose list equals the one that it has.
 func (model *leaveModel) confirm() {
 	own := model.history[model.read-1]
 	for version := uint64(len(model.history)); version > model.read; version-- {
@@ -163,7 +163,7 @@
 	}
 }
 
-// tell lets a peer tell of a replica that has left.
+// receiveLeave makes the entry receive a peer's report of a replica that left.
 func (model *leaveModel) receiveLeave(id string) {
 	if at := model.left[id]; at != 0 {
 		model.fleet.MarkLeaving(id, at)
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestNoWorkForAReplicaThatLeft plays an entry that reads the list late and hears
-// from peers in any order. From the moment at which it could know by either that a
-// replica leaves, it gives it nothing.
+// TestNoWorkForAReplicaThatLeft runs an entry that reads the list late and receives peers'
+// updates in any order. Once it could know from either that a replica leaves, it must give it
+// no work.
 func TestNoWorkForAReplicaThatLeft(t *testing.T) {
 	const count = 5
 	rapid.Check(t, func(t *rapid.T) {
@@ -194,7 +194,7 @@
 			case "ask":
 				placement, _ := model.fleet.Choose(promptRequest(uint64(step), uint64(step)), start.Add(timekeeper.Span(step)))
 				if placement != nil && model.known[placement.Replica.ID] {
-					t.Fatalf("work for %s, which left", placement.Replica.ID)
+					t.Fatalf("work was placed at %s, which left", placement.Replica.ID)
 				}
 			}
 		}
--- a/internal/balancer/peers_test.go
+++ b/internal/balancer/peers_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestTotalsOfPeersMatchTheirDigests(t *testing.T) {
-	// Digests of many peers come, replace each other and lapse in any order. What all
-	// peers have at a replica is the sum of those that count; a sum that drifted would
-	// make a replica look full, or empty, for good.
+	// Guards against totals that drift and make a replica look full, or empty, for good.
+	// Digests of many peers arrive, replace each other and expire in any order; the total at a
+	// replica must be the sum of the digests in force.
 	rapid.Check(t, func(t *rapid.T) {
 		fleet, now := plannerFleet(4), start
 		type received struct {
@@ -41,7 +41,7 @@
 					}
 				}
 				if got := fleet.inFlightOfPeers(key); got != want {
-					t.Fatalf("%+v at %d, not %+v", got, key, want)
+					t.Fatalf("peers have %+v in flight at key %d, want %+v", got, key, want)
 				}
 			}
 		}
--- a/internal/balancer/preference_test.go
+++ b/internal/balancer/preference_test.go
@@ -9,20 +9,20 @@
 )
 
 func TestPromptMovesToAnotherEngineThatHasItCached(t *testing.T) {
-	// Guards against requests that pile up at the first engine of a prompt, while others
-	// that have it are idle, because entries hear of each other seldom.
+	// Guards against requests that pile up at the first engine of a prompt, while others that
+	// have it cached are idle, because entries seldom receive each other's digests.
 	const load = 6
 	tests := []struct {
 		name string
-		// gap is the time between two digests of a peer, holders how many engines have
-		// the prompt.
+		// gap is the time between two digests of a peer, holders the number of engines that
+		// have the prompt cached.
 		gap     timekeeper.Span
 		holders int
 		moves   bool
 	}{
-		{"digests are fresh, both have it", 100, 2, false},
-		{"digests are old, both have it", 300, 2, true},
-		{"digests are old, the first alone has it", 300, 1, false},
+		{"digests are recent, both engines have the prompt", 100, 2, false},
+		{"digests are old, both engines have the prompt", 300, 2, true},
+		{"digests are old, only the first engine has the prompt", 300, 1, false},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/internal/balancer/prefix_cache_test.go
+++ b/internal/balancer/prefix_cache_test.go
@@ -11,8 +11,9 @@
 )
 
 func TestRememberedPartsAreBounded(t *testing.T) {
-	// Thousands of engines, each of which is told of thousands of prompts. What an entry
-	// remembers of all together stays the same; few engines are remembered as before.
+	// Guards against memory that grows with the number of engines. Thousands of engines each
+	// get thousands of prompts; the total that an entry remembers must stay the same, and a
+	// small fleet must be remembered as fully as before.
 	tests := []struct{ engines, want int }{{1, maxPartsPerReplica}, {64, maxPartsPerReplica}, {186, 1409}, {3100, 84}, {10000, minPartsPerReplica}}
 	for _, test := range tests {
 		Convey(fmt.Sprint(test.engines), t, func() {
@@ -53,17 +54,17 @@
 				runtime.KeepAlive(fleet)
 				b.ReportMetric(held/1e6, "MB")
 				if held > maxKnownBytes {
-					b.Fatalf("%.0f bytes, at most %d", held, maxKnownBytes)
+					b.Fatalf("%.0f bytes in use, want at most %d", held, maxKnownBytes)
 				}
 			}
 		})
 	}
 }
 
-// mostKnownBytes is a quarter of what a daemon may hold at the design size.
+// maxKnownBytes is a quarter of the memory limit of a daemon at the design size.
 const maxKnownBytes = 32 << 20
 
-// heapInUse returns the bytes that live on the heap.
+// heapInUse returns the bytes of live heap objects.
 func heapInUse() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -9,13 +9,13 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// fill takes all places of a fleet of one plain replica and returns them.
+// fillOrders takes all places of a fleet of plain replicas and returns the placements.
 func fillOrders(t *testing.T, fleet *Fleet, now timekeeper.Instant) []*Placement {
 	t.Helper()
 	return fillWith(fleet, func(uint64) Request { return Request{Service: "orders"} }, now)
 }
 
-// fillBy gives requests to a fleet until it takes no more, and returns their placements.
+// fillWith places requests until the fleet takes no more, and returns their placements.
 func fillWith(fleet *Fleet, request func(number uint64) Request, now timekeeper.Instant) (taken []*Placement) {
 	for number := uint64(0); ; number++ {
 		placement, _ := fleet.Choose(request(number), now)
@@ -31,9 +31,9 @@
 }
 
 func TestDispatchOrder(t *testing.T) {
-	// All places are taken. Callers of several ranks and teams wait; one team has
-	// had much of late. Places go to the most urgent, then to the team that has had
-	// least, then to who came first.
+	// All places are taken, and callers of several ranks and teams wait. One team has recently
+	// had many places. Places must go to the lowest rank, then to the team with the fewest
+	// recent places, then to the first arrival.
 	fleet := orderFleet(1)
 	taken := fillOrders(t, fleet, start)
 	greedy := fleet.team("greedy")
@@ -45,11 +45,11 @@
 	for _, waiter := range waiters {
 		fleet.Enqueue(waiter, start)
 	}
-	Convey("all wait", t, func() {
+	Convey("all requests wait", t, func() {
 		So(fleet.Waiting(), ShouldEqual, len(waiters))
 		So(fleet.Dispatch(start), ShouldBeEmpty)
 	})
-	Convey("in order", t, func() {
+	Convey("places are assigned in order", t, func() {
 		for i, want := range []*Waiter{waiters[4], waiters[2], waiters[3], waiters[1], waiters[0]} {
 			fleet.End(taken[i], Served, start.Add(10))
 			decided := fleet.Dispatch(start.Add(10))
@@ -66,7 +66,7 @@
 	fillOrders(t, fleet, start)
 	waiter := newWaiter(1, "bole", start)
 	fleet.Enqueue(waiter, start)
-	Convey("at the end of its time", t, func() {
+	Convey("the waiter is refused at its limit", t, func() {
 		So(fleet.Dispatch(start.Add(599)), ShouldBeEmpty)
 		decided := fleet.Dispatch(start.Add(600))
 		So(decided, ShouldHaveLength, 1)
@@ -76,9 +76,9 @@
 }
 
 func TestLateWaiterIsRefusedAtOnce(t *testing.T) {
-	// Ends come at ten a second, and thirty wait. Another one would wait for three
-	// seconds, which is past its use: it is refused at once, with that time. One
-	// that is more urgent goes before the thirty and may wait.
+	// Requests complete at ten per second, and thirty wait. Another one would wait three
+	// seconds, which is past its limit, so it must be refused at once with that time. A more
+	// urgent one goes before the thirty and may wait.
 	fleet := orderFleet(1)
 	taken := fillOrders(t, fleet, start)
 	fleet.queue("orders").completions = decaying{value: 10 * 1.44, at: start}
@@ -90,11 +90,11 @@
 	late, urgent := newWaiter(10, "bole", start), newWaiter(5, "bole", start)
 	fleet.Enqueue(late, start)
 	fleet.Enqueue(urgent, start)
-	Convey("the late one is refused with the time to come back", t, func() {
+	Convey("the late waiter is refused with the expected wait", t, func() {
 		So(late.Reason, ShouldEqual, AllFull)
 		So(late.Wait, ShouldBeBetween, 2900, 3300)
 	})
-	Convey("the urgent one gets the next place", t, func() {
+	Convey("the urgent waiter gets the next place", t, func() {
 		So(urgent.Reason, ShouldBeEmpty)
 		fleet.End(taken[0], Served, start)
 		So(fleet.Dispatch(start)[0], ShouldEqual, urgent)
@@ -108,7 +108,7 @@
 	fleet.Enqueue(waiter, start)
 	fleet.Dequeue(waiter)
 	fleet.End(taken[0], Served, start)
-	Convey("it gets no place", t, func() {
+	Convey("the waiter gets no place", t, func() {
 		So(fleet.Waiting(), ShouldEqual, 0)
 		So(fleet.Dispatch(start), ShouldBeEmpty)
 	})
@@ -123,7 +123,7 @@
 	}{
 		{"no replica", orderFleet(0), Request{Service: "orders"}, NoReplicas},
 		{"another service", orderFleet(1), Request{Service: "planner"}, NoReplicas},
-		{"every replica has had it", orderFleet(1), Request{Service: "orders", Excluded: []string{"orders-0"}}, AllTried},
+		{"every replica has had the request", orderFleet(1), Request{Service: "orders", Excluded: []string{"orders-0"}}, AllTried},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -143,16 +143,16 @@
 	}
 	beyond := newWaiter(1, "bole", start)
 	fleet.Enqueue(beyond, start)
-	Convey("one too many is refused", t, func() {
+	Convey("a waiter beyond the limit is refused", t, func() {
 		So(beyond.Reason, ShouldEqual, AllFull)
 		So(fleet.Waiting(), ShouldEqual, maxWaiting)
 	})
 }
 
 func TestLoadedEngineDoesNotPrefillCachedPrompt(t *testing.T) {
-	// The engine that has a prompt is too full to read it in time. Another one has
-	// fifty requests, which reading 8,500 tokens would hold up for a fifth of a
-	// second each. The caller waits for the first, or reads at an idle one.
+	// The engine that has a prompt is too full to process it in time. Another one has fifty
+	// requests, each of which a prefill of 8,500 tokens would delay by a fifth of a second. The
+	// caller must wait for the first, or use an idle engine.
 	request := promptRequest(1, 1)
 	request.MaxEngineWait = 600
 	setLoad := func(fleet *Fleet, id string, running, pendingTokens int) {
@@ -163,8 +163,8 @@
 		others int
 		reason Reason
 	}{
-		{"all others are crowded", 50, AllFull},
-		{"another is idle", 0, ""},
+		{"the other engine is loaded", 50, AllFull},
+		{"the other engine is idle", 0, ""},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -203,9 +203,9 @@
 }
 
 func TestPlacesAreReservedForMoreUrgentRequests(t *testing.T) {
-	// Long answers that are least urgent come while places are free, and nearly all
-	// others are more urgent. If they took every place, the next urgent request would
-	// wait until one of them ends, ten times as long as it takes itself.
+	// Guards against long, least urgent answers that take every place while nearly all other
+	// requests are more urgent. The next urgent request would then wait until one of them ends,
+	// ten times as long as it takes itself.
 	tests := []struct {
 		name           string
 		urgent, held   int
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -8,7 +8,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// lives returns a list of two replicas; the first has a start.
+// listStartedAt returns a list of two replicas, the first of which has the given start.
 func listStartedAt(startedAt timekeeper.Instant, leaving bool) []Replica {
 	list := replicasOf("planner", 2, 64)
 	list[0].StartedAt, list[0].Leaving = startedAt, leaving
@@ -17,10 +17,11 @@
 }
 
 func TestReplicaRestartsUnderItsID(t *testing.T) {
-	// A replica crashes with a prompt in its memory and requests under way, fails
-	// some, begins to leave, and is back under its ID before its listing lapsed. If
-	// the old life were believed, prompts would go to an empty memory, and requests
-	// that died with it would keep others away for as long as the entry lives.
+	// Guards against state that outlives a replica's incarnation. The replica crashes with a
+	// cached prompt and requests in flight, fails some, starts to leave, and is back under its
+	// ID before its row lapsed. With the old state, prompts would go to an empty cache, and
+	// requests that died with the old incarnation would keep others away as long as the entry
+	// runs.
 	fleet := New(Settings{DataCentre: "bole", Seed: 1})
 	fleet.SetEngine("planner", Engine{Memory: 300000})
 	fleet.SetReplicas(listStartedAt(1000, false), 1)
@@ -30,7 +31,7 @@
 	fleet.End(mustChoose(t, fleet, promptRequest(1, 2), start), Failed, start)
 	fleet.SetReplicas(listStartedAt(1000, true), 2)
 	changes := fleet.SetReplicas(listStartedAt(2000, false), 3)
-	Convey("nothing of the earlier life is believed", t, func() {
+	Convey("no state of the earlier incarnation is kept", t, func() {
 		So(placement.Replica.ID, ShouldEqual, "planner-0")
 		So(changes, ShouldHaveLength, 1)
 		So(changes[0].Restarted, ShouldBeTrue)
@@ -41,7 +42,7 @@
 		So(current.health.penalty(start), ShouldEqual, 0)
 		So(fleet.cacheOf(current).uncached(prompt(1, 1)), ShouldEqual, 9080)
 	})
-	Convey("a request of the earlier life that ends changes nothing", t, func() {
+	Convey("the end of a request of the earlier incarnation changes nothing", t, func() {
 		fleet.AnswerStarted(placement, start.Add(10))
 		fleet.End(placement, Failed, start.Add(10))
 		current := fleet.replicas["planner-0"]
@@ -49,7 +50,7 @@
 		So(current.pendingUpTo(Priorities-1), ShouldEqual, 0)
 		So(current.health.penalty(start.Add(10)), ShouldEqual, 0)
 	})
-	Convey("what peers say of the earlier life is not about this one", t, func() {
+	Convey("peers' updates about the earlier incarnation do not apply to this one", t, func() {
 		fleet.RecordCached(old.key, prompt(1, 3), start)
 		fleet.SetPeerInFlight("peer", map[Key]InFlight{old.key: {Running: 9}}, timekeeper.Minute, start)
 		current := fleet.replicas["planner-0"]
@@ -59,13 +60,13 @@
 }
 
 func TestRowOfAnEarlierIncarnation(t *testing.T) {
-	// A write of the earlier life reaches the store late. It says that the replica
-	// leaves; the one that is there now does not, and keeps what it has cached.
+	// A write of the earlier incarnation reaches the store late and says that the replica
+	// leaves. The current incarnation doesn't leave, and must keep its cached parts.
 	tests := []struct {
 		name      string
 		startedAt timekeeper.Instant
 		replaced  bool
-	}{{"an earlier one", 500, false}, {"the same", 1000, false}, {"a later one", 2000, true}}
+	}{{"an earlier incarnation", 500, false}, {"the same incarnation", 1000, false}, {"a later incarnation", 2000, true}}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := New(Settings{DataCentre: "bole", Seed: 1})
--- a/internal/balancer/service_stats_test.go
+++ b/internal/balancer/service_stats_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestStats(t *testing.T) {
-	// One planner of three leaves, one takes no connections, and the third answers
-	// its request 200 ms later than expected.
+	// One planner of three leaves, one accepts no connections, and the third starts its answer
+	// 200 ms later than expected.
 	fleet := plannerFleet(3)
 	list := replicasOf("planner", 3, 64)
 	list[0].Leaving = true
@@ -20,7 +20,7 @@
 	placement := mustChoose(t, fleet, promptRequest(1, 1), start)
 	fleet.AnswerStarted(placement, start.Add(placement.Expected+200))
 	fleet.MarkUnreachable("planner-1", start.Add(placement.Expected+100))
-	Convey("each state, the load and the drift of the model", t, func() {
+	Convey("the counts by state, the load and the excess latency", t, func() {
 		survey := fleet.Stats(start.Add(placement.Expected + 200))
 		So(survey, ShouldHaveLength, 1)
 		So(survey[0].ExcessLatency, ShouldBeGreaterThan, 0)
--- a/internal/balancer/statement_test.go
+++ b/internal/balancer/statement_test.go
@@ -10,7 +10,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// plannersBorn returns planners that started at an instant.
+// plannersStartedAt returns planners that started at the given time.
 func plannersStartedAt(count int, startedAt timekeeper.Instant) []Replica {
 	list := replicasOf("planner", count, 64)
 	for i := range list {
@@ -19,20 +19,20 @@
 	return list
 }
 
-// bornAt returns two planners that started at an instant; the first is the one that tests
-// are about.
+// twoPlannersStartedAt returns two planners that started at the given time. The tests are about
+// the first one.
 func twoPlannersStartedAt(startedAt timekeeper.Instant) []Replica {
 	return plannersStartedAt(2, startedAt)
 }
 
-// fillPlanners takes all places of a fleet of planners and returns them.
+// fillPlanners takes all places of a fleet of planners and returns the placements.
 func fillPlanners(fleet *Fleet) []*Placement {
 	return fillWith(fleet, func(number uint64) Request { return promptRequest(number, number) }, start)
 }
 
 func TestAnnouncedLeaveHoldsForItsIncarnation(t *testing.T) {
-	// Guards against a replica that gets work again after it has said that it leaves, and
-	// against a later life that stays closed.
+	// Guards against a replica that gets work again after it announced its leave, and against a
+	// later incarnation that stays closed.
 	const first, second = 1000, 2000
 	incarnation := func(startedAt timekeeper.Instant) string { return twoPlannersStartedAt(startedAt)[0].Incarnation() }
 	tests := []struct {
@@ -40,16 +40,16 @@
 		apply func(fleet *Fleet)
 		works bool
 	}{
-		{"nothing else", func(fleet *Fleet) { fleet.MarkLeaveAnnounced(incarnation(first), start) }, false},
-		{"a newer list has it ready", func(fleet *Fleet) {
+		{"no other update", func(fleet *Fleet) { fleet.MarkLeaveAnnounced(incarnation(first), start) }, false},
+		{"a newer list has the replica ready", func(fleet *Fleet) {
 			fleet.MarkLeaveAnnounced(incarnation(first), start)
 			fleet.SetReplicas(twoPlannersStartedAt(first), 9)
 		}, false},
-		{"an older list has it ready", func(fleet *Fleet) {
+		{"an older list has the replica ready", func(fleet *Fleet) {
 			fleet.MarkLeaveAnnounced(incarnation(first), start)
 			fleet.SetReplicas(twoPlannersStartedAt(first), 3)
 		}, false},
-		{"a peer's word that it leaves is corrected", func(fleet *Fleet) {
+		{"a peer's report that the replica leaves is revoked", func(fleet *Fleet) {
 			fleet.MarkLeaveAnnounced(incarnation(first), start)
 			fleet.MarkLeaving("planner-0", 12)
 			So(fleet.ConfirmVersion(13), ShouldBeEmpty)
@@ -64,25 +64,25 @@
 			fleet.Evacuate(NewEvacuations(1, []string{"bole"}), start)
 			fleet.Evacuate(NewEvacuations(2, nil), start)
 		}, false},
-		{"it is heard before the list has the replica", func(fleet *Fleet) {
+		{"the announcement arrives before the list has the replica", func(fleet *Fleet) {
 			fleet.SetReplicas(twoPlannersStartedAt(first)[1:], 9)
 			fleet.MarkLeaveAnnounced(incarnation(first), start)
 			fleet.SetReplicas(twoPlannersStartedAt(first), 10)
 		}, false},
-		{"the replica starts again under its name", func(fleet *Fleet) {
+		{"the replica restarts under its ID", func(fleet *Fleet) {
 			fleet.MarkLeaveAnnounced(incarnation(first), start)
 			fleet.SetReplicas(twoPlannersStartedAt(second), 9)
 		}, true},
-		{"it goes, and starts again under its name", func(fleet *Fleet) {
+		{"the replica is removed and restarts under its ID", func(fleet *Fleet) {
 			fleet.MarkLeaveAnnounced(incarnation(first), start)
 			fleet.SetReplicas(twoPlannersStartedAt(first)[1:], 9)
 			fleet.SetReplicas(twoPlannersStartedAt(second), 10)
 		}, true},
-		{"it is heard of the earlier life when the later one is listed", func(fleet *Fleet) {
+		{"the earlier incarnation announces it when the later one is listed", func(fleet *Fleet) {
 			fleet.SetReplicas(twoPlannersStartedAt(second), 9)
 			fleet.MarkLeaveAnnounced(incarnation(first), start)
 		}, true},
-		{"it is heard of the later life first", func(fleet *Fleet) {
+		{"the announcement of the later incarnation arrives before its row", func(fleet *Fleet) {
 			fleet.MarkLeaveAnnounced(incarnation(second), start)
 			So(fleet.CountAvailable("planner"), ShouldEqual, 2)
 			fleet.SetReplicas(twoPlannersStartedAt(second), 9)
@@ -105,14 +105,14 @@
 }
 
 func TestAnnouncedLeaveOfAnIncarnationWithoutAStart(t *testing.T) {
-	// Guards against a later life that stays closed because its start isn't known.
+	// Guards against a later incarnation that stays closed because its start isn't known.
 	tests := []struct {
 		name  string
 		apply func(fleet *Fleet, list []Replica)
 		works bool
 	}{
 		{"listed again as it was", func(fleet *Fleet, list []Replica) { fleet.SetReplicas(list, 9) }, false},
-		{"gone, and listed again", func(fleet *Fleet, list []Replica) {
+		{"removed, and listed again", func(fleet *Fleet, list []Replica) {
 			fleet.SetReplicas(list[1:], 9)
 			fleet.SetReplicas(list, 10)
 		}, true},
@@ -132,7 +132,7 @@
 			So(fleet.CountAvailable("planner"), ShouldEqual, map[bool]int{true: 2, false: 1}[test.works])
 		})
 	}
-	Convey("nothing is kept of one that isn't listed", t, func() {
+	Convey("nothing is kept of an incarnation that isn't listed", t, func() {
 		fleet := New(Settings{Seed: 1})
 		So(fleet.MarkLeaveAnnounced("planner-0", start), ShouldBeFalse)
 		fleet.SetReplicas(replicasOf("planner", 2, 64), 5)
@@ -141,8 +141,8 @@
 }
 
 func TestRequestsChosenBeforeALeaveIsAnnounced(t *testing.T) {
-	// Guards against requests that were chosen in the same millisecond, or wait in the
-	// queue, and are sent after the announcement.
+	// Guards against requests that were chosen in the same millisecond, or wait in the queue,
+	// and are sent after the announcement.
 	fleet := New(Settings{Seed: 1})
 	list := twoPlannersStartedAt(1000)
 	fleet.SetReplicas(list, 5)
@@ -153,7 +153,7 @@
 		fleet.Enqueue(waiters[i], start)
 	}
 	fleet.MarkLeaveAnnounced(list[0].Incarnation(), start)
-	Convey("none that was chosen for it may still be sent", t, func() {
+	Convey("no request that was chosen for the leaving replica may be sent", t, func() {
 		So(len(chosen), ShouldBeGreaterThan, 50)
 		for _, placement := range chosen {
 			current, admitted := fleet.Admits(placement, start)
@@ -164,7 +164,7 @@
 			fleet.End(placement, Served, start.Add(20))
 		}
 	})
-	Convey("none that waits gets it", t, func() {
+	Convey("no waiter is placed at the leaving replica", t, func() {
 		placed := 0
 		for _, waiter := range append(fleet.Dispatch(start.Add(30)), waiters...) {
 			if waiter.Placement != nil {
@@ -182,15 +182,15 @@
 	for number := range maxUnlisted + 100 {
 		fleet.MarkLeaveAnnounced(fmt.Sprintf("planner-%d@1", number), start.Add(timekeeper.Span(number)))
 	}
-	Convey("the oldest go", t, func() {
+	Convey("the oldest statements are dropped", t, func() {
 		So(fleet.unlisted, ShouldHaveLength, maxUnlisted)
 		So(fleet.MarkLeaveAnnounced("planner-0@1", start), ShouldBeTrue)
 		So(fleet.MarkLeaveAnnounced(fmt.Sprintf("planner-%d@1", maxUnlisted+99), start), ShouldBeFalse)
 	})
 }
 
-// TestNoWorkForALifeThatAnnouncedItsLeave plays lists of any version, lapses, restarts and
-// peers' words in any order: a life that has announced its leave gets nothing.
+// TestNoWorkAfterAnnouncedLeave applies lists of any version, lapses, restarts and peers'
+// updates in any order: an incarnation that has announced its leave must get no work.
 func TestNoWorkAfterAnnouncedLeave(t *testing.T) {
 	const count = 4
 	rapid.Check(t, func(t *rapid.T) {
@@ -220,7 +220,7 @@
 			case "ask":
 				placement, _ := fleet.Choose(promptRequest(uint64(step), uint64(step)), now)
 				if placement != nil && announced[placement.Replica.Incarnation()] {
-					t.Fatalf("work for %s, which has announced its leave", placement.Replica.Incarnation())
+					t.Fatalf("work was placed at %s, which has announced its leave", placement.Replica.Incarnation())
 				}
 			}
 		}
--- a/internal/balancer/time_weight_test.go
+++ b/internal/balancer/time_weight_test.go
@@ -17,9 +17,9 @@
 		want     float64
 	}{
 		{"no target", timeWeight{}, 10, 1},
-		{"idle engines, soon", timeWeight{target: targetTime}, 20, minTimeWeight},
+		{"idle engines, well before the target", timeWeight{target: targetTime}, 20, minTimeWeight},
 		{"idle engines, at the target", timeWeight{target: targetTime}, 600, 0.5},
-		{"idle engines, far beyond it", timeWeight{target: targetTime}, 2000, 1},
+		{"idle engines, far beyond the target", timeWeight{target: targetTime}, 2000, 1},
 		{"half full engines", timeWeight{target: targetTime, fullness: 0.5}, 20, 0.5},
 		{"full engines", timeWeight{target: targetTime, fullness: 3}, 20, 1},
 	}
@@ -29,9 +29,9 @@
 }
 
 func TestTimeWeightFollowsTheLoadOfEngines(t *testing.T) {
-	// Whether engines have slack is seen by what waits there, of this entry and of its
-	// peers, and by answers that begin later than expected: engines that read more slowly
-	// than they are taken to look idle otherwise, while their callers leave.
+	// The fullness of engines follows from the wait there, caused by this entry and its peers,
+	// and from answers that start later than expected. Without the latter, engines that prefill
+	// more slowly than assumed look idle while their callers leave.
 	request := promptRequest(1, 1)
 	request.MaxEngineWait = 600
 	weightAfter := func(prepare func(fleet *Fleet)) float64 {
@@ -47,7 +47,7 @@
 		want    float64
 	}{
 		{"nothing waits", func(*Fleet) {}, minTimeWeight},
-		{"peers have sent much", func(fleet *Fleet) {
+		{"peers have sent many tokens", func(fleet *Fleet) {
 			held := map[Key]InFlight{}
 			for _, replica := range replicasOf("planner", 3, 64) {
 				held[replica.Key()] = InFlight{Running: 2, PendingTokens: 30000}
@@ -58,7 +58,7 @@
 			held := map[Key]InFlight{KeyOf("planner-0"): {Running: 2, PendingTokens: 18000}}
 			fleet.SetPeerInFlight("peer", held, timekeeper.Minute, start)
 		}, 0.5},
-		{"answers begin late", func(fleet *Fleet) {
+		{"answers start late", func(fleet *Fleet) {
 			for range 20 {
 				fleet.excessLatencyOf("planner").observe(900, start)
 			}
@@ -70,15 +70,15 @@
 }
 
 func TestTransferCostsMoreThanPrefill(t *testing.T) {
-	// A token has so much memory that moving it costs the operators a quarter more than
-	// reading it. While engines have slack the prompt is read; where they are full it is
-	// moved, since reading would hold up all who wait.
+	// A token has so much memory that its transfer costs the operators a quarter more than its
+	// prefill. While engines have slack the prompt is prefilled; if they are full it is
+	// transferred, since prefill would delay all that wait.
 	engine := Engine{Memory: 300000, TokenBytes: 700000, LinkRate: 1.375e8}
 	tests := []struct {
 		name          string
 		pendingTokens int
 		moved         bool
-	}{{"idle engines read", 0, false}, {"full engines move", 40000, true}}
+	}{{"idle engines prefill", 0, false}, {"full engines transfer", 40000, true}}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := plannerFleetWith(engine, 3)
--- a/internal/balancer/transfer_test.go
+++ b/internal/balancer/transfer_test.go
@@ -8,8 +8,9 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// quickLink is an engine whose neighbours' memory is 2 ms and a few more away,
-// slowLink one whose link takes longer than reading.
+// fastLink is an engine whose transfers take 2 ms and a little more, slowLink one whose
+// transfers take longer than prefill, and bigTokens one whose transfers cost operators more
+// than prefill.
 var (
 	fastLink  = Engine{Memory: 300000, TokenBytes: 35136, LinkRate: 1.375e8}
 	slowLink  = Engine{Memory: 300000, TokenBytes: 35136, LinkRate: 1e6}
@@ -22,25 +23,25 @@
 	return fleet
 }
 
-// crowd makes a replica hold more than its share, as a peer tells.
+// overload makes a replica hold more than its share, according to a peer.
 func overload(fleet *Fleet, id string, now timekeeper.Instant) {
 	fleet.SetPeerInFlight("crowd", map[Key]InFlight{KeyOf(id): {Running: 40}}, timekeeper.Minute, now)
 }
 
 func TestPromptIsFetchedFromItsFullEngine(t *testing.T) {
-	// The engine that has a prompt is full. Its callers are served by another one,
-	// which would stop all its streams for 200 ms to read the prompt; it fetches it
-	// from the full one instead, and reads what is the request's own.
+	// The engine that has a prompt cached is full, so another one serves the request. Prefill
+	// would stop all its streams for 200 ms; it must fetch the prompt from the full engine
+	// instead, and prefill only the request's own part.
 	tests := []struct {
 		name    string
 		engine  Engine
 		source  string
 		fetched int
 	}{
-		{"on a quick link", fastLink, "planner-0:1", 8500},
-		{"not on a link that is slower than reading", slowLink, "", 0},
-		{"not where moving is dearer to the operators", bigTokens, "", 0},
-		{"not by engines that can't", Engine{Memory: 300000}, "", 0},
+		{"on a fast link", fastLink, "planner-0:1", 8500},
+		{"not on a link that is slower than prefill", slowLink, "", 0},
+		{"not if the transfer costs operators more", bigTokens, "", 0},
+		{"not between engines that don't transfer", Engine{Memory: 300000}, "", 0},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -57,27 +58,27 @@
 }
 
 func TestSourceEligibility(t *testing.T) {
-	// A source that is down, or fails its requests, would hold up a request for
-	// longer than reading does. One that leaves has what it had until it ends.
+	// Guards against a source that is down or fails its requests, which would delay a request
+	// for longer than prefill does. A leaving source has its cache until it ends.
 	tests := []struct {
 		name    string
 		prepare func(fleet *Fleet)
 		source  string
 	}{
-		{"one that leaves", func(fleet *Fleet) {
+		{"a leaving replica", func(fleet *Fleet) {
 			list := replicasOf("planner", 3, 64)
 			list[0].Leaving = true
 			fleet.SetReplicas(list, 2)
 		}, "planner-0:1"},
-		{"not one that takes no connections", func(fleet *Fleet) {
+		{"not an unreachable replica", func(fleet *Fleet) {
 			overload(fleet, "planner-0", start)
 			fleet.MarkUnreachable("planner-0", start)
 		}, ""},
-		{"not one that fails", func(fleet *Fleet) {
+		{"not a failing replica", func(fleet *Fleet) {
 			overload(fleet, "planner-0", start)
 			fleet.replicas["planner-0"].health.recordFailure(2, start)
 		}, ""},
-		{"not one that is gone", func(fleet *Fleet) {
+		{"not a removed replica", func(fleet *Fleet) {
 			fleet.SetReplicas(replicasOf("planner", 3, 64)[1:], 2)
 		}, ""},
 	}
@@ -94,7 +95,7 @@
 			}
 		})
 	}
-	Convey("not one that has had the request and failed it", t, func() {
+	Convey("not a replica that has failed the request", t, func() {
 		fleet := plannerFleetWith(fastLink, 3)
 		fleet.RecordCached(KeyOf("planner-0"), prompt(1, 9), start)
 		request := promptRequest(1, 1)
@@ -104,10 +105,10 @@
 }
 
 func TestSourceWithoutThePrompt(t *testing.T) {
-	// The source has forgotten the prompt, or hangs. Requests that name it begin late,
-	// or not at all. After a few of them nobody names it; after some seconds it is
-	// tried again.
-	Convey("is not named again soon", t, func() {
+	// Guards against a source that has evicted the prompt, or hangs, so that requests that name
+	// it start late or never. After a few of them it must not be named; after some seconds it
+	// must be tried again.
+	Convey("is not named until some seconds later", t, func() {
 		fleet := plannerFleetWith(fastLink, 3)
 		fleet.RecordCached(KeyOf("planner-0"), prompt(1, 9), start)
 		overload(fleet, "planner-0", start)
@@ -134,9 +135,10 @@
 }
 
 func TestManyFetchesFromOneEngine(t *testing.T) {
-	// A hundred requests for as many prompts leave one engine at the same moment. Its
-	// link carries one after the other: the first are fetched, and as soon as the
-	// link is busy for longer than reading takes the others read.
+	// Guards against an overloaded link. A hundred requests for as many prompts leave one
+	// engine at the same time, and its link carries one transfer after the other. The first are
+	// fetched; once the link is busy for longer than prefill takes, the others must be
+	// prefilled.
 	engine := fastLink
 	engine.LinkRate = 3e6 // A prompt takes 100 ms, half of what prefill takes.
 	engine.Memory = 2_000_000
@@ -151,11 +153,11 @@
 			fetched++
 		}
 	}
-	Convey("the link is not overrun", t, func() {
+	Convey("the link is not overloaded", t, func() {
 		So(fetched, ShouldBeGreaterThan, 0)
 		So(fetched, ShouldBeLessThan, 4)
 	})
-	Convey("and is used again when it is free", t, func() {
+	Convey("the link is used again when it is free", t, func() {
 		later := fleet.replicas["planner-0"].linkFreeAt
 		So(later, ShouldBeLessThan, start.Add(timekeeper.Second))
 		fleet.RecordCached(KeyOf("planner-0"), prompt(200, 1000), later)
@@ -164,8 +166,8 @@
 }
 
 func TestSourceWithAFreeLink(t *testing.T) {
-	// Two engines have a prompt, and the link of one is busy.
-	Convey("is named", t, func() {
+	// Two engines have a prompt cached, and the link of one is busy.
+	Convey("the source with the free link is named", t, func() {
 		for _, busy := range []string{"planner-0", "planner-1"} {
 			fleet := plannerFleetWith(fastLink, 4)
 			for _, id := range []string{"planner-0", "planner-1"} {
@@ -181,10 +183,10 @@
 }
 
 func TestRestartedEntryGuessesASource(t *testing.T) {
-	// An entry starts again while a prompt is in the memory of the engine that all
-	// entries prefer, which is full. It doesn't know who has the prompt, but who
-	// should: a wrong guess costs two milliseconds, a right one saves reading.
-	Convey("the first in the preference order", t, func() {
+	// A restarted entry doesn't know that a prompt is cached at the engine that all entries
+	// prefer, which is full, but can derive which engine should have it. A wrong guess costs
+	// two milliseconds, a right one saves the prefill.
+	Convey("the guess is the first in the preference order", t, func() {
 		first := mustChoose(t, plannerFleetWith(fastLink, 5), promptRequest(1, 1), start).Replica
 		fleet := plannerFleetWith(fastLink, 5)
 		overload(fleet, first.ID, start)
@@ -194,7 +196,7 @@
 		So(placement.Fetched, ShouldEqual, 0)
 		So(placement.Uncached, ShouldEqual, 9080)
 	})
-	Convey("also where only the root is known to be somewhere", t, func() {
+	Convey("a source is guessed even if an engine is known to have the root", t, func() {
 		first := mustChoose(t, plannerFleetWith(fastLink, 5), promptRequest(1, 1), start).Replica
 		fleet := plannerFleetWith(fastLink, 5)
 		overload(fleet, first.ID, start)
@@ -207,10 +209,10 @@
 		placement := mustChoose(t, fleet, promptRequest(1, 2), start)
 		So(placement.Source, ShouldEqual, first.Address)
 	})
-	Convey("not where a transfer is no gain", t, func() {
+	Convey("no source is guessed if a transfer takes longer than prefill", t, func() {
 		So(mustChoose(t, plannerFleetWith(slowLink, 5), promptRequest(1, 1), start).Source, ShouldEqual, "")
 	})
-	Convey("not for a prompt that nobody shares", t, func() {
+	Convey("no source is guessed for a prompt without shared parts", t, func() {
 		request := Request{Service: "planner", Parts: []Part{{ID: 7, Tokens: 9000}}}
 		So(mustChoose(t, plannerFleetWith(fastLink, 5), request, start).Source, ShouldEqual, "")
 	})
