--- a/internal/balancer/evacuation_test.go
+++ b/internal/balancer/evacuation_test.go
@@ -11,43 +11,43 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// centres are the data centres of the tests here.
-var centres = []string{"bole", "kality", "merkato", "piassa"}
+// dataCentres are the data centres in these tests.
+var dataCentres = []string{"bole", "kality", "merkato", "piassa"}
 
-// spreadOf returns replicas that lie evenly in the data centres.
-func spreadOf(service string, count, slots int) []Replica {
+// replicasInCentres returns replicas that are spread evenly over the data centres.
+func replicasInCentres(service string, count, slots int) []Replica {
 	list := replicasOf(service, count, slots)
 	for i := range list {
-		list[i].DataCentre = centres[i%len(centres)]
+		list[i].DataCentre = dataCentres[i%len(dataCentres)]
 	}
 	return list
 }
 
-// inCentres returns a fleet before engines in four data centres.
-func inCentres(count int) *Fleet {
+// fleetInCentres returns a fleet of engines in four data centres.
+func fleetInCentres(count int) *Fleet {
 	fleet := New(Settings{DataCentre: "bole", Seed: 1})
 	fleet.SetEngine("planner", Engine{Memory: 300000})
-	fleet.SetReplicas(spreadOf("planner", count, 64), 1)
+	fleet.SetReplicas(replicasInCentres("planner", count, 64), 1)
 	return fleet
 }
 
-func TestAnEvacuatedDataCentreGetsNothing(t *testing.T) {
-	// Guards against work for a data centre that the operators empty: new requests, and
-	// requests that go on after a failure.
-	fleet := inCentres(8)
+func TestEvacuatedDataCentreGetsNoWork(t *testing.T) {
+	// Guards against work for an evacuated data centre: new requests, and requests that are
+	// retried after a failure.
+	fleet := fleetInCentres(8)
 	now := start
 	fleet.Evacuate(NewEvacuations(5, []string{"kality"}), now)
-	Convey("no choice leads there, also when all others have had the request", t, func() {
+	Convey("no request is placed there, even if all other replicas have had it", t, func() {
 		for i := range 200 {
-			ask := promptAsk(uint64(i), uint64(i))
+			request := promptRequest(uint64(i), uint64(i))
 			if i%2 == 1 {
-				for _, listing := range spreadOf("planner", 8, 64) {
-					if listing.DataCentre != "kality" {
-						ask.Excluded = append(ask.Excluded, listing.ID)
+				for _, row := range replicasInCentres("planner", 8, 64) {
+					if row.DataCentre != "kality" {
+						request.Excluded = append(request.Excluded, row.ID)
 					}
 				}
 			}
-			placement, reason := fleet.Choose(ask, now)
+			placement, reason := fleet.Choose(request, now)
 			if i%2 == 1 {
 				So(placement, ShouldBeNil)
 				So(reason, ShouldEqual, AllTried)
@@ -59,32 +59,32 @@
 	})
 }
 
-func TestAServiceWhoseReplicasAreAllEvacuated(t *testing.T) {
-	// Guards against callers who wait, or go on waiting, for replicas that get no work.
-	fleet := inCentres(4)
+func TestAllReplicasEvacuated(t *testing.T) {
+	// Guards against callers who start or continue to wait for replicas that get no work.
+	fleet := fleetInCentres(4)
 	now := start
-	for fleet.fill("planner", now) {
+	for fleet.placeOne("planner", now) {
 		continue
 	}
-	waiter := &Waiter{Request: promptAsk(1, 1), Until: now.Add(600)}
+	waiter := &Waiter{Request: promptRequest(1, 1), Until: now.Add(600)}
 	fleet.Enqueue(waiter, now)
-	Convey("who waits is told at once, and who comes then does not wait", t, func() {
+	Convey("waiters are refused at once, and new requests do not wait", t, func() {
 		So(waiter.Reason, ShouldEqual, noReason)
-		fleet.Evacuate(NewEvacuations(5, centres), now.Add(10))
+		fleet.Evacuate(NewEvacuations(5, dataCentres), now.Add(10))
 		decided := fleet.Dispatch(now.Add(20))
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].Reason, ShouldEqual, AllEvacuated)
-		late := &Waiter{Request: promptAsk(2, 2), Until: now.Add(600)}
+		late := &Waiter{Request: promptRequest(2, 2), Until: now.Add(600)}
 		fleet.Enqueue(late, now.Add(30))
 		So(late.Reason, ShouldEqual, AllEvacuated)
 	})
-	Convey("who waits looks again when a data centre is taken back", t, func() {
-		fleet := inCentres(4)
+	Convey("a waiter is placed when a data centre is no longer evacuated", t, func() {
+		fleet := fleetInCentres(4)
 		fleet.Evacuate(NewEvacuations(5, []string{"bole", "kality", "merkato"}), now)
-		for fleet.fill("planner", now) {
+		for fleet.placeOne("planner", now) {
 			continue
 		}
-		waiter := &Waiter{Request: promptAsk(1, 1), Until: now.Add(600)}
+		waiter := &Waiter{Request: promptRequest(1, 1), Until: now.Add(600)}
 		fleet.Enqueue(waiter, now)
 		So(fleet.Dispatch(now.Add(10)), ShouldBeEmpty)
 		fleet.Evacuate(NewEvacuations(6, nil), now.Add(20))
@@ -93,30 +93,31 @@
 	})
 }
 
-// fill gives a replica of a service one more request, and reports whether one took it.
-func (fleet *Fleet) fill(service string, now timekeeper.Instant) bool {
-	placement, _ := fleet.Choose(Request{Service: service, Parts: chain(0, 0)}, now)
+// placeOne places one more request at a replica of a service, and reports whether that
+// succeeded.
+func (fleet *Fleet) placeOne(service string, now timekeeper.Instant) bool {
+	placement, _ := fleet.Choose(Request{Service: service, Parts: prompt(0, 0)}, now)
 	return placement != nil
 }
 
 func TestTheBoundCountsEvacuatedReplicas(t *testing.T) {
-	// Guards against an engine that holds more than twice the mean of its service because
-	// a quarter of the engines, which hold nothing, were left out of the mean.
+	// Guards against an engine that holds more than twice the mean of its service because a
+	// quarter of the engines, which hold nothing, were left out of the mean.
 	const count, requests = 20, 300
-	fleet := inCentres(count)
+	fleet := fleetInCentres(count)
 	fleet.Evacuate(NewEvacuations(5, []string{"kality"}), start)
 	held := map[string]int{}
 	for i := range requests {
 		// One prompt in three is the same.
-		thing := uint64(i)
+		subject := uint64(i)
 		if i%3 == 0 {
-			thing = 7
+			subject = 7
 		}
-		placement := choose(t, fleet, promptAsk(thing, uint64(i)), start.Add(timekeeper.Span(i)))
+		placement := mustChoose(t, fleet, promptRequest(subject, uint64(i)), start.Add(timekeeper.Span(i)))
 		fleet.AnswerStarted(placement, start.Add(timekeeper.Span(i)))
 		held[placement.Replica.ID]++
 	}
-	Convey("the fullest one is within twice the mean of all, and three", t, func() {
+	Convey("the fullest engine holds at most twice the mean of all engines plus three", t, func() {
 		most := 0
 		for _, count := range held {
 			most = max(most, count)
@@ -125,13 +126,13 @@
 	})
 }
 
-// TestTheNewestEvacuationsHold lets an entry hear of evacuations in any order, read them
-// itself at any version, and know replicas before, between and after. What it knows to be
-// newest decides, for each replica, whatever came last.
+// TestTheNewestEvacuationsHold applies evacuations of any version in any order, as received
+// from peers or read from the store, with replicas listed before, between and after. The newest
+// version decides for each replica, whatever was applied last.
 func TestTheNewestEvacuationsHold(t *testing.T) {
 	const count = 8
 	rapid.Check(t, func(t *rapid.T) {
-		history := rapid.SliceOfN(rapid.SliceOfDistinct(rapid.SampledFrom(centres), func(name string) string { return name }), 1, 12).
+		history := rapid.SliceOfN(rapid.SliceOfDistinct(rapid.SampledFrom(dataCentres), func(name string) string { return name }), 1, 12).
 			Draw(t, "history")
 		fleet := New(Settings{Seed: 1})
 		newest := 0
@@ -139,15 +140,15 @@
 			now := start.Add(timekeeper.Span(step))
 			version := rapid.IntRange(1, len(history)).Draw(t, "version")
 			if rapid.Bool().Draw(t, "list") {
-				fleet.SetReplicas(spreadOf("planner", count, 64), uint64(version))
+				fleet.SetReplicas(replicasInCentres("planner", count, 64), uint64(version))
 			} else {
 				fleet.Evacuate(NewEvacuations(uint64(version), history[version-1]), now)
 				newest = max(newest, version)
 			}
-			for id, known := range fleet.replicas {
-				evacuated := newest > 0 && slices.Contains(history[newest-1], known.DataCentre)
-				if got := fleet.eligibility(known, now); (got.Cause == Evacuated) != evacuated {
-					t.Fatalf("%s in %s is %v, newest %d of %v", id, known.DataCentre, got, newest, history)
+			for id, member := range fleet.replicas {
+				evacuated := newest > 0 && slices.Contains(history[newest-1], member.DataCentre)
+				if got := fleet.eligibility(member, now); (got.Cause == Evacuated) != evacuated {
+					t.Fatalf("%s in %s is %v, newest %d of %v", id, member.DataCentre, got, newest, history)
 				}
 			}
 		}
@@ -161,8 +162,8 @@
 	}, 1)
 	now := timekeeper.Instant(timekeeper.Hour)
 	fleet.Evacuate(NewEvacuations(7, []string{"kality"}), now)
-	// An older word that arrives late changes nothing.
+	// An older version that arrives late changes nothing.
 	fleet.Evacuate(NewEvacuations(3, nil), now)
-	fmt.Println(fleet.Count("orders"), fleet.Evacuations().Centres)
+	fmt.Println(fleet.CountAvailable("orders"), fleet.Evacuations().DataCentres)
 	// Output: 1 [kality]
 }
--- a/internal/balancer/statement_test.go
+++ b/internal/balancer/statement_test.go
@@ -10,84 +10,86 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// plannersBorn returns planners that started at an instant.
-func plannersBorn(count int, born timekeeper.Instant) []Replica {
+// plannersStartedAt returns planners that started at the given time.
+func plannersStartedAt(count int, startedAt timekeeper.Instant) []Replica {
 	list := replicasOf("planner", count, 64)
 	for i := range list {
-		list[i].StartedAt = born
+		list[i].StartedAt = startedAt
 	}
 	return list
 }
 
-// bornAt returns two planners that started at an instant; the first is the one that tests
-// are about.
-func bornAt(born timekeeper.Instant) []Replica { return plannersBorn(2, born) }
+// twoPlannersStartedAt returns two planners that started at the given time. The tests are about
+// the first one.
+func twoPlannersStartedAt(startedAt timekeeper.Instant) []Replica {
+	return plannersStartedAt(2, startedAt)
+}
 
-// fillPlanners takes all places of a fleet of planners and returns them.
+// fillPlanners takes all places of a fleet of planners and returns the placements.
 func fillPlanners(fleet *Fleet) []*Placement {
-	return fillBy(fleet, func(number uint64) Request { return promptAsk(number, number) }, start)
+	return fillWith(fleet, func(number uint64) Request { return promptRequest(number, number) }, start)
 }
 
-func TestAnAnnouncedLeaveHoldsForItsLife(t *testing.T) {
-	// Guards against a replica that gets work again after it has said that it leaves, and
-	// against a later life that stays closed.
+func TestAnnouncedLeaveHoldsForItsIncarnation(t *testing.T) {
+	// Guards against a replica that gets work again after it announced its leave, and against a
+	// later incarnation that stays closed.
 	const first, second = 1000, 2000
-	life := func(born timekeeper.Instant) string { return bornAt(born)[0].Incarnation() }
+	incarnation := func(startedAt timekeeper.Instant) string { return twoPlannersStartedAt(startedAt)[0].Incarnation() }
 	tests := []struct {
 		name  string
-		play  func(fleet *Fleet)
+		apply func(fleet *Fleet)
 		works bool
 	}{
-		{"nothing else", func(fleet *Fleet) { fleet.AnnounceLeave(life(first), start) }, false},
-		{"a newer list has it ready", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
-			fleet.SetReplicas(bornAt(first), 9)
+		{"no other update", func(fleet *Fleet) { fleet.MarkLeaveAnnounced(incarnation(first), start) }, false},
+		{"a newer list has the replica ready", func(fleet *Fleet) {
+			fleet.MarkLeaveAnnounced(incarnation(first), start)
+			fleet.SetReplicas(twoPlannersStartedAt(first), 9)
 		}, false},
-		{"an older list has it ready", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
-			fleet.SetReplicas(bornAt(first), 3)
+		{"an older list has the replica ready", func(fleet *Fleet) {
+			fleet.MarkLeaveAnnounced(incarnation(first), start)
+			fleet.SetReplicas(twoPlannersStartedAt(first), 3)
 		}, false},
-		{"a peer's word that it leaves is corrected", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
+		{"a peer's report that the replica leaves is revoked", func(fleet *Fleet) {
+			fleet.MarkLeaveAnnounced(incarnation(first), start)
 			fleet.MarkLeaving("planner-0", 12)
 			So(fleet.ConfirmVersion(13), ShouldBeEmpty)
 		}, false},
 		{"its row lapses and comes back", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
-			fleet.SetReplicas(bornAt(first)[1:], 9)
-			fleet.SetReplicas(bornAt(first), 10)
+			fleet.MarkLeaveAnnounced(incarnation(first), start)
+			fleet.SetReplicas(twoPlannersStartedAt(first)[1:], 9)
+			fleet.SetReplicas(twoPlannersStartedAt(first), 10)
 		}, false},
 		{"its data centre is evacuated and taken back", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
+			fleet.MarkLeaveAnnounced(incarnation(first), start)
 			fleet.Evacuate(NewEvacuations(1, []string{"bole"}), start)
 			fleet.Evacuate(NewEvacuations(2, nil), start)
 		}, false},
-		{"it is heard before the list has the replica", func(fleet *Fleet) {
-			fleet.SetReplicas(bornAt(first)[1:], 9)
-			fleet.AnnounceLeave(life(first), start)
-			fleet.SetReplicas(bornAt(first), 10)
+		{"the announcement arrives before the list has the replica", func(fleet *Fleet) {
+			fleet.SetReplicas(twoPlannersStartedAt(first)[1:], 9)
+			fleet.MarkLeaveAnnounced(incarnation(first), start)
+			fleet.SetReplicas(twoPlannersStartedAt(first), 10)
 		}, false},
-		{"the replica starts again under its name", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
-			fleet.SetReplicas(bornAt(second), 9)
+		{"the replica restarts under its ID", func(fleet *Fleet) {
+			fleet.MarkLeaveAnnounced(incarnation(first), start)
+			fleet.SetReplicas(twoPlannersStartedAt(second), 9)
 		}, true},
-		{"it goes, and starts again under its name", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
-			fleet.SetReplicas(bornAt(first)[1:], 9)
-			fleet.SetReplicas(bornAt(second), 10)
+		{"the replica is removed and restarts under its ID", func(fleet *Fleet) {
+			fleet.MarkLeaveAnnounced(incarnation(first), start)
+			fleet.SetReplicas(twoPlannersStartedAt(first)[1:], 9)
+			fleet.SetReplicas(twoPlannersStartedAt(second), 10)
 		}, true},
-		{"it is heard of the earlier life when the later one is listed", func(fleet *Fleet) {
-			fleet.SetReplicas(bornAt(second), 9)
-			fleet.AnnounceLeave(life(first), start)
+		{"the earlier incarnation announces it when the later one is listed", func(fleet *Fleet) {
+			fleet.SetReplicas(twoPlannersStartedAt(second), 9)
+			fleet.MarkLeaveAnnounced(incarnation(first), start)
 		}, true},
-		{"it is heard of the later life first", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(second), start)
-			So(fleet.Count("planner"), ShouldEqual, 2)
-			fleet.SetReplicas(bornAt(second), 9)
+		{"the announcement of the later incarnation arrives before its row", func(fleet *Fleet) {
+			fleet.MarkLeaveAnnounced(incarnation(second), start)
+			So(fleet.CountAvailable("planner"), ShouldEqual, 2)
+			fleet.SetReplicas(twoPlannersStartedAt(second), 9)
 		}, false},
 		{"another replica takes its address", func(fleet *Fleet) {
-			fleet.AnnounceLeave(life(first), start)
-			list := bornAt(first)
+			fleet.MarkLeaveAnnounced(incarnation(first), start)
+			list := twoPlannersStartedAt(first)
 			list[0].ID = "planner-7"
 			fleet.SetReplicas(list, 9)
 		}, true},
@@ -95,22 +97,22 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			fleet := New(Settings{Seed: 1})
-			fleet.SetReplicas(bornAt(first), 5)
-			test.play(fleet)
-			So(fleet.Count("planner"), ShouldEqual, map[bool]int{true: 2, false: 1}[test.works])
+			fleet.SetReplicas(twoPlannersStartedAt(first), 5)
+			test.apply(fleet)
+			So(fleet.CountAvailable("planner"), ShouldEqual, map[bool]int{true: 2, false: 1}[test.works])
 		})
 	}
 }
 
-func TestAnAnnouncedLeaveOfALifeWithoutAStart(t *testing.T) {
-	// Guards against a later life that stays closed because its start isn't known.
+func TestAnnouncedLeaveOfAnIncarnationWithoutAStart(t *testing.T) {
+	// Guards against a later incarnation that stays closed because its start isn't known.
 	tests := []struct {
 		name  string
-		play  func(fleet *Fleet, list []Replica)
+		apply func(fleet *Fleet, list []Replica)
 		works bool
 	}{
 		{"listed again as it was", func(fleet *Fleet, list []Replica) { fleet.SetReplicas(list, 9) }, false},
-		{"gone, and listed again", func(fleet *Fleet, list []Replica) {
+		{"removed, and listed again", func(fleet *Fleet, list []Replica) {
 			fleet.SetReplicas(list[1:], 9)
 			fleet.SetReplicas(list, 10)
 		}, true},
@@ -124,34 +126,34 @@
 			fleet := New(Settings{Seed: 1})
 			list := replicasOf("planner", 2, 64)
 			fleet.SetReplicas(list, 5)
-			So(fleet.AnnounceLeave("planner-0", start), ShouldBeTrue)
-			So(fleet.Count("planner"), ShouldEqual, 1)
-			test.play(fleet, replicasOf("planner", 2, 64))
-			So(fleet.Count("planner"), ShouldEqual, map[bool]int{true: 2, false: 1}[test.works])
+			So(fleet.MarkLeaveAnnounced("planner-0", start), ShouldBeTrue)
+			So(fleet.CountAvailable("planner"), ShouldEqual, 1)
+			test.apply(fleet, replicasOf("planner", 2, 64))
+			So(fleet.CountAvailable("planner"), ShouldEqual, map[bool]int{true: 2, false: 1}[test.works])
 		})
 	}
-	Convey("nothing is kept of one that isn't listed", t, func() {
+	Convey("nothing is kept of an incarnation that isn't listed", t, func() {
 		fleet := New(Settings{Seed: 1})
-		So(fleet.AnnounceLeave("planner-0", start), ShouldBeFalse)
+		So(fleet.MarkLeaveAnnounced("planner-0", start), ShouldBeFalse)
 		fleet.SetReplicas(replicasOf("planner", 2, 64), 5)
-		So(fleet.Count("planner"), ShouldEqual, 2)
+		So(fleet.CountAvailable("planner"), ShouldEqual, 2)
 	})
 }
 
-func TestRequestsChosenAsTheLeaveIsAnnounced(t *testing.T) {
-	// Guards against requests that were chosen in the same millisecond, or wait in the
-	// queue, and are sent after the announcement.
+func TestRequestsChosenBeforeALeaveIsAnnounced(t *testing.T) {
+	// Guards against requests that were chosen in the same millisecond, or wait in the queue,
+	// and are sent after the announcement.
 	fleet := New(Settings{Seed: 1})
-	list := bornAt(1000)
+	list := twoPlannersStartedAt(1000)
 	fleet.SetReplicas(list, 5)
 	chosen := fillPlanners(fleet)
 	waiters := make([]*Waiter, 50)
 	for i := range waiters {
-		waiters[i] = &Waiter{Request: promptAsk(uint64(i), uint64(1000+i)), Due: start.Add(300), Until: start.Add(600)}
+		waiters[i] = &Waiter{Request: promptRequest(uint64(i), uint64(1000+i)), Due: start.Add(300), Until: start.Add(600)}
 		fleet.Enqueue(waiters[i], start)
 	}
-	fleet.AnnounceLeave(list[0].Incarnation(), start)
-	Convey("none that was chosen for it may still be sent", t, func() {
+	fleet.MarkLeaveAnnounced(list[0].Incarnation(), start)
+	Convey("no request that was chosen for the leaving replica may be sent", t, func() {
 		So(len(chosen), ShouldBeGreaterThan, 50)
 		for _, placement := range chosen {
 			current, admitted := fleet.Admits(placement, start)
@@ -162,7 +164,7 @@
 			fleet.End(placement, Served, start.Add(20))
 		}
 	})
-	Convey("none that waits gets it", t, func() {
+	Convey("no waiter is placed at the leaving replica", t, func() {
 		placed := 0
 		for _, waiter := range append(fleet.Dispatch(start.Add(30)), waiters...) {
 			if waiter.Placement != nil {
@@ -177,30 +179,30 @@
 func TestStatementsOfUnlistedReplicasAreBounded(t *testing.T) {
 	// Guards against memory that grows with each replica that leaves.
 	fleet := New(Settings{Seed: 1})
-	for number := range mostStatements + 100 {
-		fleet.AnnounceLeave(fmt.Sprintf("planner-%d@1", number), start.Add(timekeeper.Span(number)))
+	for number := range maxUnlisted + 100 {
+		fleet.MarkLeaveAnnounced(fmt.Sprintf("planner-%d@1", number), start.Add(timekeeper.Span(number)))
 	}
-	Convey("the oldest go", t, func() {
-		So(fleet.unlisted, ShouldHaveLength, mostStatements)
-		So(fleet.AnnounceLeave("planner-0@1", start), ShouldBeTrue)
-		So(fleet.AnnounceLeave(fmt.Sprintf("planner-%d@1", mostStatements+99), start), ShouldBeFalse)
+	Convey("the oldest statements are dropped", t, func() {
+		So(fleet.unlisted, ShouldHaveLength, maxUnlisted)
+		So(fleet.MarkLeaveAnnounced("planner-0@1", start), ShouldBeTrue)
+		So(fleet.MarkLeaveAnnounced(fmt.Sprintf("planner-%d@1", maxUnlisted+99), start), ShouldBeFalse)
 	})
 }
 
-// TestNoWorkForALifeThatAnnouncedItsLeave plays lists of any version, lapses, restarts and
-// peers' words in any order: a life that has announced its leave gets nothing.
-func TestNoWorkForALifeThatAnnouncedItsLeave(t *testing.T) {
+// TestNoWorkAfterAnnouncedLeave applies lists of any version, lapses, restarts and peers'
+// updates in any order: an incarnation that has announced its leave must get no work.
+func TestNoWorkAfterAnnouncedLeave(t *testing.T) {
 	const count = 4
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := New(Settings{Seed: 1})
-		list := plannersBorn(count, 1000)
+		list := plannersStartedAt(count, 1000)
 		version, announced := uint64(1), map[string]bool{}
 		fleet.SetReplicas(list, version)
 		for step := range rapid.IntRange(5, 60).Draw(t, "steps") {
 			now, which := start.Add(timekeeper.Span(step)), rapid.IntRange(0, count-1).Draw(t, "which")
 			switch rapid.SampledFrom([]string{"announce", "list", "lapse", "restart", "leave", "confirm", "ask"}).Draw(t, "what") {
 			case "announce":
-				fleet.AnnounceLeave(list[which].Incarnation(), now)
+				fleet.MarkLeaveAnnounced(list[which].Incarnation(), now)
 				announced[list[which].Incarnation()] = true
 			case "list":
 				version++
@@ -216,9 +218,9 @@
 				version += 2
 				fleet.ConfirmVersion(version)
 			case "ask":
-				placement, _ := fleet.Choose(promptAsk(uint64(step), uint64(step)), now)
+				placement, _ := fleet.Choose(promptRequest(uint64(step), uint64(step)), now)
 				if placement != nil && announced[placement.Replica.Incarnation()] {
-					t.Fatalf("work for %s, which has announced its leave", placement.Replica.Incarnation())
+					t.Fatalf("work was placed at %s, which has announced its leave", placement.Replica.Incarnation())
 				}
 			}
 		}
