--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -30,7 +30,7 @@
 	}
 	// replicaWait is how long the store may hold a call for a change of that list. Where
 	// there are replicas, heartbeats end it within that time, so silence is a fault.
-	replicaWait = follower.Every(1500 * timekeeper.Millisecond)
+	replicaWait = follower.FixedInterval(1500 * timekeeper.Millisecond)
 	// configurationWait is the same for the operator's table, which changes seldom. A
 	// connection that has gone silent is noticed a second and a half after it, in which
 	// a change must still come into force; where several wait, the first to notice tells
@@ -45,7 +45,7 @@
 	fellows := direct.fellows
 	direct.orders = follower.New(follower.Settings[platform.Order]{
 		Name: "configuration", Clock: direct.clock, Log: direct.log, Source: platform.Orders(store), Seed: newIncarnation(),
-		ReadInterval: follower.Every(configurationPace), Wait: configurationWait,
+		ReadInterval: follower.FixedInterval(configurationPace), Wait: configurationWait,
 		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.readsConfiguration,
 		Apply: direct.order, Confirm: direct.confirmOrders,
 		// What others have they offer by its version; there is nothing else to miss.
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -195,7 +195,7 @@
 	for _, test := range tests {
 		Convey(test.want.String(), t, func() {
 			So(pacing.For(test.readers), ShouldEqual, test.want)
-			So(Every(25).For(test.readers), ShouldEqual, 25)
+			So(FixedInterval(25).For(test.readers), ShouldEqual, 25)
 		})
 	}
 	Convey("a follower goes by its readers", t, func() {
--- a/internal/follower/outage_test.go
+++ b/internal/follower/outage_test.go
@@ -74,7 +74,7 @@
 			waits := false
 			copied := map[string]int{}
 			follower := New(Settings[int]{
-				Name: "test", Clock: clock.Clock(), Log: quiet(), Lapse: 2200, Wait: Every(20 * timekeeper.Second),
+				Name: "test", Clock: clock.Clock(), Log: quiet(), Lapse: 2200, Wait: FixedInterval(20 * timekeeper.Second),
 				Apply: func(rows map[string]int, _ Version) { copied = rows },
 				Source: Source[int]{
 					Snapshot: source.Snapshot,
--- a/internal/follower/pacing.go
+++ b/internal/follower/pacing.go
@@ -27,8 +27,8 @@
 	return max(pacing.Min, timekeeper.Span(float64(span)*(shortest+(longest-shortest)*factor)))
 }
 
-// Every returns a pacing that does not depend on the number of readers.
-func Every(span timekeeper.Span) Interval { return Interval{Min: span, Max: span} }
+// FixedInterval returns a pacing that does not depend on the number of readers.
+func FixedInterval(span timekeeper.Span) Interval { return Interval{Min: span, Max: span} }
 
 // For returns the span for a number of readers.
 func (pacing Interval) For(readers int) timekeeper.Span {
