--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -286,7 +286,7 @@
 		}
 		rows := make([]follower.Change[balancer.Replica], len(list.Replicas))
 		for i, replica := range list.Replicas {
-			rows[i] = follower.Change[balancer.Replica]{Key: replica.ID, Value: replica, Lapses: list.Lapses[replica.ID]}
+			rows[i] = follower.Change[balancer.Replica]{Key: replica.ID, Value: replica, LapsesIn: list.Lapses[replica.ID]}
 		}
 		return rows, follower.Version(list.Version), nil
 	}
@@ -302,7 +302,7 @@
 	list := gossiper.ReplicaList{Version: uint64(version), Lapses: map[string]timekeeper.Span{}}
 	for _, row := range rows {
 		list.Replicas = append(list.Replicas, row.Value)
-		list.Lapses[row.Key] = row.Lapses
+		list.Lapses[row.Key] = row.LapsesIn
 	}
 	text, err := list.Encode(fellows.direct.clock.Now())
 	if err != nil {
--- a/internal/follower/copy.go
+++ b/internal/follower/copy.go
@@ -79,8 +79,8 @@
 		if !change.Removed {
 			follower.returned(change.Key, version)
 			follower.put(change.Key, change.Value)
-			if change.Lapses > 0 {
-				follower.lapsing[change.Key] = now.Add(change.Lapses)
+			if change.LapsesIn > 0 {
+				follower.lapsing[change.Key] = now.Add(change.LapsesIn)
 				follower.log("another's row lapsed in an outage, kept for a while: "+change.Key, version)
 			}
 			changed = true
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -23,9 +23,9 @@
 	Key     string
 	Value   T
 	Removed bool
-	// Lapses is how much longer another's copy keeps a row that the table lacks since an
+	// LapsesIn is how much longer another's copy keeps a row that the table lacks since an
 	// outage; zero means that the table has it.
-	Lapses timekeeper.Span
+	LapsesIn timekeeper.Span
 }
 
 // Source reads one table. Both fields must be set. Each call must end within
--- a/internal/follower/told.go
+++ b/internal/follower/told.go
@@ -109,7 +109,7 @@
 	for key, value := range follower.rows {
 		row := Change[T]{Key: key, Value: value}
 		if due, lapsing := follower.lapsing[key]; lapsing {
-			row.Lapses = max(1, due.Since(now))
+			row.LapsesIn = max(1, due.Since(now))
 		}
 		rows = append(rows, row)
 	}
