--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -286,7 +286,7 @@
 		}
 		rows := make([]follower.Change[balancer.Replica], len(list.Replicas))
 		for i, replica := range list.Replicas {
-			rows[i] = follower.Change[balancer.Replica]{Key: replica.ID, Value: replica, LapsesIn: list.Lapses[replica.ID]}
+			rows[i] = follower.Change[balancer.Replica]{Key: replica.ID, Value: replica, LapsesIn: list.LapsesIn[replica.ID]}
 		}
 		return rows, follower.Version(list.Version), nil
 	}
@@ -299,10 +299,10 @@
 	if !known {
 		return nil
 	}
-	list := gossiper.ReplicaList{Version: uint64(version), Lapses: map[string]timekeeper.Span{}}
+	list := gossiper.ReplicaList{Version: uint64(version), LapsesIn: map[string]timekeeper.Span{}}
 	for _, row := range rows {
 		list.Replicas = append(list.Replicas, row.Value)
-		list.Lapses[row.Key] = row.LapsesIn
+		list.LapsesIn[row.Key] = row.LapsesIn
 	}
 	text, err := list.Encode(fellows.direct.clock.Now())
 	if err != nil {
--- a/internal/gossiper/replicas.go
+++ b/internal/gossiper/replicas.go
@@ -17,8 +17,8 @@
 type ReplicaList struct {
 	Version  uint64
 	Replicas []balancer.Replica
-	// Lapses is how much longer the peer keeps rows that the store lacks since an outage.
-	Lapses map[string]timekeeper.Span
+	// LapsesIn is how much longer the peer keeps rows that the store lacks since an outage.
+	LapsesIn map[string]timekeeper.Span
 }
 
 // Encode writes the list for a peer that asks.
@@ -26,7 +26,7 @@
 	message := &encoder.ReplicaList{Version: list.Version}
 	for _, replica := range list.Replicas {
 		row := rowOf(replica, now)
-		row.LapsesInMs = uint32(list.Lapses[replica.ID])
+		row.LapsesInMs = uint32(list.LapsesIn[replica.ID])
 		message.Replicas = append(message.Replicas, row)
 	}
 	text, err := proto.Marshal(message)
@@ -43,14 +43,14 @@
 	if message.Version == 0 {
 		return ReplicaList{}, eris.New("a list of replicas without a version")
 	}
-	list := ReplicaList{Version: message.Version, Lapses: map[string]timekeeper.Span{}}
+	list := ReplicaList{Version: message.Version, LapsesIn: map[string]timekeeper.Span{}}
 	for _, row := range message.Replicas {
 		if row.Id == "" || row.Address == "" {
 			return ReplicaList{}, eris.New("a replica without ID or address")
 		}
 		list.Replicas = append(list.Replicas, replicaOf(row, now))
 		if row.LapsesInMs > 0 {
-			list.Lapses[row.Id] = timekeeper.Span(row.LapsesInMs)
+			list.LapsesIn[row.Id] = timekeeper.Span(row.LapsesInMs)
 		}
 	}
 	return list, nil
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -15,7 +15,7 @@
 	list := ReplicaList{Version: 7, Replicas: []balancer.Replica{
 		{ID: "i-1", StartedAt: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64, Leaving: true},
 		{ID: "i-2", Service: "orders", Address: "10.0.0.2:80"},
-	}, Lapses: map[string]timekeeper.Span{"i-2": 1700}}
+	}, LapsesIn: map[string]timekeeper.Span{"i-2": 1700}}
 	Convey("arrives as it was", t, func() {
 		text, err := list.Encode(0)
 		So(err, ShouldBeNil)
