--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -55,7 +55,7 @@
 		Name: "replicas", Clock: direct.clock, Log: direct.log, Source: platform.Replicas(store, direct.clock), Seed: newIncarnation(),
 		ReadInterval: replicaPace, Wait: replicaWait, Lapse: replicaLapse,
 		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.reads, FailingElsewhere: fellows.doubted,
-		Apply: direct.list, Confirm: direct.confirmList, Sum: gossiper.SumOf, Publish: direct.tellListed,
+		Apply: direct.list, Confirm: direct.confirmList, Sum: gossiper.ReplicaChecksum, Publish: direct.tellListed,
 		OthersServed: fellows.othersServed, FetchCopy: fellows.copyReplicas,
 	})
 }
--- a/internal/gossiper/replicas.go
+++ b/internal/gossiper/replicas.go
@@ -75,9 +75,9 @@
 	return replica
 }
 
-// SumOf returns the checksum of a row of the list, in which every field counts but until
+// ReplicaChecksum returns the checksum of a row of the list, in which every field counts but until
 // when the replica is cold: that differs by reader, and with each heartbeat.
-func SumOf(id string, replica balancer.Replica) uint64 {
+func ReplicaChecksum(id string, replica balancer.Replica) uint64 {
 	text := fmt.Sprintf("%q %d %q %q %q %d %t", id, replica.StartedAt, replica.Service, replica.Address,
 		replica.DataCentre, replica.Slots, replica.Leaving)
 	return xxhash.Sum64String(text)
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -83,7 +83,7 @@
 		list, err := DecodeReplicas(text, 80000)
 		So(err, ShouldBeNil)
 		So(list.Replicas[0].WarmAt, ShouldEqual, 0)
-		So(SumOf("i-1", told), ShouldEqual, SumOf("i-1", cold))
+		So(ReplicaChecksum("i-1", told), ShouldEqual, ReplicaChecksum("i-1", cold))
 	})
 	Convey("each field of a row counts in its checksum", t, func() {
 		changed := []balancer.Replica{joined, joined, joined, joined, joined, joined}
@@ -94,9 +94,9 @@
 		changed[4].Slots++
 		changed[5].Leaving = true
 		for _, replica := range changed {
-			So(SumOf("i-1", replica), ShouldNotEqual, SumOf("i-1", joined))
+			So(ReplicaChecksum("i-1", replica), ShouldNotEqual, ReplicaChecksum("i-1", joined))
 		}
-		So(SumOf("i-2", joined), ShouldNotEqual, SumOf("i-1", joined))
+		So(ReplicaChecksum("i-2", joined), ShouldNotEqual, ReplicaChecksum("i-1", joined))
 	})
 }
 
