--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -56,7 +56,7 @@
 		ReadInterval: replicaPace, Wait: replicaWait, Lapse: replicaLapse,
 		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.reads, FailingElsewhere: fellows.doubted,
 		Apply: direct.list, Confirm: direct.confirmList, Sum: gossiper.ReplicaChecksum, Publish: direct.tellListed,
-		OthersServed: fellows.othersServed, FetchCopy: fellows.copyReplicas,
+		ServingOthersSince: fellows.othersServed, FetchCopy: fellows.copyReplicas,
 	})
 }
 
--- a/internal/follower/outage.go
+++ b/internal/follower/outage.go
@@ -39,7 +39,7 @@
 	from, away := follower.outageBegan(doubted, now)
 	if away {
 		back := now
-		if served := follower.settings.OthersServed(from); served != 0 {
+		if served := follower.settings.ServingOthersSince(from); served != 0 {
 			back = min(back, served)
 		}
 		follower.lenient, follower.settles = back.Add(follower.settings.Lapse), now.Add(settling)
--- a/internal/follower/outage_test.go
+++ b/internal/follower/outage_test.go
@@ -223,7 +223,7 @@
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
 				Apply:    func(rows map[string]int, _ Version) { copied = rows },
 				IsReader: func() bool { return false }, FailingElsewhere: func() bool { return doubted },
-				OthersServed: func(from timekeeper.Instant) timekeeper.Instant {
+				ServingOthersSince: func(from timekeeper.Instant) timekeeper.Instant {
 					if served > from && clock.Now().Since(served) <= sharedOutage {
 						return served
 					}
@@ -366,7 +366,7 @@
 			follower := New(Settings[int]{
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
 				Apply: func(rows map[string]int, _ Version) { copied = rows },
-				OthersServed: func(begin timekeeper.Instant) timekeeper.Instant {
+				ServingOthersSince: func(begin timekeeper.Instant) timekeeper.Instant {
 					from = begin
 					if test.served == 0 {
 						return 0
--- a/internal/follower/partial_outage_test.go
+++ b/internal/follower/partial_outage_test.go
@@ -40,7 +40,7 @@
 				Name: "test", Clock: clock.Clock(), Log: quiet(), Source: table.source(), Lapse: 2200,
 				Apply:            func(rows map[string]int, _ Version) { copied = rows },
 				FailingElsewhere: func() bool { return true },
-				OthersServed: func(from timekeeper.Instant) timekeeper.Instant {
+				ServingOthersSince: func(from timekeeper.Instant) timekeeper.Instant {
 					if test.served == 0 || confirmed.Add(test.served) <= from {
 						return 0
 					}
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -131,7 +131,7 @@
 		Apply: one.apply, Confirm: one.confirm, Lapse: 2200, Sum: func(key, value string) uint64 { return xxhash.Sum64String(key + "=" + value) },
 		ReadInterval: follower.Interval{Min: 450, Max: 4000, MaxUnshared: 1}, Wait: follower.FixedInterval(1500),
 		Readers: one.takingTurns, Processes: func() int { return len(one.members()) }, IsReader: one.reads, FailingElsewhere: one.doubted,
-		Publish: one.tell, FetchCopy: one.copy, OthersServed: one.othersServed,
+		Publish: one.tell, FetchCopy: one.copy, ServingOthersSince: one.othersServed,
 	})
 	return one
 }
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -53,11 +53,11 @@
 	// Lapse is how long a row that is missing after an outage stays; zero means
 	// not at all.
 	Lapse timekeeper.Span
-	// OthersServed returns since when the store has served other processes, after an
+	// ServingOthersSince returns since when the store has served other processes, after an
 	// instant and up to now without a gap; zero means that it does not. Rows that are
 	// missing a Lapse after that are gone, however long the store has been away for this
 	// process. Nil means that nothing is known of others.
-	OthersServed func(from timekeeper.Instant) timekeeper.Instant
+	ServingOthersSince func(from timekeeper.Instant) timekeeper.Instant
 	// FetchCopy asks another process for its copy of the table and the version that it is
 	// of, where the store fails or others have a newer copy. Nil means that nobody can
 	// be asked.
@@ -67,8 +67,8 @@
 
 // New returns a follower that knows nothing.
 func New[T any](settings Settings[T]) *Follower[T] {
-	if settings.OthersServed == nil {
-		settings.OthersServed = func(timekeeper.Instant) timekeeper.Instant { return 0 }
+	if settings.ServingOthersSince == nil {
+		settings.ServingOthersSince = func(timekeeper.Instant) timekeeper.Instant { return 0 }
 	}
 	if settings.Confirm == nil {
 		settings.Confirm = func(Version) {}
