--- /dev/null
+++ b/internal/gossiper/digest.go
@@ -0,0 +1,108 @@
+package gossiper
+
+import (
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/trefoilseam/trefoilseam/internal/balancer"
+	"github.com/trefoilseam/trefoilseam/internal/encoder"
+	"github.com/trefoilseam/trefoilseam/internal/follower"
+	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
+)
+
+// Digest is a decoded digest of a peer.
+type Digest struct {
+	// Address is the peer's address, for datagrams and for connections.
+	Address string
+	// Lifetime is how long the digest is valid.
+	Lifetime      timekeeper.Span
+	InFlight      map[balancer.Key]balancer.InFlight
+	Configuration uint64
+	// StoreAnswered is when the store answered the peer last; zero means never.
+	StoreAnswered timekeeper.Instant
+	Stopping      bool
+	Placements    []Placement
+	Unreachable   []string
+	Leaves        []Leave
+	// LeaveAnnounced are incarnations of replicas that have announced to the peer that they
+	// leave.
+	LeaveAnnounced []string
+	Strikes        []Strike
+	// SameDataCentre reports whether the peer runs in this entry's data centre.
+	SameDataCentre bool
+	// ListSummary is the result of the peer's last read of the list of replicas; nil if the
+	// peer is not a reader of the list.
+	ListSummary *follower.Summary
+	// ListChanges are changes of the list of replicas that the peer has read.
+	ListChanges []ReplicaUpdate
+	// Cold are replicas that have turned cold, according to the peer's copy of the list.
+	Cold []ColdNotice
+	// Evacuations are those in force at the peer; nil if the digest carries none.
+	Evacuations *balancer.Evacuations
+}
+
+// ReplicaUpdate is a change of the list of replicas.
+type ReplicaUpdate = follower.Update[balancer.Replica]
+
+// Placement is a prompt that a peer has sent to a replica.
+type Placement struct {
+	Replica balancer.Key
+	Parts   []balancer.Part
+}
+
+// DataCentreKey returns the hash that stands for a data centre in digests.
+func DataCentreKey(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
+
+const (
+	// lifetimeIntervals is the lifetime of a digest in intervals.
+	lifetimeIntervals = 3
+	// minLifetime is long enough that a few lost datagrams in a row do no harm.
+	minLifetime = 800 * timekeeper.Millisecond
+)
+
+// decodeDigest decodes a digest. Parallel lists of different lengths are cut to the
+// shortest.
+func decodeDigest(message *encoder.PeerDigest, address string, now timekeeper.Instant) Digest {
+	digest := Digest{
+		Address: address, Configuration: message.Configuration, Stopping: message.Stopping,
+		Lifetime: min(max(minLifetime, lifetimeIntervals*timekeeper.Span(message.IntervalMs)), lifetimeIntervals*maxInterval),
+		InFlight: make(map[balancer.Key]balancer.InFlight, len(message.Replicas)), Unreachable: message.Unreachable,
+		LeaveAnnounced: message.LeaveAnnounced,
+	}
+	if message.StoreAgeMs > 0 {
+		digest.StoreAnswered = now.Add(-timekeeper.Span(message.StoreAgeMs))
+	}
+	for i := range min(len(message.Replicas), len(message.Running), len(message.Unread)) {
+		digest.InFlight[balancer.Key(message.Replicas[i])] = balancer.InFlight{Running: int(message.Running[i]), PendingTokens: int(message.Unread[i])}
+	}
+	for _, placed := range message.Placements {
+		placement := Placement{Replica: balancer.Key(placed.Replica)}
+		for i := range min(len(placed.Parts), len(placed.Tokens)) {
+			placement.Parts = append(placement.Parts, balancer.Part{ID: placed.Parts[i], Tokens: int(placed.Tokens[i])})
+		}
+		digest.Placements = append(digest.Placements, placement)
+	}
+	for _, leave := range message.Leaves {
+		digest.Leaves = append(digest.Leaves, Leave{Replica: leave.Replica, Version: leave.Version})
+	}
+	if summary := message.Listing; summary != nil && summary.AgeMs > 0 {
+		digest.ListSummary = &follower.Summary{
+			Version: follower.Version(summary.Version), Sum: summary.Sum, At: now.Add(-timekeeper.Span(summary.AgeMs)),
+		}
+	}
+	for _, changes := range message.Listed {
+		digest.ListChanges = append(digest.ListChanges, decodeUpdate(changes, now))
+	}
+	for _, cold := range message.Cold {
+		digest.Cold = append(digest.Cold, ColdNotice{
+			Replica: balancer.Key(cold.Replica), Until: now.Add(timekeeper.Span(cold.WarmInMs)),
+		})
+	}
+	if evacuations := message.Evacuations; evacuations != nil && evacuations.Version > 0 {
+		inForce := balancer.NewEvacuations(evacuations.Version, evacuations.DataCentres)
+		digest.Evacuations = &inForce
+	}
+	for _, strike := range message.Strikes {
+		digest.Strikes = append(digest.Strikes, Strike{Request: strike.Request, Replica: strike.Replica})
+	}
+	return digest
+}
--- a/internal/gossiper/doc.go
+++ b/internal/gossiper/doc.go
@@ -1,17 +1,17 @@
-// Package gossiper lets entries tell each other, some times a second, what they
-// have under way at each replica, which prompts they sent where, and which
-// replicas take no connections.
+// Package gossiper exchanges digests between entries several times a second. A digest holds
+// the requests that an entry has in flight at each replica, the prompts that it sent to
+// replicas, and the replicas that accept no connections.
 //
-// Digests are datagrams: each replaces the one before it, so a lost one is made
-// good by the next, and a peer that hangs holds up nobody. Everything in them is
-// soft state; the worst that follows from a wrong or missing digest is a prompt
-// that is read twice or a replica that is a little fuller than its share.
+// Digests are datagrams. Each replaces the previous one, so the next digest makes up for a
+// lost one, and an unresponsive peer blocks nobody. All of it is soft state: a wrong or
+// missing digest costs at worst a second prefill of a prompt, or a replica with slightly
+// more than its share of requests.
 //
-// A digest also tells whether the store fails, and those of entries that read the store
-// for all tell what a reading has changed and how the list of replicas is.
+// A digest also reports whether the store is failing. Entries that read the store on behalf
+// of all add the changes that a read found and a summary of the list of replicas.
 //
-// Every entry sends to every other. The bytes a second are bounded by a budget:
-// with more peers or more to say, digests come less often, and each says when
-// the next is due. Peers are found in the platform's store at the start, and by
-// hearing of them; after that the store isn't needed.
+// Every entry sends to every peer, within a budget in bytes a second: with more peers or
+// longer digests the interval grows, and each digest names the interval to the next one. An
+// entry finds its peers in the platform's store when it starts, and afterwards in the
+// digests of other peers; from then on it does not need the store.
 package gossiper
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -19,44 +19,44 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// mostDatagram is the longest digest that is read, in bytes.
-const mostDatagram = 32 << 10
+// maxDatagram is the longest digest that is received, in bytes.
+const maxDatagram = 32 << 10
 
-// defaultBudget is what digests may cost an entry, in bytes a second: seven
-// tenths of the 11 KB/s that a daemon may spend on control.
+// defaultBudget is what digests may cost an entry, in bytes a second: seven tenths of the
+// 11 KB/s that a daemon may spend on control traffic.
 const defaultBudget = 7700
 
-// kickSpan is the least time between two digests when there is urgent news.
-const kickSpan = 15 * timekeeper.Millisecond
+// urgentInterval is the minimum time between two digests when updates are urgent.
+const urgentInterval = 15 * timekeeper.Millisecond
 
-// Settings set up a gossiper. All fields but Budget, StoreFailing, Listing and
+// Settings set up a gossiper. All fields but Budget, StoreFailing, ListSummary and
 // Evacuations must be set.
 type Settings struct {
 	Incarnation uint64
-	// DataCentre is where the entry stands.
+	// DataCentre is the data centre in which the entry runs.
 	DataCentre string
 	Clock      timekeeper.Clock
 	Log        logrus.FieldLogger
 	Scope      tally.Scope
-	// Conn carries the datagrams; its address is the one that peers know.
+	// Conn carries the datagrams; peers know the entry by its address.
 	Conn net.PacketConn
-	// InFlight returns what this entry has under way.
+	// InFlight returns the requests that this entry has in flight at each replica.
 	InFlight func() map[balancer.Key]balancer.InFlight
 	// Version returns the version of the configuration in force.
 	Version func() uint64
-	// StoreAnswered returns when the store answered this entry last; zero means never.
+	// StoreAnswered returns when the store last answered this entry; zero means never.
 	StoreAnswered func() timekeeper.Instant
-	// StoreFailing reports whether the store did not answer the last call. Nil means
-	// that it did.
+	// StoreFailing reports whether the last call to the store failed. Nil means that it
+	// never does.
 	StoreFailing func() bool
-	// ListSummary returns what the last own reading of the list of replicas found; false
-	// means that there is none to tell of. Nil means that there never is.
+	// ListSummary returns the result of this entry's last read of the list of replicas;
+	// false means that there is none to send. Nil means that there never is.
 	ListSummary func() (follower.Summary, bool)
-	// Evacuations returns what is in force here, and whether peers should be told of it.
-	// Nil means that nothing ever is.
+	// Evacuations returns the evacuations in force at this entry, and whether to send them
+	// to peers. Nil means that there never are any.
 	Evacuations func() (balancer.Evacuations, bool)
-	// OnDigest takes what a peer tells.
-	OnDigest func(heard Digest)
+	// OnDigest is called with each new digest of a peer.
+	OnDigest func(digest Digest)
 	// Budget is in bytes a second; zero means 7,700.
 	Budget float64
 }
@@ -64,23 +64,23 @@
 // Gossiper sends and receives digests.
 type Gossiper struct {
 	settings Settings
-	kicked   chan struct{}
-
-	mu       sync.Mutex
-	outbox   *outbox
-	peers    *peers
-	sequence uint64
-	stopping bool
-	last     *encoder.PeerDigest
-	lastSent timekeeper.Instant
-	span     timekeeper.Span
-	reserve  reserve
+	wakeups  chan struct{}
+
+	mu         sync.Mutex
+	outbox     *outbox
+	peers      *peers
+	sequence   uint64
+	stopping   bool
+	lastDigest *encoder.PeerDigest
+	lastSent   timekeeper.Instant
+	interval   timekeeper.Span
+	burst      burst
 }
 
-// noEvacuations are those of a gossiper that is told of none.
+// noEvacuations is the default of Settings.Evacuations.
 func noEvacuations() (balancer.Evacuations, bool) { return balancer.Evacuations{}, false }
 
-// New returns a gossiper that knows no peers.
+// New returns a gossiper without peers.
 func New(settings Settings) *Gossiper {
 	if settings.Budget == 0 {
 		settings.Budget = defaultBudget
@@ -95,112 +95,116 @@
 		settings.Evacuations = noEvacuations
 	}
 	return &Gossiper{
-		settings: settings, kicked: make(chan struct{}, 1),
-		outbox: newOutbox(), peers: newPeers(settings.Conn.LocalAddr().String()), span: shortest,
+		settings: settings, wakeups: make(chan struct{}, 1),
+		outbox: newOutbox(), peers: newPeers(settings.Conn.LocalAddr().String()), interval: minInterval,
 	}
 }
 
-// AddPeer notes the address of an entry.
+// AddPeer adds the address of an entry.
 func (gossiper *Gossiper) AddPeer(address string) {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	gossiper.peers.learn(address, now)
+	gossiper.peers.add(address, now)
 }
 
-// SendPlacement tells peers of a prompt that was sent to a replica. first says that the
-// replica reads a part there that other requests share, which peers must know
-// soon: they are told of these parts alone, for the last one is the request's own.
+// SendPlacement reports to peers that a prompt was sent to a replica. first says that the
+// replica processes parts for the first time that other requests share. Peers must know
+// these soon, so only the shared parts are sent as an update: the last part belongs to this
+// request alone.
 func (gossiper *Gossiper) SendPlacement(replica balancer.Key, parts []balancer.Part, first bool) {
 	placed := placement{replica: replica, parts: parts}
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	if !first {
-		gossiper.outbox.remind(placed)
+		gossiper.outbox.addReminder(placed)
 		return
 	}
 	placed.parts = balancer.SharedParts(parts)
 	gossiper.outbox.placements.add(placed)
 }
 
-// SendUnreachable tells peers at once of a replica that takes no connections.
+// SendUnreachable reports at once to peers that a replica accepts no connections.
 func (gossiper *Gossiper) SendUnreachable(replica string) {
-	gossiper.tell(func(outbox *outbox) { outbox.unreachable.add(replica) })
+	gossiper.enqueue(func(outbox *outbox) { outbox.unreachable.add(replica) })
 }
 
-// SendLeaveAnnounced tells peers at once of the incarnation of a replica that has said that it
-// leaves.
+// SendLeaveAnnounced reports at once to peers the incarnation of a replica that has
+// announced that it leaves.
 func (gossiper *Gossiper) SendLeaveAnnounced(incarnation string) {
-	gossiper.tell(func(outbox *outbox) { outbox.announced.add(incarnation) })
+	gossiper.enqueue(func(outbox *outbox) { outbox.leaveAnnounced.add(incarnation) })
 }
 
-// SendLeaving tells peers at once of a replica that the store lists as leaving or gone.
+// SendLeaving reports at once to peers a replica that the store lists as leaving, or no
+// longer lists.
 func (gossiper *Gossiper) SendLeaving(leave Leave) {
-	gossiper.tell(func(outbox *outbox) { outbox.leaves.add(leave) })
+	gossiper.enqueue(func(outbox *outbox) { outbox.leaves.add(leave) })
 }
 
-// SendListChange tells peers at once of a change of the list of replicas.
-func (gossiper *Gossiper) SendListChange(news ReplicaUpdate) {
-	gossiper.tell(func(outbox *outbox) { outbox.listed.add(news) })
+// SendListChange sends a change of the list of replicas to peers at once.
+func (gossiper *Gossiper) SendListChange(update ReplicaUpdate) {
+	gossiper.enqueue(func(outbox *outbox) { outbox.changes.add(update) })
 }
 
-// SendCold tells peers at once of a replica that has turned cold.
+// SendCold reports at once to peers that a replica has turned cold.
 func (gossiper *Gossiper) SendCold(notice ColdNotice) {
-	gossiper.tell(func(outbox *outbox) { outbox.cold.add(notice) })
+	gossiper.enqueue(func(outbox *outbox) { outbox.cold.add(notice) })
 }
 
-// SendStrike tells peers at once of a request that was at a replica when it crashed.
+// SendStrike reports at once to peers a request that was in flight at a replica when it
+// crashed.
 func (gossiper *Gossiper) SendStrike(strike Strike) {
-	gossiper.tell(func(outbox *outbox) { outbox.strikes.add(strike) })
+	gossiper.enqueue(func(outbox *outbox) { outbox.strikes.add(strike) })
 }
 
-// SendEvacuations tells peers at once of the evacuations in force here.
-func (gossiper *Gossiper) SendEvacuations() { gossiper.kick() }
+// SendEvacuations sends the evacuations in force at this entry to peers at once.
+func (gossiper *Gossiper) SendEvacuations() { gossiper.wake() }
 
-// SendVersion tells peers at once that the version in force has changed.
-func (gossiper *Gossiper) SendVersion() { gossiper.kick() }
+// SendVersion reports at once to peers that the version of the configuration in force has
+// changed.
+func (gossiper *Gossiper) SendVersion() { gossiper.wake() }
 
-// AnnounceStop tells peers that this entry takes no more callers.
+// AnnounceStop reports to peers that this entry accepts no more callers.
 func (gossiper *Gossiper) AnnounceStop() {
 	gossiper.mu.Lock()
 	gossiper.stopping = true
 	gossiper.mu.Unlock()
-	gossiper.kick()
+	gossiper.wake()
 }
 
-// tell puts news into the next digest, which goes out at once.
-func (gossiper *Gossiper) tell(note func(outbox *outbox)) {
+// enqueue adds an update to the next digest and sends that at once.
+func (gossiper *Gossiper) enqueue(add func(outbox *outbox)) {
 	gossiper.mu.Lock()
-	note(gossiper.outbox)
+	add(gossiper.outbox)
 	gossiper.mu.Unlock()
-	gossiper.kick()
+	gossiper.wake()
 }
 
-func (gossiper *Gossiper) kick() {
+func (gossiper *Gossiper) wake() {
 	select {
-	case gossiper.kicked <- struct{}{}:
+	case gossiper.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// LivePeers returns the addresses of the peers that count as up.
+// LivePeers returns the addresses of the peers that count as live.
 func (gossiper *Gossiper) LivePeers() []string {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	return gossiper.peers.up(now)
+	return gossiper.peers.live(now)
 }
 
-// CountRecentPeers returns how many peers have been heard of within a span.
+// CountRecentPeers returns how many peers have sent a digest within a span.
 func (gossiper *Gossiper) CountRecentPeers(span timekeeper.Span) int {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	return len(gossiper.peers.heardWithin(span, now))
+	return len(gossiper.peers.receivedWithin(span, now))
 }
 
-// KnownPeers returns the addresses of the peers that were heard or learnt of within a span, those
-// that are silent now among them.
+// KnownPeers returns the addresses of the peers that sent a digest or were added within a
+// span, including those that are silent now.
 func (gossiper *Gossiper) KnownPeers(span timekeeper.Span) []string {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
@@ -208,7 +212,7 @@
 	return gossiper.peers.knownWithin(span, now)
 }
 
-// RecentMembers returns the peers that have been heard of within a span.
+// RecentMembers returns the peers that have sent a digest within a span.
 func (gossiper *Gossiper) RecentMembers(span timekeeper.Span) []elector.Member {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
@@ -219,31 +223,31 @@
 // Run sends digests until ctx ends.
 func (gossiper *Gossiper) Run(ctx context.Context) {
 	for {
-		fired, release := gossiper.settings.Clock.After(gossiper.spanNow())
+		fired, release := gossiper.settings.Clock.After(gossiper.currentInterval())
 		select {
 		case <-ctx.Done():
 			release()
 			return
 		case <-fired:
-		case <-gossiper.kicked:
-			// News that come together go together.
-			_ = gossiper.settings.Clock.Sleep(ctx, kickSpan)
+		case <-gossiper.wakeups:
+			// Send updates that arrive together in one digest.
+			_ = gossiper.settings.Clock.Sleep(ctx, urgentInterval)
 		}
 		release()
-		gossiper.round()
+		gossiper.sendDigest()
 	}
 }
 
-func (gossiper *Gossiper) spanNow() timekeeper.Span {
+func (gossiper *Gossiper) currentInterval() timekeeper.Span {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	return gossiper.span
+	return gossiper.interval
 }
 
-// round sends one digest to all peers, unless there is nothing new to say.
-func (gossiper *Gossiper) round() {
-	digest, due := gossiper.next()
-	if len(due) == 0 {
+// sendDigest sends one digest to all peers, unless nothing has changed.
+func (gossiper *Gossiper) sendDigest() {
+	digest, recipients := gossiper.nextDigest()
+	if len(recipients) == 0 {
 		return
 	}
 	datagram, err := proto.Marshal(digest)
@@ -251,47 +255,48 @@
 		gossiper.settings.Log.WithError(err).Error("digest not encoded")
 		return
 	}
-	gossiper.settle(len(datagram), len(due))
+	gossiper.setInterval(len(datagram), len(recipients))
 	sent := gossiper.settings.Scope.Counter("peer-bytes-sent")
-	for _, address := range due {
+	for _, address := range recipients {
 		target, err := net.ResolveUDPAddr("udp", address)
 		if err != nil {
 			continue
 		}
-		// A datagram that can't be sent is like one that was lost.
+		// A datagram that can't be sent counts as lost.
 		if _, err := gossiper.settings.Conn.WriteTo(datagram, target); err == nil {
 			sent.Inc(int64(len(datagram)))
 		}
 	}
 }
 
-// next returns the digest to send, and to whom.
-func (gossiper *Gossiper) next() (*encoder.PeerDigest, []string) {
-	held := gossiper.settings.InFlight()
+// nextDigest returns the next digest and the addresses that receive it; no addresses if
+// nothing has changed or there are no peers.
+func (gossiper *Gossiper) nextDigest() (*encoder.PeerDigest, []string) {
+	inFlight := gossiper.settings.InFlight()
 	gossiper.settings.Scope.Gauge("peers-up").Update(float64(len(gossiper.LivePeers())))
 	version := gossiper.settings.Version()
 	failing := gossiper.settings.StoreFailing()
-	listing, reads := gossiper.settings.ListSummary()
-	evacuations, telling := gossiper.settings.Evacuations()
+	summary, hasSummary := gossiper.settings.ListSummary()
+	evacuations, hasEvacuations := gossiper.settings.Evacuations()
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	digest := &encoder.PeerDigest{
 		Incarnation: gossiper.settings.Incarnation, Configuration: version, StoreFailing: failing,
-		IntervalMs: uint32(max(gossiper.span, restful)), Stopping: gossiper.stopping,
+		IntervalMs: uint32(max(gossiper.interval, idleInterval)), Stopping: gossiper.stopping,
 	}
-	if telling {
+	if hasEvacuations {
 		digest.Evacuations = &encoder.PeerEvacuations{Version: evacuations.Version, DataCentres: evacuations.Centres}
 	}
-	fillLoads(digest, held)
-	if gossiper.outbox.empty() && same(gossiper.last, digest) && now.Since(gossiper.lastSent) < restful {
+	fillInFlight(digest, inFlight)
+	if gossiper.outbox.empty() && sameContent(gossiper.lastDigest, digest) && now.Since(gossiper.lastSent) < idleInterval {
 		return nil, nil
 	}
-	due := gossiper.peers.due(now)
-	if len(due) == 0 {
+	recipients := gossiper.peers.recipients(now)
+	if len(recipients) == 0 {
 		return nil, nil
 	}
-	gossiper.last, gossiper.lastSent = digest, now
+	gossiper.lastDigest, gossiper.lastSent = digest, now
 	gossiper.sequence++
 	full := &encoder.PeerDigest{
 		Incarnation: digest.Incarnation, Sequence: gossiper.sequence, IntervalMs: digest.IntervalMs,
@@ -299,19 +304,19 @@
 		Replicas: digest.Replicas, Running: digest.Running, Unread: digest.Unread,
 		DataCentre: DataCentreKey(gossiper.settings.DataCentre), StoreFailing: failing, Evacuations: digest.Evacuations,
 	}
-	if reads {
-		full.Listing = &encoder.PeerListing{Version: uint64(listing.Version), Sum: listing.Sum, AgeMs: ageOf(listing.At, now)}
+	if hasSummary {
+		full.Listing = &encoder.PeerListing{Version: uint64(summary.Version), Sum: summary.Sum, AgeMs: ageOf(summary.At, now)}
 	}
-	gossiper.outbox.fill(full, roomOf(len(due), gossiper.settings.Budget), now)
+	gossiper.outbox.fill(full, reminderRoom(len(recipients), gossiper.settings.Budget), now)
 	if gossiper.sequence%introduceEvery == 1 {
-		full.Peers = gossiper.peers.up(now)
-		full.Peers = full.Peers[:min(len(full.Peers), mostIntroduced)]
+		full.Peers = gossiper.peers.live(now)
+		full.Peers = full.Peers[:min(len(full.Peers), maxIntroduced)]
 	}
-	return full, due
+	return full, recipients
 }
 
-// ageOf returns how long ago an instant is, at least a millisecond; zero means
-// that there is none.
+// ageOf returns the age of an instant, at least a millisecond; zero means that there is no
+// instant.
 func ageOf(at, now timekeeper.Instant) uint32 {
 	if at == 0 {
 		return 0
@@ -319,70 +324,70 @@
 	return uint32(min(max(1, now.Since(at)), timekeeper.Hour))
 }
 
-// same reports whether a digest says what the last one did.
-func same(last, next *encoder.PeerDigest) bool {
+// sameContent reports whether two digests have the same content.
+func sameContent(last, next *encoder.PeerDigest) bool {
 	return last != nil && last.Configuration == next.Configuration && last.Stopping == next.Stopping &&
-		last.StoreFailing == next.StoreFailing && sameCentres(last.Evacuations, next.Evacuations) &&
+		last.StoreFailing == next.StoreFailing && sameDataCentres(last.Evacuations, next.Evacuations) &&
 		slices.Equal(last.Replicas, next.Replicas) && slices.Equal(last.Running, next.Running) &&
 		slices.Equal(last.Unread, next.Unread)
 }
 
-// sameCentres reports whether the same data centres are evacuated, at whatever versions.
-func sameCentres(one, other *encoder.PeerEvacuations) bool {
+// sameDataCentres reports whether the same data centres are evacuated; versions may differ.
+func sameDataCentres(one, other *encoder.PeerEvacuations) bool {
 	return (one == nil) == (other == nil) && slices.Equal(one.GetDataCentres(), other.GetDataCentres())
 }
 
-// settle sets the time until the next digest by what this one costs.
-func (gossiper *Gossiper) settle(size, peers int) {
+// setInterval sets the time until the next digest by the cost of this one.
+func (gossiper *Gossiper) setInterval(size, peers int) {
 	now := gossiper.settings.Clock.Now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	steady := interval(size, peers, steadyShare*gossiper.settings.Budget)
-	gossiper.span = gossiper.reserve.hasten(steady, size*peers, gossiper.settings.Budget, now)
+	steady := steadyInterval(size, peers, steadyShare*gossiper.settings.Budget)
+	gossiper.interval = gossiper.burst.shorten(steady, size*peers, gossiper.settings.Budget, now)
 }
 
-// Receive takes in digests until the connection is closed.
+// Receive handles digests until the connection is closed.
 func (gossiper *Gossiper) Receive() error {
-	buffer := make([]byte, mostDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		size, from, err := gossiper.settings.Conn.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			// A network that reports an unreachable peer says nothing about the others.
+			// The network reports that one peer is unreachable; others may still send.
 			gossiper.settings.Scope.Counter("peer-receive-errors").Inc(1)
-			_ = gossiper.settings.Clock.Sleep(context.Background(), kickSpan)
+			_ = gossiper.settings.Clock.Sleep(context.Background(), urgentInterval)
 			continue
 		}
-		gossiper.take(buffer[:size], from)
+		gossiper.handleDatagram(buffer[:size], from)
 	}
 }
 
-func (gossiper *Gossiper) take(datagram []byte, from net.Addr) {
-	digest := &encoder.PeerDigest{}
-	if err := proto.Unmarshal(datagram, digest); err != nil || digest.Incarnation == 0 {
+func (gossiper *Gossiper) handleDatagram(datagram []byte, from net.Addr) {
+	message := &encoder.PeerDigest{}
+	if err := proto.Unmarshal(datagram, message); err != nil || message.Incarnation == 0 {
 		gossiper.settings.Scope.Counter("peer-digests-malformed").Inc(1)
 		return
 	}
 	now := gossiper.settings.Clock.Now()
 	address := from.String()
 	gossiper.mu.Lock()
-	fresh := gossiper.peers.hear(address, digest.Incarnation, digest.Sequence, now)
-	if fresh {
-		gossiper.peers.describe(elector.Member{
-			Address: address, DataCentre: digest.DataCentre, Failing: digest.StoreFailing, Stopping: digest.Stopping,
+	newer := gossiper.peers.receive(address, message.Incarnation, message.Sequence, now)
+	if newer {
+		gossiper.peers.setMember(elector.Member{
+			Address: address, DataCentre: message.DataCentre, Failing: message.StoreFailing, Stopping: message.Stopping,
 		})
 	}
-	for _, other := range digest.Peers {
-		if _, err := netip.ParseAddrPort(other); err == nil {
-			gossiper.peers.learn(other, now)
+	for _, introduced := range message.Peers {
+		if _, err := netip.ParseAddrPort(introduced); err == nil {
+			gossiper.peers.add(introduced, now)
 		}
 	}
 	gossiper.mu.Unlock()
-	if fresh {
-		heard := heardOf(digest, address, now)
-		heard.SameDataCentre = digest.DataCentre == DataCentreKey(gossiper.settings.DataCentre)
-		gossiper.settings.OnDigest(heard)
+	if newer {
+		digest := decodeDigest(message, address, now)
+		digest.SameDataCentre = message.DataCentre == DataCentreKey(gossiper.settings.DataCentre)
+		gossiper.settings.OnDigest(digest)
 	}
 }
--- a/internal/gossiper/outbox.go
+++ b/internal/gossiper/outbox.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	// shortest and longest bound the time between two digests. A prompt of 9,200
-	// tokens is read in 200 ms, so at the shortest a peer learns of it while it is
-	// being read.
-	shortest = 80 * timekeeper.Millisecond
-	longest  = timekeeper.Second
-	// restful is the time between two digests that say the same.
-	restful = 300 * timekeeper.Millisecond
-	// repeats is how many digests carry a piece of news, so that a lost datagram
-	// loses none of it.
+	// minInterval and maxInterval bound the time between two digests. The prefill of a
+	// prompt of 9,200 tokens takes 200 ms, so at the minimum a peer learns of the prompt
+	// during its prefill.
+	minInterval = 80 * timekeeper.Millisecond
+	maxInterval = timekeeper.Second
+	// idleInterval is the time between two digests of the same content.
+	idleInterval = 300 * timekeeper.Millisecond
+	// repeats is how many digests carry an update, so that a lost datagram loses none.
 	repeats = 2
-	// mostPlacements bounds the placements of a digest; some 30 bytes each.
-	mostPlacements = 64
-	// paced is the time between two digests that reminders may not lengthen.
-	paced = 200 * timekeeper.Millisecond
-	// mostNews bounds the other lists of a digest.
-	mostNews = 64
-	// mostListed bounds the readings of the list of replicas whose changes a digest
-	// tells; some 60 bytes a replica.
-	mostListed = 4
+	// maxPlacements bounds the placements of a digest, of some 30 bytes each.
+	maxPlacements = 64
+	// reminderInterval is the longest interval that reminders may cause: they fill a digest
+	// only up to the size that the budget allows at this interval.
+	reminderInterval = 200 * timekeeper.Millisecond
+	// maxUpdates bounds each other list of a digest.
+	maxUpdates = 64
+	// maxListChanges bounds the reads of the list of replicas whose changes a digest
+	// carries, with some 60 bytes a replica.
+	maxListChanges = 4
 )
 
-// Strike is a request that was at a replica when it crashed.
+// Strike is a request that was in flight at a replica when it crashed.
 type Strike struct {
 	Request uint64
 	Replica string
 }
 
-// Leave is a replica that the store listed as leaving, or no more, at a version.
+// Leave is a replica that the store listed as leaving, or no longer listed, at a version.
 type Leave struct {
 	Replica string
 	Version uint64
 }
 
-// ColdNotice is a replica that is cold until an instant, by the own clock.
+// ColdNotice is a replica that is cold until an instant of this entry's clock.
 type ColdNotice struct {
 	Replica balancer.Key
 	Until   timekeeper.Instant
@@ -70,79 +70,79 @@
 	return message
 }
 
-// news is a list whose members are told a few times.
-type news[T any] struct {
-	items []T
-	left  []int
-	most  int
+// queue holds updates, each of which is sent a few times.
+type queue[T any] struct {
+	items     []T
+	remaining []int
+	limit     int
 }
 
-func (news *news[T]) add(item T) {
-	if len(news.items) >= news.most {
-		news.items, news.left = slices.Delete(news.items, 0, 1), slices.Delete(news.left, 0, 1)
+func (queue *queue[T]) add(item T) {
+	if len(queue.items) >= queue.limit {
+		queue.items, queue.remaining = slices.Delete(queue.items, 0, 1), slices.Delete(queue.remaining, 0, 1)
 	}
-	news.items = append(news.items, item)
-	news.left = append(news.left, repeats)
-}
-
-// take returns what is to be told now, and forgets what was told often enough.
-func (news *news[T]) take() []T {
-	due := slices.Clone(news.items)
-	items, left := news.items[:0], news.left[:0]
-	for i, item := range news.items {
-		if news.left[i] > 1 {
-			items, left = append(items, item), append(left, news.left[i]-1)
+	queue.items = append(queue.items, item)
+	queue.remaining = append(queue.remaining, repeats)
+}
+
+// take returns the updates for the next digest, and drops those that were sent often
+// enough.
+func (queue *queue[T]) take() []T {
+	due := slices.Clone(queue.items)
+	items, remaining := queue.items[:0], queue.remaining[:0]
+	for i, item := range queue.items {
+		if queue.remaining[i] > 1 {
+			items, remaining = append(items, item), append(remaining, queue.remaining[i]-1)
 		}
 	}
-	clear(news.items[len(items):])
-	news.items, news.left = items, left
+	clear(queue.items[len(items):])
+	queue.items, queue.remaining = items, remaining
 	return due
 }
 
-// outbox gathers what the next digest says. Only a prompt that a replica is about to read
-// for the first time is news; told of all, digests would be ten times as long and come as
-// much more seldom. The others are reminders, for entries that have started since: told
-// where there is room.
+// outbox holds the content of the next digest. Only a prompt that a replica processes for
+// the first time is an update: with all prompts, digests would be ten times as long and as
+// rare. The others are reminders, for entries that have started since; they fill the
+// remaining space.
 type outbox struct {
-	placements  news[placement]
-	reminders   []placement
-	unreachable news[string]
-	leaves      news[Leave]
-	announced   news[string]
-	strikes     news[Strike]
-	listed      news[ReplicaUpdate]
-	cold        news[ColdNotice]
+	placements     queue[placement]
+	reminders      []placement
+	unreachable    queue[string]
+	leaves         queue[Leave]
+	leaveAnnounced queue[string]
+	strikes        queue[Strike]
+	changes        queue[ReplicaUpdate]
+	cold           queue[ColdNotice]
 }
 
 func newOutbox() *outbox {
 	return &outbox{
-		placements:  news[placement]{most: mostPlacements},
-		unreachable: news[string]{most: mostNews},
-		leaves:      news[Leave]{most: mostNews},
-		announced:   news[string]{most: mostNews},
-		strikes:     news[Strike]{most: mostNews},
-		listed:      news[ReplicaUpdate]{most: mostListed},
-		cold:        news[ColdNotice]{most: mostNews},
+		placements:     queue[placement]{limit: maxPlacements},
+		unreachable:    queue[string]{limit: maxUpdates},
+		leaves:         queue[Leave]{limit: maxUpdates},
+		leaveAnnounced: queue[string]{limit: maxUpdates},
+		strikes:        queue[Strike]{limit: maxUpdates},
+		changes:        queue[ReplicaUpdate]{limit: maxListChanges},
+		cold:           queue[ColdNotice]{limit: maxUpdates},
 	}
 }
 
-// empty reports whether there is no news. Reminders wait for a digest that has
-// something to say.
+// empty reports whether there are no updates. Reminders alone trigger no digest.
 func (outbox *outbox) empty() bool {
 	return len(outbox.placements.items)+len(outbox.unreachable.items)+
-		len(outbox.leaves.items)+len(outbox.announced.items)+len(outbox.strikes.items)+len(outbox.listed.items)+len(outbox.cold.items) == 0
+		len(outbox.leaves.items)+len(outbox.leaveAnnounced.items)+len(outbox.strikes.items)+len(outbox.changes.items)+len(outbox.cold.items) == 0
 }
 
-// remind notes a placement that peers may have heard of. The oldest is dropped.
-func (outbox *outbox) remind(placed placement) {
-	if len(outbox.reminders) >= mostPlacements {
+// addReminder adds a placement that peers may know already. If the list is full, the oldest
+// is dropped.
+func (outbox *outbox) addReminder(placed placement) {
+	if len(outbox.reminders) >= maxPlacements {
 		outbox.reminders = slices.Delete(outbox.reminders, 0, 1)
 	}
 	outbox.reminders = append(outbox.reminders, placed)
 }
 
-// fill moves what there is to tell at an instant into a digest, reminders up to a size in
-// bytes.
+// fill moves the updates into a digest, and as many reminders as fit into a size in bytes.
 func (outbox *outbox) fill(digest *encoder.PeerDigest, room int, now timekeeper.Instant) {
 	for _, placed := range outbox.placements.take() {
 		digest.Placements = append(digest.Placements, placed.message())
@@ -151,12 +151,12 @@
 	for _, leave := range outbox.leaves.take() {
 		digest.Leaves = append(digest.Leaves, &encoder.PeerLeave{Replica: leave.Replica, Version: leave.Version})
 	}
-	digest.LeaveAnnounced = outbox.announced.take()
+	digest.LeaveAnnounced = outbox.leaveAnnounced.take()
 	for _, strike := range outbox.strikes.take() {
 		digest.Strikes = append(digest.Strikes, &encoder.PeerStrike{Request: strike.Request, Replica: strike.Replica})
 	}
-	for _, listed := range outbox.listed.take() {
-		digest.Listed = append(digest.Listed, messageOf(listed, now))
+	for _, changes := range outbox.changes.take() {
+		digest.Listed = append(digest.Listed, encodeUpdate(changes, now))
 	}
 	for _, notice := range outbox.cold.take() {
 		digest.Cold = append(digest.Cold, notice.message(now))
@@ -164,15 +164,15 @@
 	outbox.fillReminders(digest, room-proto.Size(digest))
 }
 
-// placementFrame is what a placement takes in a digest beside its own bytes.
-const placementFrame = 3
+// placementOverhead is the size of a placement in a digest beyond its own bytes.
+const placementOverhead = 3
 
-// fillReminders adds reminders up to a size in bytes, the newest first.
+// fillReminders adds reminders up to a size in bytes, newest first.
 func (outbox *outbox) fillReminders(digest *encoder.PeerDigest, room int) {
 	for len(outbox.reminders) > 0 {
 		last := len(outbox.reminders) - 1
 		message := outbox.reminders[last].message()
-		room -= proto.Size(message) + placementFrame
+		room -= proto.Size(message) + placementOverhead
 		if room < 0 {
 			return
 		}
@@ -181,67 +181,68 @@
 	}
 }
 
-// roomOf returns how many bytes a digest may have so that digests stay paced.
-func roomOf(peers int, budget float64) int {
-	return int(budget * float64(paced) / float64(timekeeper.Second) / float64(max(1, peers)))
+// reminderRoom returns the size in bytes up to which a digest keeps to reminderInterval.
+func reminderRoom(peers int, budget float64) int {
+	return int(budget * float64(reminderInterval) / float64(timekeeper.Second) / float64(max(1, peers)))
 }
 
-// fillLoads writes what is under way into a digest, in a fixed order.
-func fillLoads(digest *encoder.PeerDigest, held map[balancer.Key]balancer.InFlight) {
-	keys := slices.Sorted(maps.Keys(held))
+// fillInFlight writes the requests in flight into a digest, in a fixed order.
+func fillInFlight(digest *encoder.PeerDigest, inFlight map[balancer.Key]balancer.InFlight) {
+	keys := slices.Sorted(maps.Keys(inFlight))
 	for _, key := range keys {
 		digest.Replicas = append(digest.Replicas, uint32(key))
-		digest.Running = append(digest.Running, uint32(max(0, held[key].Running)))
-		digest.Unread = append(digest.Unread, uint32(max(0, held[key].PendingTokens)))
+		digest.Running = append(digest.Running, uint32(max(0, inFlight[key].Running)))
+		digest.Unread = append(digest.Unread, uint32(max(0, inFlight[key].PendingTokens)))
 	}
 }
 
-// interval returns the time between two digests of a size to a number of peers
-// within a budget of bytes a second: the cost of an entry stays the same at any number of
-// peers, and what suffers is the age of what it knows.
-func interval(size, peers int, budget float64) timekeeper.Span {
+// steadyInterval returns the time between two digests of a size to a number of peers within
+// a budget in bytes a second. With more peers an entry's cost stays the same, and peers
+// receive its state later.
+func steadyInterval(size, peers int, budget float64) timekeeper.Span {
 	if budget <= 0 {
-		return shortest
+		return minInterval
 	}
 	span := timekeeper.Span(float64(size*peers) / budget * float64(timekeeper.Second))
-	return min(max(span, shortest), longest)
+	return min(max(span, minInterval), maxInterval)
 }
 
 const (
-	// steadyShare is the part of the budget that digests may take all the time; the rest
-	// is put by for when they are long.
+	// steadyShare is the share of the budget that digests may always use; the rest is saved
+	// for bursts of long digests.
 	steadyShare = 0.8
-	// reserved bounds what is put by, in seconds of the budget.
-	reserved = 30
-	// hastened is the time between two digests while what was put by lasts.
-	hastened = 250 * timekeeper.Millisecond
-	// leastRounds is for how many digests what is put by must last to be spent: among
-	// hundreds of peers it would be gone at once.
-	leastRounds = 10
+	// burstSeconds bounds the savings, in seconds of the budget.
+	burstSeconds = 30
+	// burstInterval is the time between two digests while the savings last.
+	burstInterval = 250 * timekeeper.Millisecond
+	// minBurstDigests is for how many digests the savings must last to be used: among
+	// hundreds of peers one digest would use them up.
+	minBurstDigests = 10
 )
 
-// reserve is what has been put by of the budget, in bytes, for long digests: they come when
-// many prompts are read for the first time, and entries then need them most. The zero value
-// is full.
-type reserve struct {
+// burst is an allowance in bytes, saved from the budget, for long digests: these occur when
+// many prompts are prefilled for the first time, which is when entries need them most. The
+// zero value is a full allowance.
+type burst struct {
 	spent float64
 	at    timekeeper.Instant
 }
 
-// hasten returns the time to the next digest: no more than hastened, if what was put by
-// pays for it; cost is that of one round in bytes.
-func (reserve *reserve) hasten(
+// shorten returns the time to the next digest: at most burstInterval if the allowance
+// covers the extra cost, otherwise steady. cost is that of sending one digest to all peers,
+// in bytes.
+func (burst *burst) shorten(
 	steady timekeeper.Span, cost int, budget float64, now timekeeper.Instant,
 ) timekeeper.Span {
-	earned := (1 - steadyShare) * budget * float64(now.Since(reserve.at)) / float64(timekeeper.Second)
-	reserve.spent, reserve.at = max(0, reserve.spent-earned), now
-	if steady <= hastened {
+	earned := (1 - steadyShare) * budget * float64(now.Since(burst.at)) / float64(timekeeper.Second)
+	burst.spent, burst.at = max(0, burst.spent-earned), now
+	if steady <= burstInterval {
 		return steady
 	}
-	extra := float64(cost) * (1 - float64(hastened)/float64(steady))
-	if extra > reserved*budget/leastRounds || reserve.spent+extra > reserved*budget {
+	extra := float64(cost) * (1 - float64(burstInterval)/float64(steady))
+	if extra > burstSeconds*budget/minBurstDigests || burst.spent+extra > burstSeconds*budget {
 		return steady
 	}
-	reserve.spent += extra
-	return hastened
+	burst.spent += extra
+	return burstInterval
 }
--- a/internal/gossiper/peers.go
+++ b/internal/gossiper/peers.go
@@ -8,132 +8,136 @@
 )
 
 const (
-	// alive is how long a peer counts as up after its last digest.
-	alive = 3 * timekeeper.Second
-	// knock is how often a silent peer is still sent a digest: it may be behind a
-	// cut, and it learns of us by it.
-	knock = timekeeper.Second
-	// forgotten is how long a silent peer is kept: longer than any cut should last.
-	forgotten = 10 * timekeeper.Minute
-	// mostPeers bounds the peers; digests at that number are a second apart.
-	mostPeers = 1024
-	// introduceEvery is how often a digest passes on the addresses of others: peers
-	// that the store did not name are found within some seconds.
+	// liveTimeout is how long a peer counts as live after its last digest.
+	liveTimeout = 3 * timekeeper.Second
+	// probeInterval is how often a silent peer is sent a digest: it may be cut off, and the
+	// digest gives it this entry's address.
+	probeInterval = timekeeper.Second
+	// forgetAfter is how long a silent peer is kept, longer than any cut should last.
+	forgetAfter = 10 * timekeeper.Minute
+	// maxPeers bounds the peers; with that many, digests are a second apart.
+	maxPeers = 1024
+	// introduceEvery is the number of digests to each one that carries addresses of other
+	// peers. Peers that the store did not list are found within some seconds.
 	introduceEvery = 16
-	// mostIntroduced bounds the addresses that a digest passes on.
-	mostIntroduced = 16
+	// maxIntroduced bounds the addresses in a digest.
+	maxIntroduced = 16
 )
 
-// peer is another entry, by its address.
+// peer is another entry.
 type peer struct {
 	address string
-	// heard is when it was last heard of itself; zero means never.
-	heard timekeeper.Instant
-	sent  timekeeper.Instant
+	// received is when its last digest arrived; zero means never.
+	received timekeeper.Instant
+	lastSent timekeeper.Instant
+	// known is when its address was added.
 	known timekeeper.Instant
 	// incarnation and sequence are those of its last digest.
 	incarnation uint64
 	sequence    uint64
-	// member is what its last digest says of its reading of the store.
+	// member is the state of the peer as a reader of the store, from its last digest.
 	member elector.Member
 }
 
-// peers are the entries that are known.
+// peers are the known entries, by address.
 type peers struct {
-	own   string
-	known map[string]*peer
+	ownAddress string
+	known      map[string]*peer
 }
 
-func newPeers(own string) *peers {
-	return &peers{own: own, known: map[string]*peer{}}
+func newPeers(ownAddress string) *peers {
+	return &peers{ownAddress: ownAddress, known: map[string]*peer{}}
 }
 
-// learn notes an address that someone named.
-func (peers *peers) learn(address string, now timekeeper.Instant) *peer {
+// add adds an address, unless it is the entry's own or there are maxPeers already, and
+// returns its peer.
+func (peers *peers) add(address string, now timekeeper.Instant) *peer {
 	if found, ok := peers.known[address]; ok {
 		return found
 	}
-	if address == peers.own || len(peers.known) >= mostPeers {
+	if address == peers.ownAddress || len(peers.known) >= maxPeers {
 		return nil
 	}
-	fresh := &peer{address: address, known: now}
-	peers.known[address] = fresh
-	return fresh
+	added := &peer{address: address, known: now}
+	peers.known[address] = added
+	return added
 }
 
-// hear notes a digest and reports whether it is newer than the last one.
-func (peers *peers) hear(address string, incarnation, sequence uint64, now timekeeper.Instant) bool {
-	known := peers.learn(address, now)
-	if known == nil {
+// receive records a digest and reports whether it is newer than the last one.
+func (peers *peers) receive(address string, incarnation, sequence uint64, now timekeeper.Instant) bool {
+	sender := peers.add(address, now)
+	if sender == nil {
 		return false
 	}
-	if known.incarnation == incarnation && sequence <= known.sequence {
+	if sender.incarnation == incarnation && sequence <= sender.sequence {
 		return false
 	}
-	known.heard, known.incarnation, known.sequence = now, incarnation, sequence
+	sender.received, sender.incarnation, sender.sequence = now, incarnation, sequence
 	return true
 }
 
-// describe notes what a peer that was heard says of itself.
-func (peers *peers) describe(member elector.Member) {
+// setMember records the state of a peer that has sent a digest.
+func (peers *peers) setMember(member elector.Member) {
 	if known, found := peers.known[member.Address]; found {
 		known.member = member
 	}
 }
 
-// members returns the peers that were heard of within a span.
+// members returns the peers that have sent a digest within a span.
 func (peers *peers) members(span timekeeper.Span, now timekeeper.Instant) []elector.Member {
-	near := peers.heardWithin(span, now)
-	members := make([]elector.Member, 0, len(near))
-	for _, address := range near {
+	recent := peers.receivedWithin(span, now)
+	members := make([]elector.Member, 0, len(recent))
+	for _, address := range recent {
 		members = append(members, peers.known[address].member)
 	}
 	return members
 }
 
-// due returns the addresses that get the next digest.
-func (peers *peers) due(now timekeeper.Instant) []string {
-	var due []string
+// recipients returns the addresses that receive the next digest, and removes peers that
+// have been silent for too long.
+func (peers *peers) recipients(now timekeeper.Instant) []string {
+	var recipients []string
 	for address, known := range peers.known {
-		if now.Since(max(known.heard, known.known)) > forgotten {
+		if now.Since(max(known.received, known.known)) > forgetAfter {
 			delete(peers.known, address)
 			continue
 		}
-		up := known.heard != 0 && now.Since(known.heard) <= alive
-		if up || now.Since(known.sent) >= knock {
-			known.sent = now
-			due = append(due, address)
+		live := known.received != 0 && now.Since(known.received) <= liveTimeout
+		if live || now.Since(known.lastSent) >= probeInterval {
+			known.lastSent = now
+			recipients = append(recipients, address)
 		}
 	}
-	slices.Sort(due)
-	return due
+	slices.Sort(recipients)
+	return recipients
 }
 
-// up returns the addresses of peers that count as up.
-func (peers *peers) up(now timekeeper.Instant) []string {
-	up := peers.heardWithin(alive, now)
-	slices.Sort(up)
-	return up
+// live returns the addresses of the peers that count as live.
+func (peers *peers) live(now timekeeper.Instant) []string {
+	live := peers.receivedWithin(liveTimeout, now)
+	slices.Sort(live)
+	return live
 }
 
-// knownWithin returns the addresses of peers that were heard or learnt of within a span.
+// knownWithin returns the addresses of peers that sent a digest or were added within a
+// span.
 func (peers *peers) knownWithin(span timekeeper.Span, now timekeeper.Instant) []string {
 	var within []string
 	for address, known := range peers.known {
-		if now.Since(max(known.heard, known.known)) <= span {
+		if now.Since(max(known.received, known.known)) <= span {
 			within = append(within, address)
 		}
 	}
 	return within
 }
 
-// heardWithin returns the addresses of peers that were heard of within a span.
-func (peers *peers) heardWithin(span timekeeper.Span, now timekeeper.Instant) []string {
-	var heard []string
+// receivedWithin returns the addresses of peers that have sent a digest within a span.
+func (peers *peers) receivedWithin(span timekeeper.Span, now timekeeper.Instant) []string {
+	var received []string
 	for address, known := range peers.known {
-		if known.heard != 0 && now.Since(known.heard) <= span {
-			heard = append(heard, address)
+		if known.received != 0 && now.Since(known.received) <= span {
+			received = append(received, address)
 		}
 	}
-	return heard
+	return received
 }
--- a/internal/gossiper/replicas.go
+++ b/internal/gossiper/replicas.go
@@ -21,11 +21,11 @@
 	LapsesIn map[string]timekeeper.Span
 }
 
-// Encode writes the list for a peer that asks.
+// Encode encodes the list as an answer to a peer.
 func (list ReplicaList) Encode(now timekeeper.Instant) ([]byte, error) {
 	message := &encoder.ReplicaList{Version: list.Version}
 	for _, replica := range list.Replicas {
-		row := rowOf(replica, now)
+		row := encodeRow(replica, now)
 		row.LapsesInMs = uint32(list.LapsesIn[replica.ID])
 		message.Replicas = append(message.Replicas, row)
 	}
@@ -33,22 +33,22 @@
 	return text, eris.Wrap(err, "list of replicas")
 }
 
-// DecodeReplicas reads a peer's list. One without a version, or with a replica that
-// has no ID or address, is no list.
+// DecodeReplicas decodes a peer's list. A list without a version, or with a replica that
+// has no ID or address, is an error.
 func DecodeReplicas(text []byte, now timekeeper.Instant) (ReplicaList, error) {
 	message := &encoder.ReplicaList{}
 	if err := proto.Unmarshal(text, message); err != nil {
 		return ReplicaList{}, eris.Wrap(err, "list of replicas")
 	}
 	if message.Version == 0 {
-		return ReplicaList{}, eris.New("a list of replicas without a version")
+		return ReplicaList{}, eris.New("list of replicas has no version")
 	}
 	list := ReplicaList{Version: message.Version, LapsesIn: map[string]timekeeper.Span{}}
 	for _, row := range message.Replicas {
 		if row.Id == "" || row.Address == "" {
-			return ReplicaList{}, eris.New("a replica without ID or address")
+			return ReplicaList{}, eris.New("list of replicas: a replica has no ID or address")
 		}
-		list.Replicas = append(list.Replicas, replicaOf(row, now))
+		list.Replicas = append(list.Replicas, decodeRow(row, now))
 		if row.LapsesInMs > 0 {
 			list.LapsesIn[row.Id] = timekeeper.Span(row.LapsesInMs)
 		}
@@ -56,7 +56,7 @@
 	return list, nil
 }
 
-func rowOf(replica balancer.Replica, now timekeeper.Instant) *encoder.ReplicaRow {
+func encodeRow(replica balancer.Replica, now timekeeper.Instant) *encoder.ReplicaRow {
 	return &encoder.ReplicaRow{
 		WarmInMs: uint32(max(0, replica.WarmAt.Since(now))),
 		Id:       replica.ID, BornMs: int64(replica.StartedAt), Service: replica.Service, Address: replica.Address,
@@ -64,7 +64,7 @@
 	}
 }
 
-func replicaOf(row *encoder.ReplicaRow, now timekeeper.Instant) balancer.Replica {
+func decodeRow(row *encoder.ReplicaRow, now timekeeper.Instant) balancer.Replica {
 	replica := balancer.Replica{
 		ID: row.Id, StartedAt: timekeeper.Instant(row.BornMs), Service: row.Service, Address: row.Address,
 		DataCentre: row.DataCentre, Slots: int(row.Slots), Leaving: row.Leaving,
@@ -75,38 +75,38 @@
 	return replica
 }
 
-// ReplicaChecksum returns the checksum of a row of the list, in which every field counts but until
-// when the replica is cold: that differs by reader, and with each heartbeat.
+// ReplicaChecksum returns the checksum of a row of the list. It covers all fields but the
+// end of the cold start, which differs by reader and with each heartbeat.
 func ReplicaChecksum(id string, replica balancer.Replica) uint64 {
 	text := fmt.Sprintf("%q %d %q %q %q %d %t", id, replica.StartedAt, replica.Service, replica.Address,
 		replica.DataCentre, replica.Slots, replica.Leaving)
 	return xxhash.Sum64String(text)
 }
 
-// messageOf writes a change of the list, newsOf reads one. A row without ID or address
-// names no replica and is left out.
-func messageOf(news ReplicaUpdate, now timekeeper.Instant) *encoder.PeerListed {
-	message := &encoder.PeerListed{Version: uint64(news.Version)}
-	for _, change := range news.Changes {
+// encodeUpdate encodes a change of the list, decodeUpdate decodes one. A row without ID or
+// address names no replica and is left out.
+func encodeUpdate(update ReplicaUpdate, now timekeeper.Instant) *encoder.PeerListed {
+	message := &encoder.PeerListed{Version: uint64(update.Version)}
+	for _, change := range update.Changes {
 		if change.Removed {
 			message.Gone = append(message.Gone, change.Key)
 			continue
 		}
-		message.Rows = append(message.Rows, rowOf(change.Value, now))
+		message.Rows = append(message.Rows, encodeRow(change.Value, now))
 	}
 	return message
 }
 
-func newsOf(message *encoder.PeerListed, now timekeeper.Instant) ReplicaUpdate {
-	news := ReplicaUpdate{Version: follower.Version(message.Version)}
+func decodeUpdate(message *encoder.PeerListed, now timekeeper.Instant) ReplicaUpdate {
+	update := ReplicaUpdate{Version: follower.Version(message.Version)}
 	for _, row := range message.Rows {
 		if row.Id == "" || row.Address == "" {
 			continue
 		}
-		news.Changes = append(news.Changes, follower.Change[balancer.Replica]{Key: row.Id, Value: replicaOf(row, now)})
+		update.Changes = append(update.Changes, follower.Change[balancer.Replica]{Key: row.Id, Value: decodeRow(row, now)})
 	}
 	for _, id := range message.Gone {
-		news.Changes = append(news.Changes, follower.Change[balancer.Replica]{Key: id, Removed: true})
+		update.Changes = append(update.Changes, follower.Change[balancer.Replica]{Key: id, Removed: true})
 	}
-	return news
+	return update
 }
--- a/internal/gossiper/replicas_test.go
+++ b/internal/gossiper/replicas_test.go
@@ -11,12 +11,12 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-func TestAListOfReplicas(t *testing.T) {
+func TestReplicaListEncoding(t *testing.T) {
 	list := ReplicaList{Version: 7, Replicas: []balancer.Replica{
 		{ID: "i-1", StartedAt: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64, Leaving: true},
 		{ID: "i-2", Service: "orders", Address: "10.0.0.2:80"},
 	}, LapsesIn: map[string]timekeeper.Span{"i-2": 1700}}
-	Convey("arrives as it was", t, func() {
+	Convey("is decoded as it was encoded", t, func() {
 		text, err := list.Encode(0)
 		So(err, ShouldBeNil)
 		got, err := DecodeReplicas(text, 0)
@@ -31,7 +31,7 @@
 		{"with a replica that has no address", ReplicaList{Version: 1, Replicas: []balancer.Replica{{ID: "i-1"}}}},
 	}
 	for _, test := range tests {
-		Convey("none "+test.name, t, func() {
+		Convey("is rejected "+test.name, t, func() {
 			text, err := test.list.Encode(0)
 			So(err, ShouldBeNil)
 			_, err = DecodeReplicas(text, 0)
@@ -40,11 +40,12 @@
 	}
 }
 
-func TestWhatAReaderTells(t *testing.T) {
-	// An entry reads the list of replicas for others: it tells at once what has changed,
-	// and with each digest how the list is, so that who missed a change finds out.
+func TestReaderSendsListChanges(t *testing.T) {
+	// A reader of the list of replicas sends each change to its peers at once, and a
+	// summary of its copy in every digest, by which a peer that missed a change detects
+	// that.
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
-	reader, other := newListener(t, 1, clock.Clock()), newListener(t, 2, clock.Clock())
+	reader, other := newTestEntry(t, 1, clock.Clock()), newTestEntry(t, 2, clock.Clock())
 	reader.settings.DataCentre, other.settings.DataCentre = "bole", "merkato"
 	reader.settings.StoreFailing = func() bool { return true }
 	reader.settings.ListSummary = func() (follower.Summary, bool) {
@@ -53,39 +54,39 @@
 	joined := balancer.Replica{
 		ID: "i-1", StartedAt: 1700000000123, Service: "planner", Address: "10.0.0.1:80", DataCentre: "bole", Slots: 64,
 	}
-	news := ReplicaUpdate{Version: 39, Changes: []follower.Change[balancer.Replica]{
+	update := ReplicaUpdate{Version: 39, Changes: []follower.Change[balancer.Replica]{
 		{Key: "i-1", Value: joined}, {Key: "i-2", Removed: true},
 	}}
 	reader.AddPeer(other.address())
-	reader.SendListChange(news)
-	reader.round()
-	heard := other.wait(t, 1)[0]
-	Convey("all of it arrives", t, func() {
-		So(heard.ListChanges, ShouldResemble, []ReplicaUpdate{news})
-		So(*heard.ListSummary, ShouldResemble, follower.Summary{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
-		So(heard.SameDataCentre, ShouldBeFalse)
+	reader.SendListChange(update)
+	reader.sendDigest()
+	digest := other.wait(t, 1)[0]
+	Convey("every field arrives", t, func() {
+		So(digest.ListChanges, ShouldResemble, []ReplicaUpdate{update})
+		So(*digest.ListSummary, ShouldResemble, follower.Summary{Version: 40, Sum: 1 << 63, At: clock.Now().Add(-30)})
+		So(digest.SameDataCentre, ShouldBeFalse)
 		So(other.RecentMembers(timekeeper.Second), ShouldResemble, []elector.Member{
 			{Address: reader.address(), DataCentre: DataCentreKey("bole"), Failing: true},
 		})
 	})
 	Convey("a row that names no replica is left out", t, func() {
-		message := messageOf(ReplicaUpdate{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-3"}}}, 0)
-		So(newsOf(message, 0).Changes, ShouldBeEmpty)
+		message := encodeUpdate(ReplicaUpdate{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-3"}}}, 0)
+		So(decodeUpdate(message, 0).Changes, ShouldBeEmpty)
 	})
-	Convey("for how long a replica is cold is told, not until when", t, func() {
+	Convey("the rest of a cold start is sent as a span, not as an instant", t, func() {
 		cold := joined
 		cold.WarmAt = 5000
-		message := messageOf(ReplicaUpdate{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-1", Value: cold}}}, 2000)
-		told := newsOf(message, 70000).Changes[0].Value
-		So(told.WarmAt, ShouldEqual, 73000)
+		message := encodeUpdate(ReplicaUpdate{Version: 3, Changes: []follower.Change[balancer.Replica]{{Key: "i-1", Value: cold}}}, 2000)
+		decoded := decodeUpdate(message, 70000).Changes[0].Value
+		So(decoded.WarmAt, ShouldEqual, 73000)
 		text, err := ReplicaList{Version: 1, Replicas: []balancer.Replica{cold}}.Encode(6000)
 		So(err, ShouldBeNil)
 		list, err := DecodeReplicas(text, 80000)
 		So(err, ShouldBeNil)
 		So(list.Replicas[0].WarmAt, ShouldEqual, 0)
-		So(ReplicaChecksum("i-1", told), ShouldEqual, ReplicaChecksum("i-1", cold))
+		So(ReplicaChecksum("i-1", decoded), ShouldEqual, ReplicaChecksum("i-1", cold))
 	})
-	Convey("each field of a row counts in its checksum", t, func() {
+	Convey("the checksum covers each field of a row", t, func() {
 		changed := []balancer.Replica{joined, joined, joined, joined, joined, joined}
 		changed[0].StartedAt++
 		changed[1].Service = "orders"
