--- /dev/null
+++ b/internal/follower/update.go
@@ -0,0 +1,222 @@
+package follower
+
+import (
+	"context"
+	"maps"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
+)
+
+// Update holds the changes that a read made to a reader's copy, for other processes.
+type Update[T any] struct {
+	// Version is the table's version after the changes.
+	Version Version
+	Changes []Change[T]
+}
+
+// Summary describes a copy of a table.
+type Summary struct {
+	Version Version
+	// Sum is the checksum of all rows.
+	Sum uint64
+	// At is when the store answered.
+	At timekeeper.Instant
+}
+
+const (
+	// summaryLifetime is how long a process sends the summary of its last read.
+	summaryLifetime = 10 * timekeeper.Second
+	// staleAfter is how long a process waits for a summary that confirms its copy before it
+	// reads for itself. Readers read within 450 ms of each other and send a summary once a
+	// second, so only the loss of several in a row triggers a read.
+	staleAfter = 3 * timekeeper.Second
+	// fetchDelay is how long another process's copy must have been newer before it is
+	// fetched: mostly the update itself is in the same digest, or in the next one.
+	fetchDelay = 400 * timekeeper.Millisecond
+)
+
+// action is what a process has to do next for its copy.
+type action uint8
+
+const (
+	idle action = iota
+	readTable
+	catchUp
+)
+
+// action decides whether the process reads the table, fetches another process's copy, or
+// leaves the work to the readers.
+//
+// One call of each process for each change is too expensive among hundreds of processes. A
+// process reads if it is a reader, has no copy, finds the store failing itself, has not had
+// its copy confirmed for seconds, or still differs from readers that have read the table
+// again.
+func (follower *Follower[T]) action() action {
+	isReader := follower.settings.IsReader()
+	failingElsewhere := follower.settings.FailingElsewhere()
+	now := follower.settings.Clock.Now()
+	follower.copyLock.Lock()
+	defer follower.copyLock.Unlock()
+	if failingElsewhere {
+		follower.failingElsewhere = now
+	}
+	switch {
+	case isReader || !follower.hasCopy || follower.failingSince != 0 || len(follower.lapsing) > 0:
+		return readTable
+	case follower.mismatched(now, 2*mismatchTimeout):
+		return readTable
+	case follower.isBehind(now):
+		return catchUp
+	case now.Since(follower.confirmedAt) > staleAfter && !failingElsewhere:
+		return readTable
+	}
+	return idle
+}
+
+// isBehind reports whether another process has had a newer copy for fetchDelay; copyLock
+// must be held.
+func (follower *Follower[T]) isBehind(now timekeeper.Instant) bool {
+	return follower.behindSince != 0 && now.Since(follower.behindSince) >= fetchDelay
+}
+
+// LastConfirmed returns when the copy last matched the table; zero means never.
+func (follower *Follower[T]) LastConfirmed() timekeeper.Instant {
+	follower.copyLock.Lock()
+	defer follower.copyLock.Unlock()
+	return follower.confirmedAt
+}
+
+// Summary returns the summary of the last read of this process; false means that there is
+// no recent read, or that the copy holds lapsed rows.
+func (follower *Follower[T]) Summary() (Summary, bool) {
+	lastAnswer := follower.LastAnswered()
+	now := follower.settings.Clock.Now()
+	follower.copyLock.Lock()
+	defer follower.copyLock.Unlock()
+	summary := Summary{Version: follower.version, Sum: follower.sum, At: lastAnswer}
+	return summary, lastAnswer != 0 && now.Since(lastAnswer) <= summaryLifetime && len(follower.lapsing) == 0
+}
+
+// Rows returns the rows of the copy and its version; false means that there is no copy. For
+// a lapsed row LapsesIn is set, so that a process that fetches the copy does not keep the
+// row for good.
+func (follower *Follower[T]) Rows() (rows []Change[T], version Version, hasCopy bool) {
+	now := follower.settings.Clock.Now()
+	follower.copyLock.Lock()
+	defer follower.copyLock.Unlock()
+	for key, value := range follower.rows {
+		row := Change[T]{Key: key, Value: value}
+		if due, lapsing := follower.lapsing[key]; lapsing {
+			row.LapsesIn = max(1, due.Since(now))
+		}
+		rows = append(rows, row)
+	}
+	return rows, follower.version, follower.hasCopy
+}
+
+// ApplyUpdate applies an update of another process and reports whether it changed the copy.
+//
+// Only an update that is newer than the copy counts. The version of the copy stays, since
+// earlier updates may be missing.
+func (follower *Follower[T]) ApplyUpdate(update Update[T]) bool {
+	follower.copyLock.Lock()
+	defer follower.copyLock.Unlock()
+	if !follower.hasCopy || update.Version <= follower.version {
+		return false
+	}
+	before := follower.sum
+	for _, change := range update.Changes {
+		if update.Version < follower.updateVersions[change.Key] {
+			continue
+		}
+		follower.updateVersions[change.Key] = update.Version
+		if change.Removed {
+			delete(follower.lapsing, change.Key)
+			follower.drop(change.Key)
+			continue
+		}
+		follower.markReturned(change.Key, update.Version)
+		follower.put(change.Key, change.Value)
+	}
+	if follower.sum == before {
+		return false
+	}
+	follower.apply()
+	return true
+}
+
+// Compare evaluates the summary of another process's copy. If that is newer and the
+// checksums match, this copy is as new. If it is newer and they differ, the copy is fetched
+// unless the updates between them arrive first. If the versions are the same and the
+// checksums differ, one of the copies is wrong.
+func (follower *Follower[T]) Compare(other Summary) {
+	now := follower.settings.Clock.Now()
+	follower.copyLock.Lock()
+	defer follower.copyLock.Unlock()
+	same := other.Sum == follower.sum
+	switch {
+	case !follower.hasCopy || other.Version < follower.version:
+		return
+	case same:
+		follower.advance(other.Version)
+		maps.DeleteFunc(follower.updateVersions, func(_ string, version Version) bool { return version <= other.Version })
+		follower.confirmedAt, follower.behindSince = max(follower.confirmedAt, other.At), 0
+	case other.Version == follower.version:
+		follower.recordMismatch(now)
+	case follower.behindSince == 0:
+		follower.behindSince = now
+	}
+}
+
+// advance moves the copy to a newer version at which another process's copy has the same
+// checksum; copyLock must be held. Copies with lapsed rows have no summary, so a matching
+// checksum proves that the table has each row again. The changes up to that version are
+// never read here and could not show it.
+func (follower *Follower[T]) advance(version Version) {
+	if version == follower.version {
+		return
+	}
+	follower.settings.Log.WithFields(logrus.Fields{
+		"table": follower.settings.Name, "version": uint64(version), "version-before": uint64(follower.version),
+		"rows": len(follower.rows), "rows-lapsing": len(follower.lapsing), "rows-told": len(follower.updateVersions),
+	}).Info("another's copy is the same and newer")
+	follower.version = version
+	clear(follower.lapsing)
+	follower.settings.Confirm(version)
+}
+
+// catchUp fetches another process's newer copy and reports whether there was one.
+func (follower *Follower[T]) catchUp(ctx context.Context) bool {
+	follower.copyLock.Lock()
+	follower.behindSince = 0
+	follower.copyLock.Unlock()
+	if follower.settings.FetchCopy == nil {
+		return false
+	}
+	return follower.fetchCopy(ctx)
+}
+
+// publish publishes the changes since an earlier copy, without lapsed rows: other processes
+// would take these for rows of the table. copyLock must be held.
+func (follower *Follower[T]) publish(before map[string]T) {
+	update := Update[T]{Version: follower.version}
+	for key, value := range follower.rows {
+		if _, lapsing := follower.lapsing[key]; lapsing {
+			continue
+		}
+		old, found := before[key]
+		if !found || follower.settings.Sum(key, old) != follower.settings.Sum(key, value) {
+			update.Changes = append(update.Changes, Change[T]{Key: key, Value: value})
+		}
+	}
+	for key := range before {
+		if _, found := follower.rows[key]; !found {
+			update.Changes = append(update.Changes, Change[T]{Key: key, Removed: true})
+		}
+	}
+	if len(update.Changes) > 0 {
+		follower.settings.Publish(update)
+	}
+}
