--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -59,8 +59,8 @@
 	lastTaken = timekeeper.Second
 )
 
-// Surroundings are what a process gets from where it runs.
-type Surroundings struct {
+// DirectEnvironment are what a process gets from where it runs.
+type DirectEnvironment struct {
 	Log *logrus.Logger
 	// Dropped returns how many lines of the log were dropped.
 	Dropped func() int64
@@ -108,7 +108,7 @@
 // NewDirect returns an entry that listens, and a function that releases what it
 // holds. file is where its settings were read from; they are read again when
 // they change.
-func NewDirect(ctx context.Context, settings loader.Direct, file string, from Surroundings) (*Direct, func(), error) {
+func NewDirect(ctx context.Context, settings loader.Direct, file string, from DirectEnvironment) (*Direct, func(), error) {
 	direct := &Direct{settings: settings, file: file, clock: timekeeper.Steady(), logger: from.Log, dropped: from.Dropped, hangUps: from.HangUps}
 	direct.log = from.Log.WithField("process", settings.Name)
 	direct.callers = newCallers(direct.clock, settings.Descriptors)
