--- a/cmd/trefoilseam/dev_direct.go
+++ b/cmd/trefoilseam/dev_direct.go
@@ -41,7 +41,7 @@
 		Name: "entry-1", DataCentre: devDataCentre, Listen: listen, ReadyListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
 		MetricsListen: "127.0.0.1:0", Store: site.Address(), StopDelay: devStopDelay,
 	}.WithDefaults()
-	from := assembler.DirectEnvironment{Log: log, Dropped: func() int64 { return 0 }}
+	from := assembler.DirectEnvironment{Log: log, DroppedLines: func() int64 { return 0 }}
 	direct, release, err := assembler.NewDirect(ctx, settings, "", from)
 	if err != nil {
 		return err
--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -62,8 +62,8 @@
 // DirectEnvironment are what a process gets from where it runs.
 type DirectEnvironment struct {
 	Log *logrus.Logger
-	// Dropped returns how many lines of the log were dropped.
-	Dropped func() int64
+	// DroppedLines returns how many lines of the log were dropped.
+	DroppedLines func() int64
 	// HangUps are signals that the settings have changed. A process must ask for
 	// them first of all: one that comes before ends it.
 	HangUps <-chan os.Signal
@@ -109,7 +109,7 @@
 // holds. file is where its settings were read from; they are read again when
 // they change.
 func NewDirect(ctx context.Context, settings loader.Direct, file string, from DirectEnvironment) (*Direct, func(), error) {
-	direct := &Direct{settings: settings, file: file, clock: timekeeper.Steady(), logger: from.Log, dropped: from.Dropped, hangUps: from.HangUps}
+	direct := &Direct{settings: settings, file: file, clock: timekeeper.Steady(), logger: from.Log, dropped: from.DroppedLines, hangUps: from.HangUps}
 	direct.log = from.Log.WithField("process", settings.Name)
 	direct.callers = newCallers(direct.clock, settings.Descriptors)
 	limitMemory(settings)
