--- a/cmd/trefoilseam/direct.go
+++ b/cmd/trefoilseam/direct.go
@@ -40,7 +40,7 @@
 	}
 	dropped, flush := queueLog(log)
 	defer flush()
-	from := assembler.DirectEnvironment{Log: log, DroppedLines: dropped, HangUps: hangUps}
+	from := assembler.DirectEnvironment{Log: log, DroppedLines: dropped, ReloadSignals: hangUps}
 	direct, release, err := assembler.NewDirect(ctx, settings, file, from)
 	if err != nil {
 		return err
--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -64,9 +64,9 @@
 	Log *logrus.Logger
 	// DroppedLines returns how many lines of the log were dropped.
 	DroppedLines func() int64
-	// HangUps are signals that the settings have changed. A process must ask for
+	// ReloadSignals are signals that the settings have changed. A process must ask for
 	// them first of all: one that comes before ends it.
-	HangUps <-chan os.Signal
+	ReloadSignals <-chan os.Signal
 }
 
 // Direct is an entry that sends requests to replicas itself, ready to run.
@@ -109,7 +109,7 @@
 // holds. file is where its settings were read from; they are read again when
 // they change.
 func NewDirect(ctx context.Context, settings loader.Direct, file string, from DirectEnvironment) (*Direct, func(), error) {
-	direct := &Direct{settings: settings, file: file, clock: timekeeper.Steady(), logger: from.Log, dropped: from.DroppedLines, hangUps: from.HangUps}
+	direct := &Direct{settings: settings, file: file, clock: timekeeper.Steady(), logger: from.Log, dropped: from.DroppedLines, hangUps: from.ReloadSignals}
 	direct.log = from.Log.WithField("process", settings.Name)
 	direct.callers = newCallers(direct.clock, settings.Descriptors)
 	limitMemory(settings)
