--- a/cmd/trefoilseam/process.go
+++ b/cmd/trefoilseam/process.go
@@ -133,7 +133,7 @@
 			if err != nil {
 				return built{}, nil, err
 			}
-			return built{addTo: agent.AddTo, cut: agent.Cut}, release, nil
+			return built{addTo: agent.AddTo, cut: agent.DrainError}, release, nil
 		},
 	})
 }
--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -137,9 +137,9 @@
 	}, func(error) { close(stop) })
 }
 
-// Cut returns an error that says how many calls the stop cut off, or nil when
+// DrainError returns an error that says how many calls the stop cut off, or nil when
 // all had ended. It may be asked once the agent's group has ended.
-func (made *Agent) Cut() error {
+func (made *Agent) DrainError() error {
 	return made.cut
 }
 
