--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -18,163 +18,163 @@
 
 // Agent is an agent process, ready to run.
 type Agent struct {
-	*shell
-	settings loader.Agent
-	agent    *runner.Agent
-	// cut is what a stop cut off. The actor that drains writes it before the
-	// group ends, and Cut reads it after.
-	cut error
+	*base
+	settings   loader.Agent
+	callRunner *runner.Agent
+	// drainErr is the result of the drain. The actor that serves calls writes it
+	// before the group ends; DrainError reads it afterwards.
+	drainErr error
 }
 
-// AgentStatus is what an agent says about itself.
+// AgentStatus is the content of an agent's status page.
 type AgentStatus struct {
 	Name     string          `json:"name"`
 	Site     string          `json:"site"`
 	Service  string          `json:"service"`
 	Revision uint64          `json:"revision"`
 	Digest   *encoder.Digest `json:"digest"`
-	// Control is what the agent spends on control.
+	// Control is the agent's control traffic.
 	Control budgeter.Status `json:"control"`
-	// Members is what the agent believes about each replica of its service.
+	// Members holds the agent's view of each replica of its service.
 	Members []reporter.ReplicaStatus `json:"members"`
 }
 
-// NewAgent returns an agent that listens and has its first configuration, and
-// a function that releases what it holds. It waits for the configuration.
+// NewAgent waits for the first configuration, then returns a listening agent
+// and a function that releases its resources.
 func NewAgent(ctx context.Context, settings loader.Agent, env Environment) (*Agent, func(), error) {
-	made := &Agent{settings: settings}
-	made.shell = newShell(shellSettings{
+	agent := &Agent{settings: settings}
+	agent.base = newBase(baseSettings{
 		process: settings.Process, env: env, kind: "agent", group: settings.Service,
-		service: settings.Service, self: made.digest,
+		service: settings.Service, self: agent.digest,
 	})
-	// An agent has no part in the exchange before it listens.
-	if err := made.ready(ctx, func(context.Context) {}); err != nil {
-		made.release()
+	// An agent exchanges no digests before it listens.
+	if err := agent.start(ctx, func(context.Context) {}); err != nil {
+		agent.release()
 		return nil, nil, err
 	}
-	agent, release, err := runner.New(runner.Settings{
+	callRunner, release, err := runner.New(runner.Settings{
 		Name:        settings.Name,
 		Service:     settings.Service,
 		Site:        settings.Site,
-		Incarnation: made.incarnation,
+		Incarnation: agent.incarnation,
 		Upstream:    settings.Upstream,
-		Clock:       made.env.Clock,
-		Log:         made.env.Log,
-		Scope:       made.scope,
-		Config:      made.watcher.Current,
-		Record:      made.record.Record,
-		Table:       made.env.Platform.Table,
-
-		Hear:          made.watcher.Hear,
-		Configuration: made.watcher.Answer,
-		Mean:          made.control.exchanger.Mean,
-		Room:          func() string { return made.control.view.Room(settings.Service, settings.Name) },
-		Digests:       made.control.exchanger.Answer,
-		Tell:          made.control.tell,
-		Peers:         func() placer.Roster { return made.control.view.Roster(settings.Service) },
-		Open:          made.pool.Open,
+		Clock:       agent.env.Clock,
+		Log:         agent.env.Log,
+		Scope:       agent.scope,
+		Config:      agent.watcher.Current,
+		Record:      agent.record.Record,
+		Table:       agent.env.Platform.Table,
+
+		Hear:          agent.watcher.Hear,
+		Configuration: agent.watcher.Answer,
+		Mean:          agent.control.exchanger.Mean,
+		Room:          func() string { return agent.control.view.Room(settings.Service, settings.Name) },
+		Digests:       agent.control.exchanger.Answer,
+		Tell:          agent.control.admitDigest,
+		Peers:         func() placer.Roster { return agent.control.view.Roster(settings.Service) },
+		Open:          agent.pool.Open,
 	})
 	if err != nil {
-		made.release()
+		agent.release()
 		return nil, nil, err
 	}
-	made.agent = agent
-	made.onRelease(release)
-	made.record.SetPulse(agent.Sample)
-	return made, made.release, nil
+	agent.callRunner = callRunner
+	agent.onRelease(release)
+	agent.record.SetPulse(callRunner.Sample)
+	return agent, agent.release, nil
 }
 
-// digest returns what the agent says about itself, and where it is reached.
-func (made *Agent) digest() *encoder.Digest {
-	digest := made.agent.Digest()
-	digest.Address = made.settings.Advertise
+// digest returns the agent's digest, with the address at which peers reach it.
+func (agent *Agent) digest() *encoder.Digest {
+	digest := agent.callRunner.Digest()
+	digest.Address = agent.settings.Advertise
 	if digest.GetAddress() == "" {
-		digest.Address = made.Address()
+		digest.Address = agent.Address()
 	}
 	return digest
 }
 
-// Status returns what the agent says about itself and believes about others.
-func (made *Agent) Status() AgentStatus {
+// Status returns the agent's own state and its view of its service's replicas.
+func (agent *Agent) Status() AgentStatus {
 	return AgentStatus{
-		Name: made.settings.Name, Site: made.settings.Site, Service: made.settings.Service,
-		Revision: made.watcher.Current().Revision, Digest: made.digest(),
-		Control: made.control.status(), Members: made.control.view.Status(),
+		Name: agent.settings.Name, Site: agent.settings.Site, Service: agent.settings.Service,
+		Revision: agent.watcher.Current().Revision, Digest: agent.digest(),
+		Control: agent.control.status(), Members: agent.control.view.Status(),
 	}
 }
 
 // AddTo adds the agent's actors to a group.
-func (made *Agent) AddTo(group *run.Group) {
-	addLoop(group, made.watcher.Run)
-	made.control.addTo(group)
-	made.addCalls(group)
-	made.addAdmin(group, handler.Show(made.Status))
+func (agent *Agent) AddTo(group *run.Group) {
+	addLoop(group, agent.watcher.Run)
+	agent.control.addTo(group)
+	agent.addCalls(group)
+	agent.addAdmin(group, handler.Show(agent.Status))
 }
 
-// addCalls adds the actor that serves calls. Its stop refuses new work at once
-// and lets what is in flight end, up to the service's longest drain.
-func (made *Agent) addCalls(group *run.Group) {
+// addCalls adds the actor that serves calls. When it is interrupted, it refuses
+// new calls at once and waits for calls in flight, up to the service's longest drain.
+func (agent *Agent) addCalls(group *run.Group) {
 	stop := make(chan struct{})
 	failed := make(chan error, 1)
 	group.Add(func() error {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		// Claims are written until the drain is over. The failure: the writer ends
-		// with the stop, while granted calls still claim. The symptom: they wait
-		// for a writer that is gone, the drain never ends, and rows that were being
-		// written name an agent that has left.
-		go made.agent.Keep(ctx)
-		go func() { failed <- made.agent.Serve(ctx, made.listener) }()
+		// Keep writes claims, so it must run until the drain is over. If it ended
+		// with the stop, granted calls that still claim would wait for it and the
+		// drain would never end; rows that were being written would name an agent
+		// that has left.
+		go agent.callRunner.Keep(ctx)
+		go func() { failed <- agent.callRunner.Serve(ctx, agent.listener) }()
 		select {
 		case err := <-failed:
 			return err
 		case <-stop:
 		}
-		err := made.drain()
-		made.cut = err
-		_ = made.listener.Close()
+		err := agent.drain()
+		agent.drainErr = err
+		_ = agent.listener.Close()
 		return err
 	}, func(error) { close(stop) })
 }
 
-// DrainError returns an error that says how many calls the stop cut off, or nil when
-// all had ended. It may be asked once the agent's group has ended.
-func (made *Agent) DrainError() error {
-	return made.cut
+// DrainError returns an error that states how many calls the stop cut off, or nil
+// if all had ended. It must not be called before the agent's group has ended.
+func (agent *Agent) DrainError() error {
+	return agent.drainErr
 }
 
-func (made *Agent) drain() error {
-	made.readiness.leaving.Store(true)
-	service, _ := made.watcher.Current().Service(made.settings.Service)
+func (agent *Agent) drain() error {
+	agent.readiness.leaving.Store(true)
+	service, _ := agent.watcher.Current().Service(agent.settings.Service)
 	ctx, cancel := context.WithTimeout(context.Background(), service.LongestDrain.Duration())
 	defer cancel()
-	started := made.env.Clock.Now()
-	// New work is refused before anyone is told, so that nobody can be told
-	// late of a replica that still takes it.
-	made.agent.Refuse()
-	made.control.exchanger.Announce(ctx)
-	err := made.agent.Drain(ctx)
-	took := made.env.Clock.Now().Since(started)
-	made.env.Log.WithFields(logrus.Fields{"took": took.String(), "whole": err == nil}).Info("drained")
-	made.handOver()
+	started := agent.env.Clock.Now()
+	// Refuse before announcing: a peer must not receive the announcement while the
+	// replica still accepts work.
+	agent.callRunner.Refuse()
+	agent.control.exchanger.Announce(ctx)
+	err := agent.callRunner.Drain(ctx)
+	took := agent.env.Clock.Now().Since(started)
+	agent.env.Log.WithFields(logrus.Fields{"took": took.String(), "whole": err == nil}).Info("drained")
+	agent.handOver()
 	if err != nil {
 		return err
 	}
-	return made.env.Clock.Sleep(context.Background(), linger)
+	return agent.env.Clock.Sleep(context.Background(), linger)
 }
 
-// handOverTime bounds the last words to the store. A store that is slow must
-// not hold up a stop; what is not said costs callers an "unknown".
-const handOverTime = 2 * timekeeper.Second
+// handOverTimeout bounds the last writes to the store, so that a slow store does not
+// delay a stop. Callers who ask about a key that was not handed over get "unknown".
+const handOverTimeout = 2 * timekeeper.Second
 
-func (made *Agent) handOver() {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTime.Duration())
+func (agent *Agent) handOver() {
+	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout.Duration())
 	defer cancel()
-	made.agent.HandOver(ctx)
+	agent.callRunner.HandOver(ctx)
 }
 
-// linger is how long a drained agent keeps its connections. A socket that is
-// closed with unread bytes resets its peer, and the peer then loses the end of
-// an answer that it had not read yet; half a second lets the last frames be
-// read and the last window updates arrive.
+// linger is how long a drained agent keeps its connections open. Closing a socket
+// with unread bytes resets the connection, and the peer loses the part of an answer
+// that it has not read yet. Half a second is enough for the peer to read the last
+// frames and for the last window updates to arrive.
 const linger = 500 * timekeeper.Millisecond
--- a/internal/assembler/caller_conn.go
+++ b/internal/assembler/caller_conn.go
@@ -11,28 +11,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// callerConn is a caller's connection that is not closed under a request.
+// callerConn is a caller's connection that is not closed while a request is on it.
 //
-// The failure: a connection looks idle, and while it is being closed, to make room or
-// because the entry stops, the next request on it comes. On a machine that gets a tenth
-// of a core it may have been there for a quarter of a second, unread. The symptom: the
-// request gets neither an answer nor a refusal, and where it had just been read and was
-// passed on it runs as well; one that must not run twice can't be sent again. So a
-// connection is closed as idle only where no request is served or has begun to arrive; a
-// request that comes after that finds out and is not passed on.
+// It guards against a race: a connection looks idle, and while the entry closes it, to
+// make room or because it stops, the next request arrives. On a machine with a tenth of
+// a core the request may have been in the socket, unread, for a quarter of a second. The
+// caller would get neither an answer nor a refusal, yet a request that had just been
+// read and passed on would run; one that must not run twice can't be sent again. So a
+// connection is closed as idle only if no request is being served or has begun to
+// arrive, and a request that is read after the close is not passed on.
 type callerConn struct {
 	net.Conn
-	// stopping is set while the entry stops; from then on the server closes connections
-	// that look idle to it.
+	// stopping is set when the entry begins to stop; from then on the server closes
+	// connections that look idle to it.
 	stopping *atomic.Bool
 
 	mu sync.Mutex
-	// arriving is set from the first byte of a request until it is served, last once a
-	// request has begun that the stopping entry answers with the end of the connection.
-	arriving, serving, closed, last bool
+	// arriving is set from the first byte of a request until the request is served.
+	// lastAnswer is set once a request is served whose answer, since the entry is
+	// stopping, announces the end of the connection.
+	arriving, serving, closed, lastAnswer bool
 }
 
-// Read reads, and notes that a request arrives.
+// Read reads from the connection and records that a request is arriving.
 func (conn *callerConn) Read(buffer []byte) (int, error) {
 	count, err := conn.Conn.Read(buffer)
 	if count > 0 {
@@ -43,61 +44,61 @@
 	return count, err
 }
 
-// begin reports whether a request on the connection may be passed on. If so it must be
-// followed by end.
-func (conn *callerConn) begin() bool {
+// beginRequest reports whether a request on the connection may be passed on. If it
+// returns true, endRequest must follow.
+func (conn *callerConn) beginRequest() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	conn.serving, conn.arriving, conn.last = !conn.closed, false, conn.stopping.Load()
+	conn.serving, conn.arriving, conn.lastAnswer = !conn.closed, false, conn.stopping.Load()
 	return conn.serving
 }
 
-func (conn *callerConn) end() {
+func (conn *callerConn) endRequest() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.serving = false
 }
 
-// Close closes the connection. One on which a request is served is closed by the server
-// after the answer. While the entry stops one with a request that arrives stays too,
-// unless its caller has been told that the answer before was the last.
+// Close closes the connection, unless a request is being served: then the server closes
+// it after the answer. While the entry stops, a connection on which a request is
+// arriving stays open too, unless the last answer announced the end of the connection.
 func (conn *callerConn) Close() error {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	return conn.closeUnless(conn.serving || conn.stopping.Load() && !conn.last && conn.used())
+	return conn.closeUnless(conn.serving || conn.stopping.Load() && !conn.lastAnswer && conn.receiving())
 }
 
-// abandon closes the connection once the server reads it no more. Its own close may have
-// been dropped for a request that had come by then, and that nobody would ever read.
-func (conn *callerConn) abandon() {
+// forceClose closes the connection after the server has stopped reading it. Close may
+// have left it open for an arriving request that would never be read.
+func (conn *callerConn) forceClose() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.closed = true
 	_ = conn.Conn.Close()
 }
 
-// closeIdle closes the connection, unless a request on it is served or arrives.
+// closeIdle closes the connection, unless a request on it is being served or arriving.
 func (conn *callerConn) closeIdle() error {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	return conn.closeUnless(conn.serving || conn.used())
+	return conn.closeUnless(conn.serving || conn.receiving())
 }
 
-// used reports whether a request arrives; the lock must be held.
-func (conn *callerConn) used() bool { return conn.arriving || unread(conn.Conn) }
+// receiving reports whether a request is arriving; the lock must be held.
+func (conn *callerConn) receiving() bool { return conn.arriving || hasUnreadBytes(conn.Conn) }
 
-// closeUnless closes the connection unless it has to stay; the lock must be held.
-func (conn *callerConn) closeUnless(stays bool) error {
-	if stays {
+// closeUnless closes the connection unless it has to be kept; the lock must be held.
+func (conn *callerConn) closeUnless(keep bool) error {
+	if keep {
 		return nil
 	}
 	conn.closed = true
 	return conn.Conn.Close()
 }
 
-// unread reports whether bytes have come that nobody has read yet. A connection that
-// can't tell has none.
-func unread(conn net.Conn) bool {
+// hasUnreadBytes reports whether the socket holds received bytes that have not been
+// read. It returns false for a connection without a socket.
+func hasUnreadBytes(conn net.Conn) bool {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -114,10 +115,10 @@
 	return err == nil && count > 0
 }
 
-// knocking reports whether connections wait at a listener that nobody has taken yet:
-// closed now, it would reset them with the requests on them. A listener that can't tell
-// has none.
-func knocking(listener net.Listener) bool {
+// hasPendingConnections reports whether a listener has connections that have not been
+// accepted: closing it now would reset them and lose the requests on them. It returns
+// false for a listener without a socket.
+func hasPendingConnections(listener net.Listener) bool {
 	raw, ok := listener.(syscall.Conn)
 	if !ok {
 		return false
@@ -133,7 +134,7 @@
 	return err == nil && ready > 0
 }
 
-// CloseWrite ends what the caller is sent, as the server does before it closes a
+// CloseWrite shuts down the sending side. The server calls it before it closes a
 // connection on which bytes are left unread.
 func (conn *callerConn) CloseWrite() error {
 	if half, ok := conn.Conn.(*net.TCPConn); ok {
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// callerListener takes callers' connections as callerConns.
+// callerListener accepts callers' connections as callerConns.
 type callerListener struct {
 	net.Listener
 	stopping *atomic.Bool
@@ -157,28 +158,28 @@
 	return &callerConn{Conn: conn, stopping: listener.stopping}, nil
 }
 
-// connKey is where the context of a request holds its connection.
+// connKey is the context key under which a request's connection is stored.
 type connKey struct{}
 
-// withConn is the hook of the server for the context of a connection's requests.
+// withConn is the server's ConnContext hook: it stores the connection in the context.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// unlessClosed passes requests on to a handler while their connections are open, and
-// calls late for each that came as its connection was closed.
-func unlessClosed(handler http.Handler, late func()) http.Handler {
+// serveUnlessClosed passes requests to a handler if their connections are open, and
+// calls onClosed for each request that was read after its connection had been closed.
+func serveUnlessClosed(handler http.Handler, onClosed func()) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		conn, known := r.Context().Value(connKey{}).(*callerConn)
-		if !known {
+		conn, ok := r.Context().Value(connKey{}).(*callerConn)
+		if !ok {
 			handler.ServeHTTP(w, r)
 			return
 		}
-		if !conn.begin() {
-			late()
+		if !conn.beginRequest() {
+			onClosed()
 			panic(http.ErrAbortHandler)
 		}
-		defer conn.end()
+		defer conn.endRequest()
 		handler.ServeHTTP(w, r)
 	})
 }
--- a/internal/assembler/caller_conn_test.go
+++ b/internal/assembler/caller_conn_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	server := &http.Server{
-		Handler: unlessClosed(handler, late), ConnContext: withConn, ReadHeaderTimeout: headerPatience.Duration(),
+		Handler: serveUnlessClosed(handler, late), ConnContext: withConn, ReadHeaderTimeout: callerHeaderTimeout.Duration(),
 		ConnState: func(conn net.Conn, state http.ConnState) {
 			if state == http.StateActive {
 				active(conn)
@@ -127,7 +127,7 @@
 	// neither an answer nor a refusal. One on which nothing comes is closed.
 	arrive := func(conn *callerConn, caller net.Conn) {
 		_, _ = io.WriteString(caller, "GET / HTTP/1.1\r\n")
-		for !unread(conn.Conn) {
+		for !hasUnreadBytes(conn.Conn) {
 			runtime.Gosched()
 		}
 	}
@@ -143,8 +143,8 @@
 		{"nothing came", func(*callerConn, net.Conn) {}, true},
 		{"a request lies unread", arrive, false},
 		{"a request is being read", read, false},
-		{"a request is served", func(conn *callerConn, caller net.Conn) { read(conn, caller); conn.begin() }, false},
-		{"a request was served", func(conn *callerConn, caller net.Conn) { read(conn, caller); conn.begin(); conn.end() }, true},
+		{"a request is served", func(conn *callerConn, caller net.Conn) { read(conn, caller); conn.beginRequest() }, false},
+		{"a request was served", func(conn *callerConn, caller net.Conn) { read(conn, caller); conn.beginRequest(); conn.endRequest() }, true},
 	}
 	for _, test := range tests {
 		for _, stopping := range []bool{false, true} {
@@ -158,7 +158,7 @@
 					So(conn.closeIdle(), ShouldBeNil)
 				}
 				So(conn.closed, ShouldEqual, test.closed)
-				So(conn.begin(), ShouldEqual, !test.closed)
+				So(conn.beginRequest(), ShouldEqual, !test.closed)
 			})
 		}
 	}
@@ -166,8 +166,8 @@
 		conn, caller := connPair(t)
 		conn.stopping.Store(true)
 		read(conn, caller)
-		conn.begin()
-		conn.end()
+		conn.beginRequest()
+		conn.endRequest()
 		arrive(conn, caller)
 		So(conn.Close(), ShouldBeNil)
 		So(conn.closed, ShouldBeTrue)
@@ -175,22 +175,22 @@
 	Convey("one whose answer began before the stop is not", t, func() {
 		conn, caller := connPair(t)
 		read(conn, caller)
-		conn.begin()
+		conn.beginRequest()
 		conn.stopping.Store(true)
-		conn.end()
+		conn.endRequest()
 		arrive(conn, caller)
 		So(conn.Close(), ShouldBeNil)
 		So(conn.closed, ShouldBeFalse)
 	})
 	Convey("one that the server reads no more is closed, whatever came", t, func() {
 		conn, caller := connPair(t)
-		callers := newCallers(timekeeper.NewManual(1).Clock(), otherDescriptors+10)
-		callers.watch(conn, http.StateNew)
+		callerConns := newCallerConns(timekeeper.NewManual(1).Clock(), reservedDescriptors+10)
+		callerConns.trackState(conn, http.StateNew)
 		arrive(conn, caller)
 		conn.stopping.Store(true)
 		So(conn.Close(), ShouldBeNil)
 		So(conn.closed, ShouldBeFalse)
-		callers.watch(conn, http.StateClosed)
+		callerConns.trackState(conn, http.StateClosed)
 		So(conn.closed, ShouldBeTrue)
 		_, err := caller.Read(make([]byte, 1))
 		So(err, ShouldNotBeNil)
@@ -212,18 +212,18 @@
 	}
 	defer func() { _ = listener.Close() }()
 	Convey("are seen until they are taken", t, func() {
-		So(knocking(listener), ShouldBeFalse)
+		So(hasPendingConnections(listener), ShouldBeFalse)
 		caller, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 		So(err, ShouldBeNil)
 		defer func() { _ = caller.Close() }()
-		for !knocking(listener) {
+		for !hasPendingConnections(listener) {
 			runtime.Gosched()
 		}
 		taken, err := listener.Accept()
 		So(err, ShouldBeNil)
 		defer func() { _ = taken.Close() }()
-		So(knocking(listener), ShouldBeFalse)
-		So(knocking(offeredListener{}), ShouldBeFalse)
+		So(hasPendingConnections(listener), ShouldBeFalse)
+		So(hasPendingConnections(offeredListener{}), ShouldBeFalse)
 	})
 }
 
--- a/internal/assembler/control.go
+++ b/internal/assembler/control.go
@@ -16,8 +16,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// control is the part of a process that speaks to its peers and to the
-// platform about the fleet itself, and counts what that costs.
+// control exchanges state of the fleet with peers and the platform, and counts the
+// traffic that this takes.
 type control struct {
 	env       Environment
 	budget    *budgeter.Budget
@@ -26,7 +26,7 @@
 	pool      *dialer.Pool
 }
 
-// controlSettings set up a control.
+// controlSettings are the settings of a control.
 type controlSettings struct {
 	process     loader.Process
 	env         Environment
@@ -39,19 +39,19 @@
 }
 
 func newControl(settings controlSettings) *control {
-	made := &control{env: settings.env, pool: settings.pool}
-	made.budget = budgeter.New(budgeter.Settings{Count: counter(settings.scope)})
-	made.view = reporter.NewView(reporter.Settings{
+	ctrl := &control{env: settings.env, pool: settings.pool}
+	ctrl.budget = budgeter.New(budgeter.Settings{Count: countControlBytes(settings.scope)})
+	ctrl.view = reporter.NewView(reporter.Settings{
 		Directory: settings.env.Platform.Directory,
 		Clock:     settings.env.Clock,
 		Log:       settings.env.Log,
-		Budget:    made.budget,
+		Budget:    ctrl.budget,
 		Rules:     rulesOf(settings),
 		Service:   settings.service,
 		Seed:      settings.incarnation,
 	})
-	made.exchanger = reporter.NewExchanger(reporter.ExchangeSettings{
-		View:  made.view,
+	ctrl.exchanger = reporter.NewExchanger(reporter.ExchangeSettings{
+		View:  ctrl.view,
 		Open:  settings.pool.Open,
 		Name:  settings.process.Name,
 		Site:  settings.process.Site,
@@ -59,75 +59,77 @@
 		Self:  settings.self,
 		Every: settings.process.MembershipRound,
 	})
-	return made
+	return ctrl
 }
 
-// rulesOf returns the rules of a process's view: its spans follow its rounds,
-// so that silence is as unlikely by chance at any pace.
+// rulesOf returns the rules of a process's view. Their spans are multiples of the
+// membership round, so that a false alarm is as unlikely at any length of the round.
 func rulesOf(settings controlSettings) reporter.Rules {
-	const roundsOfSilence, roundsToCool = 8, 10
+	const silenceRounds, coolRounds = 8, 10
 	round := settings.process.MembershipRound
-	return reporter.Rules{Indirect: settings.self == nil, Silence: roundsOfSilence * round, Cool: roundsToCool * round}
+	return reporter.Rules{Indirect: settings.self == nil, Silence: silenceRounds * round, Cool: coolRounds * round}
 }
 
-// counter returns what takes spending to the metrics.
-func counter(scope tally.Scope) func(cause budgeter.Cause, bytes int64) {
+// countControlBytes returns a function that adds control traffic to the metrics.
+func countControlBytes(scope tally.Scope) func(cause budgeter.Cause, bytes int64) {
 	return func(cause budgeter.Cause, bytes int64) {
 		scope.Tagged(map[string]string{labelCause: cause.String()}).Counter("control-bytes").Inc(bytes)
 	}
 }
 
-// addTo adds the loops that keep the view fresh.
-func (made *control) addTo(group *run.Group) {
-	addLoop(group, func(ctx context.Context) { made.view.Run(ctx, made.env.Clock) })
-	addLoop(group, func(ctx context.Context) { made.exchanger.Run(ctx) })
+// addTo adds the loops that keep the view up to date and count session probes.
+func (ctrl *control) addTo(group *run.Group) {
+	addLoop(group, func(ctx context.Context) { ctrl.view.Run(ctx, ctrl.env.Clock) })
+	addLoop(group, func(ctx context.Context) { ctrl.exchanger.Run(ctx) })
 	addLoop(group, func(ctx context.Context) {
-		made.env.Clock.Every(ctx, func() timekeeper.Span { return probesEvery }, func(context.Context) {
-			bytes := made.pool.ProbeRate() * float64(probesEvery) / float64(timekeeper.Second)
-			made.budget.Spend(made.env.Clock.Now(), budgeter.Probe, int64(bytes))
-			made.pool.Reap()
+		ctrl.env.Clock.Every(ctx, func() timekeeper.Span { return probeInterval }, func(context.Context) {
+			bytes := ctrl.pool.ProbeRate() * float64(probeInterval) / float64(timekeeper.Second)
+			ctrl.budget.Spend(ctrl.env.Clock.Now(), budgeter.Probe, int64(bytes))
+			ctrl.pool.Reap()
 		})
 	})
 }
 
-// probesEvery is how often the probes of idle sessions are reckoned. Yamux
-// sends them by itself, so they are counted by their rate and size.
-const probesEvery = 5 * timekeeper.Second
+// probeInterval is how often the probes of idle sessions are counted. Yamux sends
+// them by itself, so their bytes are computed from their rate and size.
+const probeInterval = 5 * timekeeper.Second
 
-// status returns what the process spends on control.
-func (made *control) status() budgeter.Status {
-	return made.budget.Status(made.env.Clock.Now())
+// status returns the process's control traffic.
+func (ctrl *control) status() budgeter.Status {
+	return ctrl.budget.Status(ctrl.env.Clock.Now())
 }
 
-// tell counts a digest that rides on an answer, unless loads have to give way.
-func (made *control) tell(digest *encoder.Digest) bool {
-	if made.budget.Level(made.env.Clock.Now()) >= budgeter.Tight {
+// admitDigest reports whether the budget has room to send a digest along with an
+// answer, and counts the digest if so.
+func (ctrl *control) admitDigest(digest *encoder.Digest) bool {
+	if ctrl.budget.Level(ctrl.env.Clock.Now()) >= budgeter.Tight {
 		return false
 	}
-	made.heard(digest)
+	ctrl.countDigest(digest)
 	return true
 }
 
-// heard counts a digest that came or went with an answer.
-func (made *control) heard(digest *encoder.Digest) {
-	made.budget.Spend(made.env.Clock.Now(), budgeter.Digest, int64(proto.Size(digest)))
+// countDigest counts a digest that was received or sent along with an answer.
+func (ctrl *control) countDigest(digest *encoder.Digest) {
+	ctrl.budget.Spend(ctrl.env.Clock.Now(), budgeter.Digest, int64(proto.Size(digest)))
 }
 
-// requestSize is what a question to the platform takes beside its answer's
-// body: the request and the headers of both, about.
-const requestSize = 300
+// requestOverheadBytes is the approximate size of a request to the platform, including
+// the headers of its response but not the response body.
+const requestOverheadBytes = 300
 
-// environment returns the environment with what configuration is read counted.
-func (made *control) environment() Environment {
-	env := made.env
-	env.Platform = made.metered()
+// meteredEnvironment returns the environment with a platform whose configuration reads
+// are counted.
+func (ctrl *control) meteredEnvironment() Environment {
+	env := ctrl.env
+	env.Platform = ctrl.meteredPlatform()
 	return env
 }
 
-func (made *control) metered() storekeeper.Platform {
-	platform := made.env.Platform
+func (ctrl *control) meteredPlatform() storekeeper.Platform {
+	platform := ctrl.env.Platform
 	spend := func(bytes int) {
-		made.budget.Spend(made.env.Clock.Now(), budgeter.Config, int64(requestSize+bytes))
+		ctrl.budget.Spend(ctrl.env.Clock.Now(), budgeter.Config, int64(requestOverheadBytes+bytes))
 	}
 	get, fetch := platform.Table.Get, platform.Objects.Get
 	platform.Table.Get = func(ctx context.Context, table, key string) (storekeeper.Row, error) {
--- a/internal/assembler/dev.go
+++ b/internal/assembler/dev.go
@@ -29,11 +29,11 @@
 
 var devSites = [...]string{"bole", "merkato", "piassa", "kality"}
 
-// DevSettings set up the small site of the command dev.
+// DevSettings are the settings of the small site of the command dev.
 type DevSettings struct {
 	// Listen is where the first entry listens.
 	Listen string
-	// StandInsOnly leaves out entries and agents, for processes started by hand.
+	// StandInsOnly leaves out entries and agents, which are then started by hand.
 	StandInsOnly bool
 }
 
@@ -81,16 +81,16 @@
 `, hex.EncodeToString(sum[:]), imitator.CachedHeader)}
 }
 
-// NewDev returns a small site whose actors are in group, and a function that
-// releases what it holds. The caller runs the group.
+// NewDev adds the actors of a small site to group, and returns the site and a function
+// that releases its resources. The caller runs the group.
 func NewDev(ctx context.Context, settings DevSettings, env Environment, group *run.Group) (*Dev, func(), error) {
-	var order stages
+	var stopOrder stages
 	dev := &Dev{
 		settings:  settings,
 		env:       env,
-		entries:   order.add(),
-		agents:    order.add(),
-		standIns:  order.add(),
+		entries:   stopOrder.add(),
+		agents:    stopOrder.add(),
+		standIns:  stopOrder.add(),
 		platform:  imitator.NewPlatform(env.Clock),
 		ledger:    imitator.NewLedger(),
 		Upstreams: map[string]string{},
@@ -99,7 +99,7 @@
 		dev.release()
 		return nil, nil, err
 	}
-	order.addTo(group)
+	stopOrder.addTo(group)
 	return dev, dev.release, nil
 }
 
@@ -124,8 +124,8 @@
 		return err
 	}
 	if dev.settings.StandInsOnly {
-		// Agents started by hand have addresses of their own, so whoever starts
-		// them puts them on the list.
+		// Agents started by hand have their own addresses; the operator adds them
+		// to the instance list.
 		return nil
 	}
 	dev.platform.SetInstances(instances)
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// serve serves a stand-in on a free port of loopback.
+// serve starts a stand-in on a free loopback port and returns its base address.
 func (dev *Dev) serve(handler http.Handler) (string, error) {
 	listener, err := listen(loopback)
 	if err != nil {
--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -26,92 +26,92 @@
 )
 
 const (
-	// replicaLapse is how long a replica that is missing after an outage of the
-	// store stays in use: the replicas write themselves in again within two seconds.
+	// replicaLapse is how long a replica whose row is missing after an outage of the
+	// store stays in use: replicas write their rows again within two seconds.
 	replicaLapse = 2200 * timekeeper.Millisecond
-	// sweepEvery is how often idle connections are looked through.
-	sweepEvery = timekeeper.Second
-	// callerSilence bounds sent bytes that a caller doesn't acknowledge.
-	callerSilence = 10 * timekeeper.Second
-	// headerPatience bounds the head of a request, idlePatience the time between
-	// two requests of a connection. Callers may be told to use a connection for
-	// less, never for longer.
-	headerPatience = 10 * timekeeper.Second
-	idlePatience   = 2 * timekeeper.Minute
-	// mostHeader bounds the head of a request, in bytes.
-	mostHeader = 64 << 10
-	// bodyShare is the part of the process's memory that request bodies may hold.
-	bodyShare = 0.25
-	// heapShare is the part of the process's memory at which the collector works
-	// harder rather than let the process be killed.
-	heapShare = 0.7
-	// collectPercent is how much of what lives may lie beside it as garbage, in
-	// percent: memory is dear where entries run, and their processor idles.
-	collectPercent = 25
-	// defaultMemory is assumed where the settings name none, in megabytes.
-	defaultMemory = 256
-	// stopPoll is how often a stopping entry looks whether its last call has ended.
-	stopPoll = 30 * timekeeper.Millisecond
-	// endMargin is how long before it would be killed a stopping process ends.
-	endMargin = 300 * timekeeper.Millisecond
-	// lastTaken is how long before it ends a stopping entry takes its last connections:
-	// where a machine has an eighth of a core, requests lie unread for half a second.
-	lastTaken = timekeeper.Second
+	// sweepInterval is the time between two checks for idle connections.
+	sweepInterval = timekeeper.Second
+	// callerAckTimeout is the TCP user timeout of callers' connections: how long sent
+	// bytes may stay unacknowledged.
+	callerAckTimeout = 10 * timekeeper.Second
+	// callerHeaderTimeout bounds the time to read a request's headers, callerIdleTimeout
+	// the time between two requests on a connection. The configuration may set a
+	// shorter idle time, not a longer one.
+	callerHeaderTimeout = 10 * timekeeper.Second
+	callerIdleTimeout   = 2 * timekeeper.Minute
+	// callerMaxHeaderBytes bounds the headers of a caller's request.
+	callerMaxHeaderBytes = 64 << 10
+	// bodyMemoryShare is the share of the process's memory that request bodies may take.
+	bodyMemoryShare = 0.25
+	// heapLimitShare is the share of the process's memory that is set as the runtime's
+	// soft limit: beyond it the collector works harder, before the process is killed.
+	heapLimitShare = 0.7
+	// gcPercent is GOGC, garbage in percent of the live heap. It is low since memory is
+	// scarce on the machines that run entries, and processor time is not.
+	gcPercent = 25
+	// defaultMegabytes is the assumed memory of the process if the settings name none.
+	defaultMegabytes = 256
+	// stopPollInterval is how often a stopping entry checks whether its last call ended.
+	stopPollInterval = 30 * timekeeper.Millisecond
+	// exitMargin is how long before the end of the stop grace period, when it would be
+	// killed, a stopping entry exits.
+	exitMargin = 300 * timekeeper.Millisecond
+	// acceptMargin is how long before its exit a stopping entry closes its listener: on
+	// a machine with an eighth of a core, requests stay unread for half a second.
+	acceptMargin = timekeeper.Second
 )
 
-// DirectEnvironment are what a process gets from where it runs.
+// DirectEnvironment holds the external dependencies of a Direct.
 type DirectEnvironment struct {
 	Log *logrus.Logger
-	// DroppedLines returns how many lines of the log were dropped.
+	// DroppedLines returns how many log lines were dropped.
 	DroppedLines func() int64
-	// ReloadSignals are signals that the settings have changed. A process must ask for
-	// them first of all: one that comes before ends it.
+	// ReloadSignals delivers the signals (SIGHUP) to read the settings again. A process
+	// must subscribe to them before anything else: an earlier one would end it.
 	ReloadSignals <-chan os.Signal
 }
 
-// Direct is an entry that sends requests to replicas itself, ready to run.
+// Direct is an entry that sends requests to replicas itself, without agents.
 type Direct struct {
 	settings loader.Direct
 	file     string
 	clock    timekeeper.Clock
 	log      logrus.FieldLogger
-	// logger is where the level of the log is set, dropped counts lines that did
-	// not get through.
-	logger  *logrus.Logger
-	dropped func() int64
-	hangUps <-chan os.Signal
-	scope   tally.Scope
-	metrics http.Handler
+	// logger is the logger whose level a reload sets.
+	logger        *logrus.Logger
+	droppedLines  func() int64
+	reloadSignals <-chan os.Signal
+	scope         tally.Scope
+	metrics       http.Handler
 
 	fleet    *balancer.Guarded
 	pool     *connector.Pool
-	front    *relayer.Entry
+	frontend *relayer.Entry
 	document atomic.Pointer[platform.Document]
-	// accepted is when the document came into force, for metrics.
-	accepted atomic.Int64
-	// reader is whether the entry read the store for all when that was last looked at.
-	reader    atomic.Bool
-	readiness readiness
-	fellows   *fellows
-	callers   *callers
+	// inForceSince is when the document came into force, for metrics.
+	inForceSince atomic.Int64
+	// wasReader is whether the entry was an active reader at the last report.
+	wasReader   atomic.Bool
+	readiness   readiness
+	peers       *peers
+	callerConns *callerConns
 
-	orders *follower.Follower[platform.Order]
-	// ordered are the evacuated data centres of the copy of the operator's table, under
-	// the lock of its follower.
-	ordered  []string
-	replicas *follower.Follower[balancer.Replica]
+	operatorTable *follower.Follower[platform.Order]
+	// evacuatedCentres are the evacuated data centres in the last copy of the operator's
+	// table. Its follower calls the methods that use the field under its own lock.
+	evacuatedCentres []string
+	replicas         *follower.Follower[balancer.Replica]
 
 	listeners directListeners
 	cleanups  []func()
 }
 
-// NewDirect returns an entry that listens, and a function that releases what it
-// holds. file is where its settings were read from; they are read again when
-// they change.
-func NewDirect(ctx context.Context, settings loader.Direct, file string, from DirectEnvironment) (*Direct, func(), error) {
-	direct := &Direct{settings: settings, file: file, clock: timekeeper.Steady(), logger: from.Log, dropped: from.DroppedLines, hangUps: from.ReloadSignals}
-	direct.log = from.Log.WithField("process", settings.Name)
-	direct.callers = newCallers(direct.clock, settings.Descriptors)
+// NewDirect returns a listening entry and a function that releases its resources. file
+// is the path of its settings file, which is read again when it changes.
+func NewDirect(ctx context.Context, settings loader.Direct, file string, env DirectEnvironment) (*Direct, func(), error) {
+	direct := &Direct{settings: settings, file: file, clock: timekeeper.Steady(), logger: env.Log, droppedLines: env.DroppedLines, reloadSignals: env.ReloadSignals}
+	direct.log = env.Log.WithField("process", settings.Name)
+	direct.callerConns = newCallerConns(direct.clock, settings.Descriptors)
 	limitMemory(settings)
 	var release func()
 	direct.scope, direct.metrics, release = measurer.New(settings.Name, direct.log)
@@ -130,28 +130,28 @@
 	direct.onRelease(release)
 	store, release := platform.NewStore(settings.Store, direct.log, direct.scope)
 	direct.onRelease(release)
-	direct.fellows, release = newFellows(direct, store, direct.listeners.datagrams)
+	direct.peers, release = newPeers(direct, store, direct.listeners.datagrams)
 	direct.onRelease(release)
-	direct.front = relayer.New(direct.frontSettings())
-	direct.follow(store)
+	direct.frontend = relayer.New(direct.frontendSettings())
+	direct.followStore(store)
 	direct.log.WithFields(logrus.Fields{
 		"data-centre": settings.DataCentre, "store": settings.Store,
-		"listen": addressOf(direct.listeners.front), "ready-listen": addressOf(direct.listeners.ready),
-		"metrics-listen": addressOf(direct.listeners.metrics), "peer-listen": addressOf(direct.listeners.peers),
+		"listen": addressOf(direct.listeners.frontend), "ready-listen": addressOf(direct.listeners.ready),
+		"metrics-listen": addressOf(direct.listeners.metrics), "peer-listen": addressOf(direct.listeners.peer),
 	}).Info("entry started")
 	return direct, direct.release, nil
 }
 
 // Address returns where callers reach the entry.
-func (direct *Direct) Address() string { return addressOf(direct.listeners.front) }
+func (direct *Direct) Address() string { return addressOf(direct.listeners.frontend) }
 
 func limitMemory(settings loader.Direct) {
 	megabytes := settings.Memory
 	if megabytes == 0 {
-		megabytes = defaultMemory
+		megabytes = defaultMegabytes
 	}
-	debug.SetMemoryLimit(int64(heapShare * float64(megabytes<<20)))
-	debug.SetGCPercent(collectPercent)
+	debug.SetMemoryLimit(int64(heapLimitShare * float64(megabytes<<20)))
+	debug.SetGCPercent(gcPercent)
 }
 
 func (direct *Direct) onRelease(cleanup func()) {
@@ -164,10 +164,10 @@
 	}
 }
 
-func (direct *Direct) frontSettings() relayer.Settings {
+func (direct *Direct) frontendSettings() relayer.Settings {
 	megabytes := direct.settings.Memory
 	if megabytes == 0 {
-		megabytes = defaultMemory
+		megabytes = defaultMegabytes
 	}
 	return relayer.Settings{
 		Clock: direct.clock, Log: direct.log, Scope: direct.scope, Fleet: direct.fleet, Pool: direct.pool,
@@ -175,26 +175,26 @@
 		Retries: relayer.Retries{
 			Window: direct.settings.Retry.Window, Ratio: direct.settings.Retry.Ratio, Extra: direct.settings.Retry.Extra,
 		},
-		Sharers:        func() int { return max(minSharers, sharersOfPeer*direct.fellows.readers()) },
-		Placed:         direct.fellows.gossiper.SendPlacement,
-		Unreachable:    direct.fellows.gossiper.SendUnreachable,
-		LeaveAnnounced: direct.fellows.gossiper.SendLeaveAnnounced,
+		Sharers:        func() int { return max(minRetryShares, retrySharesPerEntry*direct.peers.liveEntries()) },
+		Placed:         direct.peers.gossiper.SendPlacement,
+		Unreachable:    direct.peers.gossiper.SendUnreachable,
+		LeaveAnnounced: direct.peers.gossiper.SendLeaveAnnounced,
 		Struck: func(request uint64, replica string) {
-			direct.fellows.gossiper.SendStrike(gossiper.Strike{Request: request, Replica: replica})
+			direct.peers.gossiper.SendStrike(gossiper.Strike{Request: request, Replica: replica})
 		},
-		Crowded:    direct.callers.crowded,
-		BodyMemory: int64(bodyShare * float64(megabytes<<20)),
+		Crowded:    direct.callerConns.nearLimit,
+		BodyMemory: int64(bodyMemoryShare * float64(megabytes<<20)),
 		Seed:       newIncarnation(),
 	}
 }
 
 const (
-	// minSharers is among how many entries the fleet's retries are shared at
-	// least: it bounds what entries that peers don't see can spend.
-	minSharers = 8
-	// sharersOfPeer is how many parts each entry that is up counts for: one that
-	// restarts has spent its part, and takes it again.
-	sharersOfPeer = 2
+	// minRetryShares is the least number of shares into which the fleet's retry budget
+	// is divided: it bounds the retries of entries that don't see each other.
+	minRetryShares = 8
+	// retrySharesPerEntry is the number of shares for each live entry: an entry that
+	// restarts has spent its share and takes another.
+	retrySharesPerEntry = 2
 )
 
 // config returns the configuration in force, or nil while none is known.
@@ -205,35 +205,36 @@
 	return nil
 }
 
-// serving reports whether callers can be served.
+// serving reports whether the entry has a configuration and a list of replicas.
 func (direct *Direct) serving() bool {
 	return direct.config() != nil && direct.replicas.Synced()
 }
 
-// AddTo adds the entry's actors to a group. The front stops first: not ready at
-// once, closed after the delay, ended when its last call has.
+// AddTo adds the entry's actors to a group. The server for callers stops first: it
+// reports not ready at once, closes its listener after a delay, and ends after its
+// last call.
 func (direct *Direct) AddTo(group *run.Group) {
-	var order stages
-	front, rest := order.add(), order.add()
-	direct.addFront(front)
-	addLoop(rest, direct.orders.Run)
+	var stopOrder stages
+	frontend, rest := stopOrder.add(), stopOrder.add()
+	direct.addFrontend(frontend)
+	addLoop(rest, direct.operatorTable.Run)
 	addLoop(rest, direct.replicas.Run)
 	addLoop(rest, direct.sweep)
-	addLoop(rest, direct.front.Run)
-	addLoop(rest, direct.front.Measure)
+	addLoop(rest, direct.frontend.Run)
+	addLoop(rest, direct.frontend.Measure)
 	addLoop(rest, direct.watchSettings)
-	addLoop(rest, direct.fellows.register)
-	addLoop(rest, direct.fellows.gossiper.Run)
-	rest.Add(direct.fellows.gossiper.Receive, func(error) { _ = direct.listeners.datagrams.Close() })
-	addServer(rest, direct.listeners.peers, direct.fellows, 0)
-	addServer(rest, direct.listeners.ready, http.HandlerFunc(direct.answerReady), 0)
+	addLoop(rest, direct.peers.register)
+	addLoop(rest, direct.peers.gossiper.Run)
+	rest.Add(direct.peers.gossiper.Receive, func(error) { _ = direct.listeners.datagrams.Close() })
+	addServer(rest, direct.listeners.peer, direct.peers, 0)
+	addServer(rest, direct.listeners.ready, http.HandlerFunc(direct.serveReady), 0)
 	if direct.listeners.metrics != nil {
 		addServer(rest, direct.listeners.metrics, direct.metrics, 0)
 	}
-	order.addTo(group)
+	stopOrder.addTo(group)
 }
 
-func (direct *Direct) answerReady(w http.ResponseWriter, r *http.Request) {
+func (direct *Direct) serveReady(w http.ResponseWriter, r *http.Request) {
 	if !direct.serving() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -242,98 +243,100 @@
 }
 
 func (direct *Direct) sweep(ctx context.Context) {
-	span := func() timekeeper.Span { return sweepEvery }
+	span := func() timekeeper.Span { return sweepInterval }
 	direct.clock.Every(ctx, span, func(context.Context) {
 		direct.pool.Sweep()
-		direct.callers.sweep(direct.idleLimit())
-		direct.fellows.share()
-		direct.survey()
+		direct.callerConns.sweep(direct.maxCallerIdle())
+		direct.peers.updateColdSharing()
+		direct.reportStats()
 	})
 }
 
-// idleLimit returns how long a caller's connection may be idle.
-func (direct *Direct) idleLimit() timekeeper.Span {
+// maxCallerIdle returns how long a caller's connection may be idle; zero means that the
+// configuration sets no limit.
+func (direct *Direct) maxCallerIdle() timekeeper.Span {
 	if config := direct.config(); config != nil {
 		return config.Limits().IdleTime
 	}
 	return 0
 }
 
-// addFront adds the server that callers reach.
-func (direct *Direct) addFront(group *run.Group) {
-	server := direct.callerServer(direct.front)
-	front := direct.callerListener(direct.listeners.front)
+// addFrontend adds the server for callers.
+func (direct *Direct) addFrontend(group *run.Group) {
+	server := direct.callerServer(direct.frontend)
+	frontend := direct.callerListener(direct.listeners.frontend)
 	stopped := make(chan error, 1)
 	group.Add(func() error {
-		if err := server.Serve(front); !eris.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(frontend); !eris.Is(err, http.ErrServerClosed) {
 			return eris.Wrap(err, "serve")
 		}
 		return <-stopped
 	}, func(error) {
-		// Who sees that the entry is not ready must find that its answers ask callers
-		// to leave, so that comes first.
-		direct.front.CloseConnections()
+		// Answers must close their connections before the entry reports not ready, so
+		// this comes first.
+		direct.frontend.CloseConnections()
 		direct.readiness.leaving.Store(true)
-		direct.fellows.gossiper.AnnounceStop()
-		direct.log.WithField("active", direct.front.Active()).Info("entry stops: not ready, callers are asked to leave")
+		direct.peers.gossiper.AnnounceStop()
+		direct.log.WithField("active", direct.frontend.Active()).Info("entry stops: not ready, callers are asked to leave")
 		go func() { stopped <- direct.shutDown(server) }()
 	})
 }
 
-// callerServer returns the server that gives callers' requests to a handler.
+// callerServer returns the server that passes callers' requests to a handler.
 func (direct *Direct) callerServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler:           unlessClosed(handler, func() { direct.scope.Counter("requests-on-closed-connections").Inc(1) }),
-		ReadHeaderTimeout: headerPatience.Duration(), IdleTimeout: idlePatience.Duration(),
-		MaxHeaderBytes: mostHeader, ConnState: direct.callers.watch, ConnContext: withConn,
+		Handler:           serveUnlessClosed(handler, func() { direct.scope.Counter("requests-on-closed-connections").Inc(1) }),
+		ReadHeaderTimeout: callerHeaderTimeout.Duration(), IdleTimeout: callerIdleTimeout.Duration(),
+		MaxHeaderBytes: callerMaxHeaderBytes, ConnState: direct.callerConns.trackState, ConnContext: withConn,
 	}
 }
 
-// callerListener returns a listener as the server of callers needs it.
+// callerListener wraps a listener for the server for callers: it limits the number of
+// connections and returns them as callerConns.
 func (direct *Direct) callerListener(listener net.Listener) net.Listener {
 	return callerListener{
-		Listener: boundedListener{Listener: listener, callers: direct.callers}, stopping: &direct.readiness.leaving,
+		Listener: limitListener{Listener: listener, callerConns: direct.callerConns}, stopping: &direct.readiness.leaving,
 	}
 }
 
-// shutDown ends the server once nothing is under way, at the latest shortly
-// before the process would be killed.
+// shutDown ends the server once no request is in flight, at the latest shortly before
+// the process would be killed.
 //
-// The balancer looks once a second and stops sending callers after two looks;
-// where every entry stops at once it goes on sending them. So the door stays
-// open after the delay, for as long as there is work: requests that fit into
-// the time that is left are served, others are told to come back.
+// The platform's load balancer checks readiness once a second and stops sending callers
+// after two failed checks; if all entries stop at once, it goes on sending them. So the
+// listener stays open after the delay for as long as requests are in flight: requests
+// that fit into the remaining time are served, others are refused with Retry-After.
 //
-// The failure: a stream goes on to the end of the entry's time, and a caller's request
-// comes just before that. The symptom: the process ends with the request unread, so its
-// caller gets neither an answer nor a refusal. The door is closed, and idle connections
-// with it, while there is time to answer all that has come.
+// The listener and idle connections are closed while there is time to answer all
+// requests that have arrived. Otherwise, if a stream lasts until the entry's exit, a
+// request that arrives just before it stays unread, and its caller gets neither an
+// answer nor a refusal.
 func (direct *Direct) shutDown(server *http.Server) error {
-	ends := direct.clock.Now().Add(direct.settings.StopGrace - endMargin)
-	shuts := ends.Add(-lastTaken)
-	ctx, cancel := context.WithTimeout(context.Background(), (direct.settings.StopGrace - endMargin).Duration())
+	exitAt := direct.clock.Now().Add(direct.settings.StopGrace - exitMargin)
+	closeAt := exitAt.Add(-acceptMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), (direct.settings.StopGrace - exitMargin).Duration())
 	defer cancel()
-	left := make(chan struct{})
+	unregistered := make(chan struct{})
 	go func() {
-		defer close(left)
-		direct.fellows.leave(ctx)
+		defer close(unregistered)
+		direct.peers.unregister(ctx)
 	}()
 	_ = direct.clock.Sleep(ctx, direct.settings.StopDelay)
-	direct.front.Stop(ends)
-	for direct.front.Active() > 0 && direct.clock.Now() < shuts || knocking(direct.listeners.front) {
-		if direct.clock.Sleep(ctx, stopPoll) != nil {
+	direct.frontend.Stop(exitAt)
+	for direct.frontend.Active() > 0 && direct.clock.Now() < closeAt || hasPendingConnections(direct.listeners.frontend) {
+		if direct.clock.Sleep(ctx, stopPollInterval) != nil {
 			break
 		}
 	}
 	err := server.Shutdown(ctx)
-	// Connections on which a request had just come were left open; they get their answers.
-	for direct.callers.count() > 0 && direct.clock.Sleep(ctx, stopPoll) == nil {
+	// Close left connections open on which a request had just arrived; it is answered.
+	for direct.callerConns.count() > 0 && direct.clock.Sleep(ctx, stopPollInterval) == nil {
 		continue
 	}
 	select {
-	case <-left:
+	case <-unregistered:
 	case <-ctx.Done():
 	}
-	direct.log.WithField("cut", direct.front.Active()).WithField("whole", err == nil).Info("entry stopped")
+	direct.log.WithField("cut", direct.frontend.Active()).WithField("whole", err == nil).Info("entry stopped")
 	return nil
 }
--- a/internal/assembler/direct_callers.go
+++ b/internal/assembler/direct_callers.go
@@ -9,88 +9,88 @@
 )
 
 const (
-	// otherDescriptors are kept for files, the store, peers and metrics.
-	otherDescriptors = 300
-	// callerShare is the part of the descriptors left that callers' connections
-	// may take; the rest is for connections to replicas.
-	callerShare = 0.7
-	// easyShare is the part of the callers' connections from which idle ones are
-	// closed and callers are asked to leave after their answer.
-	easyShare = 0.6
-	// defaultDescriptors is assumed where the settings name none.
+	// reservedDescriptors are kept for files, the store, peers and metrics.
+	reservedDescriptors = 300
+	// callerConnShare is the share of the remaining descriptors that callers'
+	// connections may take; the rest is for connections to replicas.
+	callerConnShare = 0.7
+	// softLimitShare is the share of the callers' connections beyond which idle ones are
+	// closed and answers close their connections.
+	softLimitShare = 0.6
+	// defaultDescriptors is the assumed limit of the process if the settings name none.
 	defaultDescriptors = 1024
 )
 
-// callers are the connections of callers.
+// callerConns tracks and limits the open connections of callers.
 //
-// The load: many callers at once, each with a connection of its own that it
-// keeps. The harm: without descriptors no connection is taken, the server waits
-// up to a second before it tries again, and requests that were sent meanwhile are
-// read when their callers have left. The idle connections that were used longest
-// ago are closed first; beyond the limit a connection is closed at once, which
-// tells its caller that nothing was read.
-type callers struct {
+// With many callers that each keep a connection, the process can run out of
+// descriptors. Then Accept fails, the server waits up to a second before it tries
+// again, and requests sent meanwhile are read after their callers have given up. So the
+// least recently used idle connections are closed first, and beyond the limit a new
+// connection is closed at once, which shows its caller that nothing was read.
+type callerConns struct {
 	clock timekeeper.Clock
-	most  int
+	limit int
 
 	mu   sync.Mutex
 	open map[net.Conn]timekeeper.Instant
 	idle int
 }
 
-// busy marks a connection that is not idle.
+// busy is the value in callerConns.open for a connection that is not idle.
 const busy timekeeper.Instant = 0
 
-func newCallers(clock timekeeper.Clock, descriptors int) *callers {
+func newCallerConns(clock timekeeper.Clock, descriptors int) *callerConns {
 	if descriptors == 0 {
 		descriptors = defaultDescriptors
 	}
-	most := max(1, int(callerShare*float64(descriptors-otherDescriptors)))
-	return &callers{clock: clock, most: most, open: map[net.Conn]timekeeper.Instant{}}
+	limit := max(1, int(callerConnShare*float64(descriptors-reservedDescriptors)))
+	return &callerConns{clock: clock, limit: limit, open: map[net.Conn]timekeeper.Instant{}}
 }
 
-// watch is the hook of the server for each change of a connection's state.
-func (callers *callers) watch(conn net.Conn, state http.ConnState) {
-	now := callers.clock.Now()
-	callers.mu.Lock()
-	defer callers.mu.Unlock()
-	since, known := callers.open[conn]
+// trackState is the server's ConnState hook.
+func (callerConns *callerConns) trackState(conn net.Conn, state http.ConnState) {
+	now := callerConns.clock.Now()
+	callerConns.mu.Lock()
+	defer callerConns.mu.Unlock()
+	since, known := callerConns.open[conn]
 	if known && since != busy {
-		callers.idle--
+		callerConns.idle--
 	}
 	switch state {
 	case http.StateIdle:
-		callers.open[conn] = now
-		callers.idle++
+		callerConns.open[conn] = now
+		callerConns.idle++
 	case http.StateNew, http.StateActive:
-		callers.open[conn] = busy
+		callerConns.open[conn] = busy
 	case http.StateClosed, http.StateHijacked:
-		delete(callers.open, conn)
+		delete(callerConns.open, conn)
 		if caller, ok := conn.(*callerConn); ok && state == http.StateClosed {
-			caller.abandon()
+			caller.forceClose()
 		}
 	}
 }
 
-// crowded reports whether callers should leave after their answer.
-func (callers *callers) crowded() bool {
-	callers.mu.Lock()
-	defer callers.mu.Unlock()
-	return float64(len(callers.open)) > easyShare*float64(callers.most)
+// nearLimit reports whether there are more connections than the soft limit, so that
+// answers should close theirs.
+func (callerConns *callerConns) nearLimit() bool {
+	callerConns.mu.Lock()
+	defer callerConns.mu.Unlock()
+	return float64(len(callerConns.open)) > softLimitShare*float64(callerConns.limit)
 }
 
-// full reports whether another connection would be one too many.
-func (callers *callers) full() bool {
-	callers.mu.Lock()
-	defer callers.mu.Unlock()
-	return len(callers.open) >= callers.most
+// full reports whether another connection would exceed the limit.
+func (callerConns *callerConns) full() bool {
+	callerConns.mu.Lock()
+	defer callerConns.mu.Unlock()
+	return len(callerConns.open) >= callerConns.limit
 }
 
-// sweep closes connections that have been idle for longer than a span, and, when
-// there are many, those that have been idle longest. A span of zero means any.
-func (callers *callers) sweep(longest timekeeper.Span) {
-	now := callers.clock.Now()
-	for _, conn := range callers.closable(longest, now) {
+// sweep closes connections that have been idle for longer than maxIdle and, beyond the
+// soft limit, those that have been idle longest. A maxIdle of zero means no limit.
+func (callerConns *callerConns) sweep(maxIdle timekeeper.Span) {
+	now := callerConns.clock.Now()
+	for _, conn := range callerConns.closable(maxIdle, now) {
 		if caller, ok := conn.(*callerConn); ok {
 			_ = caller.closeIdle()
 			continue
@@ -100,57 +100,57 @@
 }
 
 // count returns how many connections are open.
-func (callers *callers) count() int {
-	callers.mu.Lock()
-	defer callers.mu.Unlock()
-	return len(callers.open)
+func (callerConns *callerConns) count() int {
+	callerConns.mu.Lock()
+	defer callerConns.mu.Unlock()
+	return len(callerConns.open)
 }
 
-func (callers *callers) closable(longest timekeeper.Span, now timekeeper.Instant) []net.Conn {
-	callers.mu.Lock()
-	defer callers.mu.Unlock()
-	over := len(callers.open) - int(easyShare*float64(callers.most))
-	limit := callers.limitOf(over)
+func (callerConns *callerConns) closable(maxIdle timekeeper.Span, now timekeeper.Instant) []net.Conn {
+	callerConns.mu.Lock()
+	defer callerConns.mu.Unlock()
+	excess := len(callerConns.open) - int(softLimitShare*float64(callerConns.limit))
+	cutoff := callerConns.idleCutoff(excess)
 	var out []net.Conn
-	for conn, since := range callers.open {
+	for conn, since := range callerConns.open {
 		if since == busy {
 			continue
 		}
-		tooLong := longest > 0 && now.Since(since) > longest
-		if tooLong || (over > 0 && since <= limit) {
+		tooLong := maxIdle > 0 && now.Since(since) > maxIdle
+		if tooLong || (excess > 0 && since <= cutoff) {
 			out = append(out, conn)
 		}
 	}
 	return out
 }
 
-// limitOf returns the instant such that about so many connections have been idle
-// since before it: idle times are taken to be spread evenly.
-func (callers *callers) limitOf(over int) timekeeper.Instant {
-	if over <= 0 || callers.idle == 0 {
+// idleCutoff returns the instant such that about excess connections have been idle since
+// before it. It assumes that idle times are spread evenly.
+func (callerConns *callerConns) idleCutoff(excess int) timekeeper.Instant {
+	if excess <= 0 || callerConns.idle == 0 {
 		return busy
 	}
 	first, last := timekeeper.Instant(1<<62), busy
-	for _, since := range callers.open {
+	for _, since := range callerConns.open {
 		if since != busy {
 			first, last = min(first, since), max(last, since)
 		}
 	}
-	share := min(1, float64(over)/float64(callers.idle))
+	share := min(1, float64(excess)/float64(callerConns.idle))
 	return first.Add(timekeeper.Span(share * float64(last.Since(first))))
 }
 
-// boundedListener takes connections while there is room for them.
-type boundedListener struct {
+// limitListener accepts connections up to the limit of callerConns.
+type limitListener struct {
 	net.Listener
-	callers *callers
+	callerConns *callerConns
 }
 
-// Accept returns the next connection; one that is too many is closed.
-func (listener boundedListener) Accept() (net.Conn, error) {
+// Accept returns the next connection. It closes connections beyond the limit.
+func (listener limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := listener.Listener.Accept()
-		if err != nil || !listener.callers.full() {
+		if err != nil || !listener.callerConns.full() {
 			return conn, err
 		}
 		_ = conn.Close()
--- a/internal/assembler/direct_callers_test.go
+++ b/internal/assembler/direct_callers_test.go
@@ -25,11 +25,11 @@
 	// Connections of callers pile up. The ones that have been idle for too long are
 	// closed, and when there are too many those that have been idle longest; one on
 	// which a request is on its way is never closed.
-	const descriptors = otherDescriptors + 100 // 70 for callers, crowded beyond 42
+	const descriptors = reservedDescriptors + 100 // 70 for callers, crowded beyond 42
 	tests := []struct {
 		name                    string
 		idle, active            int
-		crowded, full           bool
+		nearLimit, full         bool
 		closedShort, closedLong int
 	}{
 		{"few", 20, 10, false, false, 0, 20},
@@ -40,20 +40,20 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
-			callers := newCallers(clock.Clock(), descriptors)
+			callerConns := newCallerConns(clock.Clock(), descriptors)
 			var conns []*closingConn
 			for number := range test.idle + test.active {
 				conn := &closingConn{}
 				conns = append(conns, conn)
-				callers.watch(conn, http.StateNew)
-				callers.watch(conn, http.StateActive)
+				callerConns.trackState(conn, http.StateNew)
+				callerConns.trackState(conn, http.StateActive)
 				if number < test.idle {
-					callers.watch(conn, http.StateIdle)
+					callerConns.trackState(conn, http.StateIdle)
 					clock.Advance(10)
 				}
 			}
-			So(callers.crowded(), ShouldEqual, test.crowded)
-			So(callers.full(), ShouldEqual, test.full)
+			So(callerConns.nearLimit(), ShouldEqual, test.nearLimit)
+			So(callerConns.full(), ShouldEqual, test.full)
 			closed := func() int {
 				count := 0
 				for number, conn := range conns {
@@ -64,16 +64,16 @@
 				}
 				return count
 			}
-			callers.sweep(timekeeper.Minute)
+			callerConns.sweep(timekeeper.Minute)
 			So(closed(), ShouldAlmostEqual, test.closedShort, 2)
 			clock.Advance(2 * timekeeper.Minute)
-			callers.sweep(timekeeper.Minute)
+			callerConns.sweep(timekeeper.Minute)
 			So(closed(), ShouldEqual, test.closedLong)
 			for _, conn := range conns {
-				callers.watch(conn, http.StateClosed)
+				callerConns.trackState(conn, http.StateClosed)
 			}
-			So(callers.open, ShouldBeEmpty)
-			So(callers.idle, ShouldEqual, 0)
+			So(callerConns.open, ShouldBeEmpty)
+			So(callerConns.idle, ShouldEqual, 0)
 		})
 	}
 }
@@ -97,19 +97,19 @@
 	// All connections that callers may take are in use. The next one is closed at
 	// once, which tells its caller that nothing ran; when one ends, the next is
 	// taken.
-	callers := newCallers(timekeeper.NewManual(1).Clock(), otherDescriptors+3) // 2 for callers
+	callerConns := newCallerConns(timekeeper.NewManual(1).Clock(), reservedDescriptors+3) // 2 for callers
 	first, second := &closingConn{}, &closingConn{}
 	for _, conn := range []net.Conn{first, second} {
-		callers.watch(conn, http.StateNew)
-		callers.watch(conn, http.StateActive)
+		callerConns.trackState(conn, http.StateNew)
+		callerConns.trackState(conn, http.StateActive)
 	}
 	Convey("and one that has room is taken", t, func() {
 		tooMany, taken := &closingConn{}, &closingConn{}
-		listener := boundedListener{Listener: &offeredConns{conns: []net.Conn{tooMany}}, callers: callers}
+		listener := limitListener{Listener: &offeredConns{conns: []net.Conn{tooMany}}, callerConns: callerConns}
 		_, err := listener.Accept()
 		So(err, ShouldEqual, net.ErrClosed)
 		So(tooMany.closed, ShouldBeTrue)
-		callers.watch(first, http.StateClosed)
+		callerConns.trackState(first, http.StateClosed)
 		listener.Listener = &offeredConns{conns: []net.Conn{taken}}
 		conn, err := listener.Accept()
 		So(err, ShouldBeNil)
--- a/internal/assembler/direct_sharing_test.go
+++ b/internal/assembler/direct_cold_test.go
@@ -30,11 +30,11 @@
 }
 
 // warmSlowly puts a configuration in force by which engines bear few requests while cold.
-func warmSlowly(direct *Direct) {
+func limitColdRate(direct *Direct) {
 	config := router.New(router.Content{
 		Version: 1, Services: []router.Service{{Name: "planner", ColdTime: timekeeper.Minute, ColdRate: 12}},
 	})
-	direct.accept(platform.Document{Config: config}, "test")
+	direct.applyConfiguration(platform.Document{Config: config}, "test")
 }
 
 // used returns how many of the cold engines this entry sends requests to.
@@ -58,22 +58,22 @@
 	// against one that takes a peer which is silent for a while for gone.
 	direct, release := directOnLoopback(t)
 	defer release()
-	warmSlowly(direct)
+	limitColdRate(direct)
 	direct.enginesColdFor(timekeeper.Minute)
 	now := direct.clock.Now()
 	Convey("nobody, before the entry has known the others for a while", t, func() {
-		direct.fellows.share()
+		direct.peers.updateColdSharing()
 		So(direct.used(), ShouldEqual, 0)
-		direct.fellows.sharing.registered(now)
-		direct.fellows.share()
+		direct.peers.coldSharing.recordRegistered(now)
+		direct.peers.updateColdSharing()
 		So(direct.used(), ShouldEqual, 0)
-		So(direct.fellows.sharing.settled(now.Add(sharerPatience)), ShouldBeTrue)
+		So(direct.peers.coldSharing.complete(now.Add(coldSendDelay)), ShouldBeTrue)
 	})
 	Convey("then all that were heard or learnt of within a minute", t, func() {
-		direct.fellows.sharing.since.Store(int64(now.Add(-sharerPatience)))
-		direct.fellows.gossiper.AddPeer("127.0.0.1:7300")
+		direct.peers.coldSharing.since.Store(int64(now.Add(-coldSendDelay)))
+		direct.peers.gossiper.AddPeer("127.0.0.1:7300")
 		_ = direct.clock.Sleep(t.Context(), 1200)
-		direct.fellows.share()
+		direct.peers.updateColdSharing()
 		So(direct.used(), ShouldBeBetween, 1, engines)
 	})
 }
@@ -83,7 +83,7 @@
 	// turns cold without a start.
 	direct, release := directOnLoopback(t)
 	defer release()
-	warmSlowly(direct)
+	limitColdRate(direct)
 	direct.enginesColdFor(0)
 	key := balancer.Replica{ID: "i-0"}.Key()
 	cold := func() (count int) {
@@ -93,16 +93,16 @@
 	Convey("one that hears goes by it", t, func() {
 		So(cold(), ShouldEqual, 0)
 		notice := gossiper.ColdNotice{Replica: key, Until: direct.clock.Now().Add(timekeeper.Minute)}
-		direct.fellows.hear(gossiper.Digest{Address: "127.0.0.1:7300", Cold: []gossiper.ColdNotice{notice}})
+		direct.peers.applyDigest(gossiper.Digest{Address: "127.0.0.1:7300", Cold: []gossiper.ColdNotice{notice}})
 		So(cold(), ShouldEqual, 1)
 	})
 	Convey("one that reads tells", t, func() {
 		peer, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer func() { _ = peer.Close() }()
-		direct.fellows.gossiper.AddPeer(peer.LocalAddr().String())
+		direct.peers.gossiper.AddPeer(peer.LocalAddr().String())
 		direct.enginesColdFor(2 * timekeeper.Minute)
-		go direct.fellows.gossiper.Run(t.Context())
+		go direct.peers.gossiper.Run(t.Context())
 		So(peer.SetReadDeadline(timekeeper.In(10*timekeeper.Second)), ShouldBeNil)
 		buffer := make([]byte, 1<<16)
 		size, _, err := peer.ReadFrom(buffer)
--- a/internal/assembler/direct_evacuations.go
+++ b/internal/assembler/direct_evacuations.go
@@ -10,56 +10,60 @@
 )
 
 const (
-	// endNotice is how long digests say that no data centre is evacuated after one was:
-	// a peer that was cut off for longer asks for it by what it tells itself.
-	endNotice = 10 * timekeeper.Second
-	// correctionNotice is the same after a peer was heard to go by older evacuations.
-	correctionNotice = 3 * timekeeper.Second
+	// endPublishTime is how long after the last evacuation has ended digests carry the
+	// empty set. A peer that was cut off for longer still publishes the old set, which
+	// makes this entry publish again.
+	endPublishTime = 10 * timekeeper.Second
+	// correctionPublishTime is the same after a peer published an older set.
+	correctionPublishTime = 3 * timekeeper.Second
 )
 
-// notice is until when something is told. The zero value tells nothing.
-type notice struct{ until atomic.Int64 }
+// publishWindow holds the time until which digests carry some state. The zero value is
+// already over.
+type publishWindow struct{ until atomic.Int64 }
 
-func (notice *notice) extend(until timekeeper.Instant) {
-	if now := notice.until.Load(); int64(until) > now {
-		notice.until.CompareAndSwap(now, int64(until))
+func (publishWindow *publishWindow) extend(until timekeeper.Instant) {
+	if now := publishWindow.until.Load(); int64(until) > now {
+		publishWindow.until.CompareAndSwap(now, int64(until))
 	}
 }
 
-func (notice *notice) active(now timekeeper.Instant) bool {
-	return now < timekeeper.Instant(notice.until.Load())
+func (publishWindow *publishWindow) active(now timekeeper.Instant) bool {
+	return now < timekeeper.Instant(publishWindow.until.Load())
 }
 
-// evacuations returns what is in force here, and whether digests tell of it.
-func (fellows *fellows) evacuations() (current balancer.Evacuations, tell bool) {
-	fellows.direct.fleet.With(func(fleet *balancer.Fleet) { current = fleet.Evacuations() })
-	return current, len(current.Centres) > 0 || fellows.notice.active(fellows.direct.clock.Now())
+// evacuations returns the evacuations in force at this entry, and whether digests carry
+// them.
+func (peers *peers) evacuations() (current balancer.Evacuations, publish bool) {
+	peers.direct.fleet.With(func(fleet *balancer.Fleet) { current = fleet.Evacuations() })
+	return current, len(current.Centres) > 0 || peers.publishWindow.active(peers.direct.clock.Now())
 }
 
-// evacuate puts evacuations in force, unless newer ones are, and reports whether they are
-// of other data centres than before. What the entry has read itself it tells at once; what
-// it was told comes with its next digest.
-func (direct *Direct) evacuate(evacuations balancer.Evacuations, from string) bool {
+// applyEvacuations puts evacuations in force, unless newer ones are, and reports whether
+// the set of data centres has changed. The caller publishes at once what this entry has
+// read itself; what a peer sent goes out with the next digest.
+func (direct *Direct) applyEvacuations(evacuations balancer.Evacuations, from string) bool {
 	now := direct.clock.Now()
 	changed := false
 	direct.fleet.With(func(fleet *balancer.Fleet) { changed = fleet.Evacuate(evacuations, now) })
 	if !changed {
 		return false
 	}
-	direct.fellows.notice.extend(now.Add(endNotice))
+	direct.peers.publishWindow.extend(now.Add(endPublishTime))
 	direct.log.WithFields(logrus.Fields{
 		"version": evacuations.Version, "data-centres": evacuations.Centres, "from": from,
 	}).Info("evacuations in force")
 	return true
 }
 
-// hearEvacuations takes in those of a peer. One that goes by older ones is told.
-func (direct *Direct) hearEvacuations(told balancer.Evacuations, peer string) {
-	if direct.evacuate(told, "peer "+peer) {
+// applyPeerEvacuations applies the evacuations in a peer's digest. If they are older and
+// differ, it publishes those of this entry.
+func (direct *Direct) applyPeerEvacuations(received balancer.Evacuations, peer string) {
+	if direct.applyEvacuations(received, "peer "+peer) {
 		return
 	}
-	current, _ := direct.fellows.evacuations()
-	if told.Version < current.Version && !told.SameDataCentres(current) {
-		direct.fellows.notice.extend(direct.clock.Now().Add(correctionNotice))
+	current, _ := direct.peers.evacuations()
+	if received.Version < current.Version && !received.SameDataCentres(current) {
+		direct.peers.publishWindow.extend(direct.clock.Now().Add(correctionPublishTime))
 	}
 }
--- a/internal/assembler/direct_evacuations_test.go
+++ b/internal/assembler/direct_evacuations_test.go
@@ -23,14 +23,14 @@
 	store := emulator.NewStore(timekeeper.Steady())
 	direct, release := directBefore(t, store)
 	defer release()
-	direct.orders.Step(t.Context())
+	direct.operatorTable.Step(t.Context())
 	store.Evacuate("bole")
 	told := balancer.NewEvacuations(1, []string{"bole"})
-	direct.fellows.hear(gossiper.Digest{Address: "127.0.0.1:7300", Evacuations: &told})
+	direct.peers.applyDigest(gossiper.Digest{Address: "127.0.0.1:7300", Evacuations: &told})
 	Convey("it is open once the table has been read", t, func() {
 		So(direct.evacuated(), ShouldResemble, []string{"bole"})
 		store.TakeBack("bole")
-		direct.orders.Step(t.Context())
+		direct.operatorTable.Step(t.Context())
 		So(direct.evacuated(), ShouldBeEmpty)
 	})
 }
@@ -44,10 +44,10 @@
 	direct.clock = manual.Clock()
 	hear := func(version uint64, centres ...string) {
 		told := balancer.NewEvacuations(version, centres)
-		direct.fellows.hear(gossiper.Digest{Address: "127.0.0.1:7300", Evacuations: &told})
+		direct.peers.applyDigest(gossiper.Digest{Address: "127.0.0.1:7300", Evacuations: &told})
 	}
 	tells := func() bool {
-		_, telling := direct.fellows.evacuations()
+		_, telling := direct.peers.evacuations()
 		return telling
 	}
 	Convey("nothing is told while none is known", t, func() {
@@ -62,13 +62,13 @@
 			hear(6)
 			So(direct.evacuated(), ShouldBeEmpty)
 			So(tells(), ShouldBeTrue)
-			manual.Advance(endNotice)
+			manual.Advance(endPublishTime)
 			So(tells(), ShouldBeFalse)
 			Convey("and a peer that still goes by the older one is told", func() {
 				hear(5, "bole")
 				So(direct.evacuated(), ShouldBeEmpty)
 				So(tells(), ShouldBeTrue)
-				manual.Advance(correctionNotice)
+				manual.Advance(correctionPublishTime)
 				So(tells(), ShouldBeFalse)
 			})
 		})
--- a/internal/assembler/direct_leaves_test.go
+++ b/internal/assembler/direct_leaves_test.go
@@ -35,7 +35,7 @@
 	}
 	hear := func(heard gossiper.Digest) {
 		heard.Address = "127.0.0.1:7300"
-		direct.fellows.hear(heard)
+		direct.peers.applyDigest(heard)
 	}
 	Convey("a peer's word counts until the own list is as new", t, func() {
 		So(works(), ShouldEqual, 1)
--- a/internal/assembler/direct_listeners.go
+++ b/internal/assembler/direct_listeners.go
@@ -9,24 +9,24 @@
 	"github.com/trefoilseam/trefoilseam/internal/connector"
 )
 
-// directListeners are the sockets of the process.
+// directListeners are the listening sockets of a Direct.
 type directListeners struct {
-	front, ready, metrics, peers net.Listener
-	datagrams                    net.PacketConn
+	frontend, ready, metrics, peer net.Listener
+	datagrams                      net.PacketConn
 }
 
-// listen opens all sockets; what was opened is closed with the process.
+// listen opens all sockets and registers their release.
 func (direct *Direct) listen(ctx context.Context) error {
 	sockets := []struct {
 		address  string
 		listener *net.Listener
 	}{
-		{direct.settings.Listen, &direct.listeners.front},
+		{direct.settings.Listen, &direct.listeners.frontend},
 		{direct.settings.ReadyListen, &direct.listeners.ready},
 		{direct.settings.MetricsListen, &direct.listeners.metrics},
-		{direct.settings.PeerListen, &direct.listeners.peers},
+		{direct.settings.PeerListen, &direct.listeners.peer},
 	}
-	config := net.ListenConfig{Control: connector.Guard(callerSilence)}
+	config := net.ListenConfig{Control: connector.Guard(callerAckTimeout)}
 	for _, socket := range sockets {
 		if socket.address == "" {
 			continue
@@ -38,8 +38,8 @@
 		*socket.listener = listener
 		direct.onRelease(func() { _ = listener.Close() })
 	}
-	// Datagrams come at the same port as connections of peers.
-	address := direct.listeners.peers.Addr().String()
+	// Peers send datagrams to the same port to which they connect.
+	address := direct.listeners.peer.Addr().String()
 	datagrams, err := (&net.ListenConfig{}).ListenPacket(ctx, "udp", address)
 	if err != nil {
 		return eris.Wrapf(err, "listen at %s", address)
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// addressOf returns where a listener listens; "" when there is none.
+// addressOf returns the address of a listener, or "" if it is nil.
 func addressOf(listener net.Listener) string {
 	if listener == nil {
 		return ""
--- a/internal/assembler/direct_offers.go
+++ b/internal/assembler/direct_offers.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// fetchDelay leaves the store the time to bring a new version by itself, and a peer
-	// of the same data centre the time to offer it: bytes between data centres are paid.
+	// fetchDelay is the delay before an offered version is fetched. Meanwhile the store
+	// may deliver it, or a peer in the same data centre offer it: traffic between data
+	// centres costs money.
 	fetchDelay = 150 * timekeeper.Millisecond
-	// fetchSpread is within what time those who leave the reading to others fetch from
-	// a peer of their data centre.
-	fetchSpread = 80 * timekeeper.Millisecond
-	// fetchPatience bounds the fetch of a configuration from a peer.
-	fetchPatience = 800 * timekeeper.Millisecond
-	// offerPatience is how long after a newer version was first offered an entry that
+	// fetchJitter bounds the random delay after which entries that don't read the store
+	// fetch from a peer in their data centre.
+	fetchJitter = 80 * timekeeper.Millisecond
+	// fetchTimeout bounds the fetch of a configuration from a peer.
+	fetchTimeout = 800 * timekeeper.Millisecond
+	// offerTimeout is how long after a newer version was first offered an entry that
 	// still lacks it reads the store. A change must be in force within two seconds on
-	// the small sites.
-	offerPatience = 700 * timekeeper.Millisecond
-	// mostTransfers is how many peers an entry gives a copy at a time. The smallest
-	// machines have 20 Mbit/s: a configuration of 300 KB to sixteen peers at once takes
-	// two seconds for all of them, to three at a time a third of a second for the first,
-	// who can pass it on.
-	mostTransfers = 3
+	// small sites.
+	offerTimeout = 700 * timekeeper.Millisecond
+	// maxTransfers is how many copies an entry sends to peers at a time. The smallest
+	// machines have 20 Mbit/s: a configuration of 300 KB takes two seconds if sent to
+	// sixteen peers at once; sent to three at a time, it reaches the first three, which
+	// can pass it on, in a third of a second.
+	maxTransfers = 3
 )
 
-// offer is a peer that has a newer configuration.
+// offer is a newer configuration that a peer has.
 type offer struct {
-	address    string
-	version    uint64
-	sameCentre bool
+	address        string
+	version        uint64
+	sameDataCentre bool
 }
 
-// transfers counts the copies that are being given.
+// transfers limits the copies that are sent to peers at a time.
 type transfers struct{ active atomic.Int64 }
 
-// begin reports whether there is room for one more; if so it must be followed by end.
+// begin reports whether another transfer may start. If it returns true, end must follow.
 func (transfers *transfers) begin() bool {
-	if transfers.active.Add(1) > mostTransfers {
+	if transfers.active.Add(1) > maxTransfers {
 		transfers.active.Add(-1)
 		return false
 	}
@@ -51,60 +52,61 @@
 
 func (transfers *transfers) end() { transfers.active.Add(-1) }
 
-// offer notes a peer that has a newer configuration, and fetches it: the store may turn
-// this entry away, and in a large fleet most entries get each version so, from a peer of
-// their data centre where one has it.
-func (fellows *fellows) offer(from offer) {
+// offer records a newer configuration that a peer has, and starts to fetch it. In
+// a large fleet most entries get each version this way, if possible from a peer in their
+// data centre; it also works if the store rejects this entry.
+func (peers *peers) offer(received offer) {
 	delay := fetchDelay
-	if from.sameCentre && !fellows.reads() {
-		delay = timekeeper.Span(rand.Int64N(int64(fetchSpread)))
+	if received.sameDataCentre && !peers.isReader() {
+		delay = timekeeper.Span(rand.Int64N(int64(fetchJitter)))
 	}
-	version := fellows.direct.version()
-	fellows.mu.Lock()
-	defer fellows.mu.Unlock()
-	if fellows.wanted <= version {
-		fellows.wantedSince = fellows.direct.clock.Now()
+	version := peers.direct.version()
+	peers.mu.Lock()
+	defer peers.mu.Unlock()
+	if peers.newestOffered <= version {
+		peers.behindSince = peers.direct.clock.Now()
 	}
-	fellows.wanted = max(fellows.wanted, from.version)
-	if !fellows.fetching {
-		fellows.fetching, fellows.offered = true, from
-		go fellows.fetch(delay)
+	peers.newestOffered = max(peers.newestOffered, received.version)
+	if !peers.fetching {
+		peers.fetching, peers.fetchFrom = true, received
+		go peers.fetchOffered(delay)
 		return
 	}
-	if from.sameCentre && !fellows.offered.sameCentre {
-		fellows.offered = from
+	if received.sameDataCentre && !peers.fetchFrom.sameDataCentre {
+		peers.fetchFrom = received
 	}
 }
 
-// fetch fetches a newer configuration after a delay, if it has not come by then.
-func (fellows *fellows) fetch(delay timekeeper.Span) {
-	ctx, cancel := context.WithTimeout(context.Background(), (delay + fetchPatience).Duration())
+// fetchOffered fetches the offered configuration after a delay, unless the version in
+// force has changed by then.
+func (peers *peers) fetchOffered(delay timekeeper.Span) {
+	ctx, cancel := context.WithTimeout(context.Background(), (delay + fetchTimeout).Duration())
 	defer cancel()
-	before := fellows.direct.version()
-	_ = fellows.direct.clock.Sleep(ctx, delay)
-	fellows.mu.Lock()
-	from := fellows.offered
-	fellows.mu.Unlock()
-	if fellows.direct.version() == before {
-		document, err := fellows.get(ctx, from.address)
+	before := peers.direct.version()
+	_ = peers.direct.clock.Sleep(ctx, delay)
+	peers.mu.Lock()
+	from := peers.fetchFrom
+	peers.mu.Unlock()
+	if peers.direct.version() == before {
+		document, err := peers.fetchConfiguration(ctx, from.address)
 		if err == nil {
-			fellows.direct.accept(document, "peer "+from.address)
+			peers.direct.applyConfiguration(document, "peer "+from.address)
 		} else {
-			fellows.direct.log.WithFields(logrus.Fields{
+			peers.direct.log.WithFields(logrus.Fields{
 				"peer": from.address, labelCause: err.Error(),
 			}).Warn("configuration not fetched")
 		}
 	}
-	fellows.mu.Lock()
-	defer fellows.mu.Unlock()
-	fellows.fetching = false
+	peers.mu.Lock()
+	defer peers.mu.Unlock()
+	peers.fetching = false
 }
 
-// missing reports whether a newer configuration has been offered for so long that it
-// has to be read from the store.
-func (fellows *fellows) missing() bool {
-	version := fellows.direct.version()
-	fellows.mu.Lock()
-	defer fellows.mu.Unlock()
-	return version < fellows.wanted && fellows.direct.clock.Now().Since(fellows.wantedSince) > offerPatience
+// offerOverdue reports whether an offered configuration has been missing for so long that
+// this entry must read the store.
+func (peers *peers) offerOverdue() bool {
+	version := peers.direct.version()
+	peers.mu.Lock()
+	defer peers.mu.Unlock()
+	return version < peers.newestOffered && peers.direct.clock.Now().Since(peers.behindSince) > offerTimeout
 }
--- a/internal/assembler/direct_offers_test.go
+++ b/internal/assembler/direct_offers_test.go
@@ -24,11 +24,11 @@
 	defer release()
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	direct.clock = clock.Clock()
-	direct.fellows.turns.introduced = clock.Now().Add(timekeeper.Hour)
+	direct.peers.election.discoveryEnds = clock.Now().Add(timekeeper.Hour)
 	inForce := func(version int) {
 		document, err := platform.DecodeConfiguration(fmt.Appendf(nil, `{"version":%d}`, version))
 		So(err, ShouldBeNil)
-		direct.accept(document, "test")
+		direct.applyConfiguration(document, "test")
 	}
 	tests := []struct {
 		name string
@@ -40,8 +40,8 @@
 	}{
 		{"nothing is offered", 0, 0, 1, false},
 		{"a version is offered", 10, 2, 0, false},
-		{"a newer one is", offerPatience / 2, 3, 0, false},
-		{"the first has been lacking for long", offerPatience/2 + 1, 4, 0, true},
+		{"a newer one is", offerTimeout / 2, 3, 0, false},
+		{"the first has been lacking for long", offerTimeout/2 + 1, 4, 0, true},
 		{"it came, the newest did not", 0, 0, 3, true},
 		{"the newest came", 0, 0, 4, false},
 		{"another is offered", 10 * timekeeper.Second, 5, 0, false},
@@ -50,12 +50,12 @@
 		Convey(test.name, t, func() {
 			clock.Advance(test.after)
 			if test.offered > 0 {
-				direct.fellows.offer(offer{address: unreachable, version: uint64(test.offered)})
+				direct.peers.offer(offer{address: unreachable, version: uint64(test.offered)})
 			}
 			if test.accepted > 0 {
 				inForce(test.accepted)
 			}
-			So(direct.fellows.readsConfiguration(), ShouldEqual, test.reads)
+			So(direct.peers.readsConfiguration(), ShouldEqual, test.reads)
 		})
 	}
 }
@@ -68,19 +68,19 @@
 	defer release()
 	ask := func() int {
 		answer := httptest.NewRecorder()
-		direct.fellows.ServeHTTP(answer, httptest.NewRequestWithContext(t.Context(), http.MethodGet, pathConfiguration, http.NoBody))
+		direct.peers.ServeHTTP(answer, httptest.NewRequestWithContext(t.Context(), http.MethodGet, pathConfiguration, http.NoBody))
 		return answer.Code
 	}
 	Convey("and the next once one has ended", t, func() {
 		document, err := platform.DecodeConfiguration([]byte(`{"version":1}`))
 		So(err, ShouldBeNil)
-		direct.accept(document, "test")
+		direct.applyConfiguration(document, "test")
 		So(ask(), ShouldEqual, http.StatusOK)
-		for range mostTransfers {
-			So(direct.fellows.transfer.begin(), ShouldBeTrue)
+		for range maxTransfers {
+			So(direct.peers.transfer.begin(), ShouldBeTrue)
 		}
 		So(ask(), ShouldEqual, http.StatusServiceUnavailable)
-		direct.fellows.transfer.end()
+		direct.peers.transfer.end()
 		So(ask(), ShouldEqual, http.StatusOK)
 	})
 }
--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -21,74 +21,77 @@
 )
 
 const (
-	// pathConfiguration is where an entry gives its peers the configuration that
-	// it has in force, as the operator wrote it.
+	// pathConfiguration serves peers the configuration in force, as the operator wrote it.
 	pathConfiguration = "/v1/configuration"
-	// pathReplicas is where it gives them its list of replicas.
+	// pathReplicas serves peers the list of replicas.
 	pathReplicas = "/v1/replicas"
-	// fetchLimit bounds a configuration from a peer, in bytes.
-	fetchLimit = 16 << 20
-	// firstRegister and lastRegister bound the time between two tries to register.
-	firstRegister = 150 * timekeeper.Millisecond
-	lastRegister  = 3 * timekeeper.Second
+	// maxFetchBytes bounds a response from a peer.
+	maxFetchBytes = 16 << 20
+	// minRegisterBackoff and maxRegisterBackoff bound the time between two attempts to
+	// register.
+	minRegisterBackoff = 150 * timekeeper.Millisecond
+	maxRegisterBackoff = 3 * timekeeper.Second
 )
 
-// fellows are the other entries: what is heard of them, and what is fetched.
-type fellows struct {
+// peers exchanges digests with the other entries, fetches copies from them and serves
+// copies to them.
+type peers struct {
 	direct   *Direct
 	store    *platform.Store
 	gossiper *gossiper.Gossiper
 	client   *http.Client
 
-	turns    turns
-	sharing  sharing
-	transfer transfers
-	// notice is until when peers are told of evacuations that have ended.
-	notice notice
+	election    election
+	coldSharing coldSharing
+	transfer    transfers
+	// publishWindow is until when digests carry evacuations although none is in force.
+	publishWindow publishWindow
 
 	mu       sync.Mutex
 	fetching bool
-	// offered is the peer to fetch a newer configuration from, wanted the newest version
-	// that was offered, and wantedSince since when one that this entry lacks is known.
-	offered     offer
-	wanted      uint64
-	wantedSince timekeeper.Instant
-	// served are instants at which the store answered peers, in order.
-	served []timekeeper.Instant
+	// fetchFrom is the offer to fetch a newer configuration from, newestOffered the
+	// newest version that was offered, and behindSince when an offer first showed that
+	// this entry lacks a version.
+	fetchFrom     offer
+	newestOffered uint64
+	behindSince   timekeeper.Instant
+	// answerTimes are instants at which the store answered peers, in order.
+	answerTimes []timekeeper.Instant
 }
 
-// newFellows returns the side of the process that other entries see.
-func newFellows(direct *Direct, store *platform.Store, conn net.PacketConn) (*fellows, func()) {
-	dialer := &net.Dialer{Timeout: fetchPatience.Duration(), Control: connector.Guard(fetchPatience)}
+// newPeers returns the part of the process that talks to the other entries, and a
+// function that releases it.
+func newPeers(direct *Direct, store *platform.Store, conn net.PacketConn) (*peers, func()) {
+	dialer := &net.Dialer{Timeout: fetchTimeout.Duration(), Control: connector.Guard(fetchTimeout)}
 	transport := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
-	fellows := &fellows{direct: direct, store: store, client: &http.Client{Transport: transport}}
-	fellows.gossiper = gossiper.New(gossiper.Settings{
+	peers := &peers{direct: direct, store: store, client: &http.Client{Transport: transport}}
+	peers.gossiper = gossiper.New(gossiper.Settings{
 		Incarnation: newIncarnation(), DataCentre: direct.settings.DataCentre, Clock: direct.clock, Log: direct.log,
-		Scope: direct.scope, Conn: conn, InFlight: direct.held, Version: direct.version, OnDigest: fellows.hear,
+		Scope: direct.scope, Conn: conn, InFlight: direct.inFlight, Version: direct.version, OnDigest: peers.applyDigest,
 		StoreAnswered: direct.storeAnswered, StoreFailing: direct.storeFailing,
 		ListSummary: func() (follower.Summary, bool) { return direct.replicas.Summary() },
-		Evacuations: fellows.evacuations,
+		Evacuations: peers.evacuations,
 	})
-	return fellows, transport.CloseIdleConnections
+	return peers, transport.CloseIdleConnections
 }
 
-// readers returns how many entries read the store and tell each other.
-func (fellows *fellows) readers() int { return 1 + len(fellows.gossiper.LivePeers()) }
+// liveEntries returns the number of live entries, including this one.
+func (peers *peers) liveEntries() int { return 1 + len(peers.gossiper.LivePeers()) }
 
-// held returns what this entry has under way.
-func (direct *Direct) held() (held map[balancer.Key]balancer.InFlight) {
-	direct.fleet.With(func(fleet *balancer.Fleet) { held = fleet.InFlight() })
-	return held
+// inFlight returns this entry's requests in flight at each replica.
+func (direct *Direct) inFlight() (inFlight map[balancer.Key]balancer.InFlight) {
+	direct.fleet.With(func(fleet *balancer.Fleet) { inFlight = fleet.InFlight() })
+	return inFlight
 }
 
-// storeAnswered returns when the store answered last; zero means never.
+// storeAnswered returns when the store last answered this entry; zero means never.
 func (direct *Direct) storeAnswered() timekeeper.Instant {
-	return max(direct.replicas.LastAnswered(), direct.orders.LastAnswered())
+	return max(direct.replicas.LastAnswered(), direct.operatorTable.LastAnswered())
 }
 
-// storeFailing reports whether the store did not answer the last call.
+// storeFailing reports whether the store did not answer the last call of a follower.
 func (direct *Direct) storeFailing() bool {
-	return direct.replicas.Failing() || direct.orders.Failing()
+	return direct.replicas.Failing() || direct.operatorTable.Failing()
 }
 
 // version returns the version in force; zero means that none is known.
@@ -99,159 +102,163 @@
 	return 0
 }
 
-// register writes the entry's address into the store, then reads those of the
-// others: of two entries that start together at least one reads the other.
-func (fellows *fellows) register(ctx context.Context) {
-	pause := firstRegister
+// register writes the entry's address into the store, then reads the addresses of the
+// other entries, with retries. In this order, of two entries that start together at
+// least one reads the address of the other.
+func (peers *peers) register(ctx context.Context) {
+	backoff := minRegisterBackoff
 	for {
-		err := fellows.tryRegister(ctx)
+		err := peers.tryRegister(ctx)
 		if err == nil || ctx.Err() != nil {
 			break
 		}
-		fellows.direct.log.WithField(labelCause, err.Error()).Warn("entry not registered yet")
-		if fellows.direct.clock.Sleep(ctx, pause) != nil {
+		peers.direct.log.WithField(labelCause, err.Error()).Warn("entry not registered yet")
+		if peers.direct.clock.Sleep(ctx, backoff) != nil {
 			return
 		}
-		pause = min(2*pause, lastRegister)
+		backoff = min(2*backoff, maxRegisterBackoff)
 	}
-	// The end of an actor would end the process.
+	// An actor that returns ends the process.
 	<-ctx.Done()
 }
 
-func (fellows *fellows) tryRegister(ctx context.Context) error {
-	settings := fellows.direct.settings
-	if err := platform.Register(ctx, fellows.store, settings.Name, addressOf(fellows.direct.listeners.peers)); err != nil {
+func (peers *peers) tryRegister(ctx context.Context) error {
+	settings := peers.direct.settings
+	if err := platform.Register(ctx, peers.store, settings.Name, addressOf(peers.direct.listeners.peer)); err != nil {
 		return err
 	}
-	addresses, err := platform.Entries(ctx, fellows.store)
+	addresses, err := platform.Entries(ctx, peers.store)
 	if err != nil {
 		return err
 	}
 	for _, address := range addresses {
-		fellows.gossiper.AddPeer(address)
+		peers.gossiper.AddPeer(address)
 	}
-	fellows.turns.introduce(len(addresses), fellows.direct.clock.Now())
-	fellows.sharing.registered(fellows.direct.clock.Now())
-	fellows.direct.log.WithField("entries", len(addresses)).Info("entry registered")
+	peers.election.startDiscovery(len(addresses), peers.direct.clock.Now())
+	peers.coldSharing.recordRegistered(peers.direct.clock.Now())
+	peers.direct.log.WithField("entries", len(addresses)).Info("entry registered")
 	return nil
 }
 
-// leave takes the entry's address out of the store, while the last calls end: what it
-// waits for the store must not keep a stopping entry beyond its time.
-func (fellows *fellows) leave(ctx context.Context) {
-	if err := platform.Unregister(ctx, fellows.store, fellows.direct.settings.Name); err != nil {
-		fellows.direct.log.WithField(labelCause, err.Error()).Warn("entry's address stays in the store")
+// unregister removes the entry's address from the store. It runs while the last calls
+// end, so that waiting for the store does not delay the stop.
+func (peers *peers) unregister(ctx context.Context) {
+	if err := platform.Unregister(ctx, peers.store, peers.direct.settings.Name); err != nil {
+		peers.direct.log.WithField(labelCause, err.Error()).Warn("entry not unregistered, its address stays in the store")
 	}
 }
 
-// hear takes in what a peer tells.
-func (fellows *fellows) hear(heard gossiper.Digest) {
-	now := fellows.direct.clock.Now()
-	// Before the configuration that comes with it: an entry that knows one takes callers.
-	if heard.Evacuations != nil {
-		fellows.direct.hearEvacuations(*heard.Evacuations, heard.Address)
+// applyDigest applies a digest received from a peer.
+func (peers *peers) applyDigest(digest gossiper.Digest) {
+	now := peers.direct.clock.Now()
+	// Evacuations come before the configuration in the same digest: an entry serves
+	// callers as soon as it has a configuration.
+	if digest.Evacuations != nil {
+		peers.direct.applyPeerEvacuations(*digest.Evacuations, digest.Address)
 	}
-	fellows.direct.fleet.With(func(fleet *balancer.Fleet) {
-		fleet.SetPeerInFlight(heard.Address, heard.InFlight, heard.Lifetime, now)
-		for _, placed := range heard.Placements {
+	peers.direct.fleet.With(func(fleet *balancer.Fleet) {
+		fleet.SetPeerInFlight(digest.Address, digest.InFlight, digest.Lifetime, now)
+		for _, placed := range digest.Placements {
 			fleet.RecordCached(placed.Replica, placed.Parts, now)
 		}
-		for _, cold := range heard.Cold {
+		for _, cold := range digest.Cold {
 			fleet.MarkCold(cold.Replica, cold.Until)
 		}
-		for _, replica := range heard.Unreachable {
+		for _, replica := range digest.Unreachable {
 			fleet.MarkUnreachable(replica, now)
 		}
 	})
-	fellows.hearLeaves(heard, now)
-	for _, strike := range heard.Strikes {
-		fellows.direct.front.RecordStrike(strike.Request, strike.Replica)
+	peers.applyLeaves(digest, now)
+	for _, strike := range digest.Strikes {
+		peers.direct.frontend.RecordStrike(strike.Request, strike.Replica)
 	}
-	fellows.noteServed(heard.StoreAnswered)
-	for _, news := range heard.ListChanges {
-		fellows.direct.replicas.ApplyUpdate(news)
+	peers.recordPeerAnswered(digest.StoreAnswered)
+	for _, update := range digest.ListChanges {
+		peers.direct.replicas.ApplyUpdate(update)
 	}
-	if heard.ListSummary != nil {
-		fellows.turns.noteReader(heard.Address)
-		fellows.direct.replicas.Compare(*heard.ListSummary)
+	if digest.ListSummary != nil {
+		peers.election.recordReader(digest.Address)
+		peers.direct.replicas.Compare(*digest.ListSummary)
 	}
-	if heard.Configuration > fellows.direct.version() {
-		fellows.offer(offer{address: heard.Address, version: heard.Configuration, sameCentre: heard.SameDataCentre})
+	if digest.Configuration > peers.direct.version() {
+		peers.offer(offer{address: digest.Address, version: digest.Configuration, sameDataCentre: digest.SameDataCentre})
 	}
 }
 
-// hearLeaves takes in which replicas leave, as a peer has read or was told by themselves.
-func (fellows *fellows) hearLeaves(heard gossiper.Digest, now timekeeper.Instant) {
+// applyLeaves marks the replicas that leave, as a peer read in the list of replicas or as
+// the replicas announced to the peer.
+func (peers *peers) applyLeaves(digest gossiper.Digest, now timekeeper.Instant) {
 	var leaves []gossiper.Leave
 	var announced []string
-	fellows.direct.fleet.With(func(fleet *balancer.Fleet) {
-		for _, leave := range heard.Leaves {
+	peers.direct.fleet.With(func(fleet *balancer.Fleet) {
+		for _, leave := range digest.Leaves {
 			if fleet.MarkLeaving(leave.Replica, leave.Version) {
 				leaves = append(leaves, leave)
 			}
 		}
-		for _, incarnation := range heard.LeaveAnnounced {
+		for _, incarnation := range digest.LeaveAnnounced {
 			if fleet.AnnounceLeave(incarnation, now) {
 				announced = append(announced, incarnation)
 			}
 		}
 	})
 	for _, leave := range leaves {
-		fellows.direct.log.WithFields(logrus.Fields{
-			labelReplica: leave.Replica, "version": leave.Version, "peer": heard.Address,
+		peers.direct.log.WithFields(logrus.Fields{
+			labelReplica: leave.Replica, "version": leave.Version, "peer": digest.Address,
 		}).Info("replica leaves, as a peer saw")
 	}
 	for _, incarnation := range announced {
-		fellows.direct.log.WithFields(logrus.Fields{
-			labelReplica: balancer.IDOf(incarnation), "incarnation": incarnation, "peer": heard.Address,
+		peers.direct.log.WithFields(logrus.Fields{
+			labelReplica: balancer.IDOf(incarnation), "incarnation": incarnation, "peer": digest.Address,
 		}).Info("replica leaves, as it told a peer")
 	}
 }
 
 const (
-	// servedStep and mostServed bound what is remembered of the store's answers to
-	// peers: a minute of it.
-	servedStep = 250 * timekeeper.Millisecond
-	mostServed = 240
+	// answerSpacing is the least time between two remembered answers of the store to
+	// peers, maxAnswerTimes their number: together at least a minute.
+	answerSpacing  = 250 * timekeeper.Millisecond
+	maxAnswerTimes = 240
 )
 
-// noteServed notes when the store answered a peer.
-func (fellows *fellows) noteServed(at timekeeper.Instant) {
-	fellows.mu.Lock()
-	defer fellows.mu.Unlock()
-	if count := len(fellows.served); count > 0 && at < fellows.served[count-1].Add(servedStep) {
+// recordPeerAnswered records when the store answered a peer.
+func (peers *peers) recordPeerAnswered(at timekeeper.Instant) {
+	peers.mu.Lock()
+	defer peers.mu.Unlock()
+	if count := len(peers.answerTimes); count > 0 && at < peers.answerTimes[count-1].Add(answerSpacing) {
 		return
 	}
-	fellows.served = append(fellows.served, at)
-	if len(fellows.served) > mostServed {
-		fellows.served = fellows.served[1:]
+	peers.answerTimes = append(peers.answerTimes, at)
+	if len(peers.answerTimes) > maxAnswerTimes {
+		peers.answerTimes = peers.answerTimes[1:]
 	}
 }
 
-// othersServed returns since when the store has served peers, after an instant at which
-// it stopped answering this entry; zero means that it does not. See follower.ServedSince.
-func (fellows *fellows) othersServed(from timekeeper.Instant) timekeeper.Instant {
-	now := fellows.direct.clock.Now()
-	fellows.mu.Lock()
-	defer fellows.mu.Unlock()
-	return follower.ServedSince(fellows.served, from, now)
+// servedSince returns since when the store has answered peers without a gap, after
+// an instant at which it stopped answering this entry; zero means that it does not answer
+// them. See follower.ServedSince.
+func (peers *peers) servedSince(from timekeeper.Instant) timekeeper.Instant {
+	now := peers.direct.clock.Now()
+	peers.mu.Lock()
+	defer peers.mu.Unlock()
+	return follower.ServedSince(peers.answerTimes, from, now)
 }
 
-func (fellows *fellows) get(ctx context.Context, address string) (platform.Document, error) {
-	raw, err := fellows.read(ctx, address, pathConfiguration)
+func (peers *peers) fetchConfiguration(ctx context.Context, address string) (platform.Document, error) {
+	raw, err := peers.fetch(ctx, address, pathConfiguration)
 	if err != nil {
 		return platform.Document{}, err
 	}
 	return platform.DecodeConfiguration(raw)
 }
 
-// read asks a peer for something.
-func (fellows *fellows) read(ctx context.Context, address, path string) ([]byte, error) {
+// fetch returns what a peer serves at a path.
+func (peers *peers) fetch(ctx context.Context, address, path string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, http.NoBody)
 	if err != nil {
 		return nil, err
 	}
-	response, err := fellows.client.Do(request)
+	response, err := peers.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
@@ -259,29 +266,30 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, eris.Errorf("status %d", response.StatusCode)
 	}
-	return io.ReadAll(io.LimitReader(response.Body, fetchLimit))
+	return io.ReadAll(io.LimitReader(response.Body, maxFetchBytes))
 }
 
-// errNoCopy means that no peer has a list of replicas.
-var errNoCopy = eris.New("no peer has a list of replicas")
+// errNoReplicaList is returned if no peer has a list of replicas.
+var errNoReplicaList = eris.New("no peer has a list of replicas")
 
-// copyReplicas asks peers for their list of replicas, until one has it.
-func (fellows *fellows) copyReplicas(ctx context.Context) ([]follower.Change[balancer.Replica], follower.Version, error) {
-	ctx, cancel := context.WithTimeout(ctx, fetchPatience.Duration())
+// fetchReplicaList asks one peer after the other for its list of replicas, first the
+// reader that sent a list summary last, and returns the first list that it gets.
+func (peers *peers) fetchReplicaList(ctx context.Context) ([]follower.Change[balancer.Replica], follower.Version, error) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout.Duration())
 	defer cancel()
-	peers := fellows.gossiper.LivePeers()
-	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	if reader := fellows.turns.reader(); slices.Contains(peers, reader) {
-		peers = slices.Insert(peers, 0, reader)
+	addresses := peers.gossiper.LivePeers()
+	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	if lastReader := peers.election.lastReader(); slices.Contains(addresses, lastReader) {
+		addresses = slices.Insert(addresses, 0, lastReader)
 	}
-	for _, peer := range peers {
-		raw, err := fellows.read(ctx, peer, pathReplicas)
+	for _, peer := range addresses {
+		raw, err := peers.fetch(ctx, peer, pathReplicas)
 		if err != nil {
 			continue
 		}
-		list, err := gossiper.DecodeReplicas(raw, fellows.direct.clock.Now())
+		list, err := gossiper.DecodeReplicas(raw, peers.direct.clock.Now())
 		if err != nil {
-			fellows.direct.log.WithFields(logrus.Fields{"peer": peer, labelCause: err.Error()}).Warn("list of replicas can't be read")
+			peers.direct.log.WithFields(logrus.Fields{"peer": peer, labelCause: err.Error()}).Warn("list of replicas of a peer can't be decoded")
 			continue
 		}
 		rows := make([]follower.Change[balancer.Replica], len(list.Replicas))
@@ -290,12 +298,12 @@
 		}
 		return rows, follower.Version(list.Version), nil
 	}
-	return nil, 0, errNoCopy
+	return nil, 0, errNoReplicaList
 }
 
-// encoded returns the list of replicas for a peer, or nil if there is none.
-func (fellows *fellows) encoded() []byte {
-	rows, version, known := fellows.direct.replicas.Rows()
+// encodeReplicaList returns the list of replicas for a peer, or nil if there is none.
+func (peers *peers) encodeReplicaList() []byte {
+	rows, version, known := peers.direct.replicas.Rows()
 	if !known {
 		return nil
 	}
@@ -304,29 +312,30 @@
 		list.Replicas = append(list.Replicas, row.Value)
 		list.Lapses[row.Key] = row.Lapses
 	}
-	text, err := list.Encode(fellows.direct.clock.Now())
+	text, err := list.Encode(peers.direct.clock.Now())
 	if err != nil {
-		fellows.direct.log.WithField(labelCause, err.Error()).Error("list of replicas can't be written")
+		peers.direct.log.WithField(labelCause, err.Error()).Error("list of replicas can't be encoded")
 		return nil
 	}
 	return text
 }
 
-// ServeHTTP gives a peer the configuration in force, or the list of replicas.
-func (fellows *fellows) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !fellows.transfer.begin() {
+// ServeHTTP sends a peer the configuration in force or the list of replicas. It answers
+// 503 while maxTransfers other copies are being sent.
+func (peers *peers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if !peers.transfer.begin() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer fellows.transfer.end()
+	defer peers.transfer.end()
 	var text []byte
 	switch r.URL.Path {
 	case pathConfiguration:
-		if document := fellows.direct.document.Load(); document != nil {
+		if document := peers.direct.document.Load(); document != nil {
 			text = document.Raw
 		}
 	case pathReplicas:
-		text = fellows.encoded()
+		text = peers.encodeReplicaList()
 	}
 	if text == nil {
 		w.WriteHeader(http.StatusNotFound)
--- a/internal/assembler/direct_readers.go
+++ b/internal/assembler/direct_readers.go
@@ -10,113 +10,120 @@
 )
 
 const (
-	// near is within what time a peer must have been heard of to share the reading of
-	// the store: digests come a second apart at the slowest. A replica that leaves may
-	// get work for two seconds more, so an entry that is cut off from its peers has to
-	// read for itself before that.
-	near = 1200 * timekeeper.Millisecond
-	// electEvery is for how long a choice of readers holds: it is asked for more often
-	// than views change.
-	electEvery = 100 * timekeeper.Millisecond
-	// introduction is how long an entry that found others in the store waits to hear of
-	// them before it reads a second time: their digests come within a second. A hundred
-	// that start together would each make calls that one of them can make for all.
-	introduction = timekeeper.Second
+	// memberTimeout is how long after its last digest a peer counts as a member in the
+	// reader election: digests come at most a second apart. A leaving replica may get
+	// work for two more seconds, so an entry that is cut off from its peers must read
+	// the store itself before that.
+	memberTimeout = 1200 * timekeeper.Millisecond
+	// electInterval is how long the result of an election is reused: it is needed more
+	// often than views change.
+	electInterval = 100 * timekeeper.Millisecond
+	// discoveryTime is how long a new entry that found many others registered waits for
+	// their digests, which come within a second, before it reads the store again. Otherwise
+	// each of a hundred entries that start together would make calls that one of them can
+	// make for all.
+	discoveryTime = timekeeper.Second
 )
 
-// turns are who reads the store, as this entry sees it. The zero value is ready to use.
-type turns struct {
-	mu      sync.Mutex
-	chosen  timekeeper.Instant
-	members int
-	readers []elector.Member
-	failing bool
-	// introduced is until when the entry waits to hear of others.
-	introduced timekeeper.Instant
-	// last is the reader that told last.
-	last string
+// election holds which entries read the store for all, as this entry sees it. The zero
+// value is ready to use.
+type election struct {
+	mu        sync.Mutex
+	electedAt timekeeper.Instant
+	// members is the number of entries in the election.
+	members     int
+	readers     []elector.Member
+	peerFailing bool
+	// discoveryEnds is until when the entry waits for digests of others.
+	discoveryEnds timekeeper.Instant
+	// latest is the address of the reader that sent a list summary last.
+	latest string
 }
 
-// noteReader notes a peer that has told of its reading.
-func (turns *turns) noteReader(address string) {
-	turns.mu.Lock()
-	defer turns.mu.Unlock()
-	turns.last = address
+// recordReader records a peer that has sent a list summary.
+func (election *election) recordReader(address string) {
+	election.mu.Lock()
+	defer election.mu.Unlock()
+	election.latest = address
 }
 
-// introduce notes how many entries the store knows, this one among them.
-func (turns *turns) introduce(entries int, now timekeeper.Instant) {
-	turns.mu.Lock()
-	defer turns.mu.Unlock()
+// startDiscovery makes the entry wait for digests of others, if more entries than
+// storeReaders are registered, this one included.
+func (election *election) startDiscovery(entries int, now timekeeper.Instant) {
+	election.mu.Lock()
+	defer election.mu.Unlock()
 	if entries > storeReaders {
-		turns.introduced = now.Add(introduction)
+		election.discoveryEnds = now.Add(discoveryTime)
 	}
 }
 
-// reader returns the peer that told of its reading last; "" means that none has.
-func (turns *turns) reader() string {
-	turns.mu.Lock()
-	defer turns.mu.Unlock()
-	return turns.last
+// lastReader returns the peer that sent a list summary last, or "" if none has.
+func (election *election) lastReader() string {
+	election.mu.Lock()
+	defer election.mu.Unlock()
+	return election.latest
 }
 
-// elect brings the choice of readers up to date and calls look with it. Lock order: the
-// lock of turns comes before the gossiper's and a follower's, which call here without
-// theirs.
-func (fellows *fellows) elect(look func(turns *turns)) {
-	now := fellows.direct.clock.Now()
-	fellows.turns.mu.Lock()
-	defer fellows.turns.mu.Unlock()
-	if turns := &fellows.turns; turns.chosen == 0 || now.Since(turns.chosen) >= electEvery {
-		others := fellows.gossiper.RecentMembers(near)
-		turns.failing = slices.ContainsFunc(others, func(other elector.Member) bool { return other.Failing })
-		members := slices.Concat(others, []elector.Member{fellows.own()})
-		turns.chosen, turns.members = now, len(members)
-		turns.readers = elector.Readers(members, storeReaders)
+// elect repeats the election if its result is too old, and calls use with it. Lock
+// order: the election's lock is taken before the gossiper's and the followers'; they call
+// this code without holding theirs.
+func (peers *peers) elect(use func(election *election)) {
+	now := peers.direct.clock.Now()
+	peers.election.mu.Lock()
+	defer peers.election.mu.Unlock()
+	if election := &peers.election; election.electedAt == 0 || now.Since(election.electedAt) >= electInterval {
+		others := peers.gossiper.RecentMembers(memberTimeout)
+		election.peerFailing = slices.ContainsFunc(others, func(other elector.Member) bool { return other.Failing })
+		members := slices.Concat(others, []elector.Member{peers.selfMember()})
+		election.electedAt, election.members = now, len(members)
+		election.readers = elector.Readers(members, storeReaders)
 	}
-	look(&fellows.turns)
+	use(&peers.election)
 }
 
-// own returns this entry as a member.
-func (fellows *fellows) own() elector.Member {
-	direct := fellows.direct
+// selfMember returns this entry as a member of the election.
+func (peers *peers) selfMember() elector.Member {
+	direct := peers.direct
 	return elector.Member{
-		Address: addressOf(direct.listeners.peers), DataCentre: gossiper.DataCentreKey(direct.settings.DataCentre),
+		Address: addressOf(direct.listeners.peer), DataCentre: gossiper.DataCentreKey(direct.settings.DataCentre),
 		Failing: direct.storeFailing(), Stopping: direct.readiness.leaving.Load(),
 	}
 }
 
-// sharers returns how many entries share what is read of the store right now.
-func (fellows *fellows) sharers() (count int) {
-	fellows.elect(func(turns *turns) { count = turns.members })
+// recentEntries returns the number of members of the election, including this entry.
+func (peers *peers) recentEntries() (count int) {
+	peers.elect(func(election *election) { count = election.members })
 	return count
 }
 
-// takingTurns returns how many readers take turns: few entries each read as if alone.
-func (fellows *fellows) takingTurns() (count int) {
-	fellows.elect(func(turns *turns) {
+// activeReaders returns how many readers share the reads of the store. It is 1 if there
+// are no more than storeReaders entries: each then reads as often as a single one would.
+func (peers *peers) activeReaders() (count int) {
+	peers.elect(func(election *election) {
 		count = 1
-		if turns.members > storeReaders {
-			count = max(1, len(turns.readers))
+		if election.members > storeReaders {
+			count = max(1, len(election.readers))
 		}
 	})
 	return count
 }
 
-// reads reports whether this entry reads the store for all.
-func (fellows *fellows) reads() (reads bool) {
-	own := addressOf(fellows.direct.listeners.peers)
-	now := fellows.direct.clock.Now()
-	fellows.elect(func(turns *turns) { reads = now >= turns.introduced && elector.Has(turns.readers, own) })
-	return reads
+// isReader reports whether this entry reads the store for all.
+func (peers *peers) isReader() (isReader bool) {
+	own := addressOf(peers.direct.listeners.peer)
+	now := peers.direct.clock.Now()
+	peers.elect(func(election *election) {
+		isReader = now >= election.discoveryEnds && elector.Has(election.readers, own)
+	})
+	return isReader
 }
 
-// doubted reports whether another entry finds the store failing.
-func (fellows *fellows) doubted() (failing bool) {
-	fellows.elect(func(turns *turns) { failing = turns.failing })
-	return failing
+// failingElsewhere reports whether the store fails for another entry.
+func (peers *peers) failingElsewhere() (peerFailing bool) {
+	peers.elect(func(election *election) { peerFailing = election.peerFailing })
+	return peerFailing
 }
 
-// readsConfiguration reports whether this entry reads the operator's table: for all, or
-// because it could not get from a peer what is in force there.
-func (fellows *fellows) readsConfiguration() bool { return fellows.reads() || fellows.missing() }
+// readsConfiguration reports whether this entry reads the operator's table: as a reader,
+// or because it could not fetch an offered version from a peer.
+func (peers *peers) readsConfiguration() bool { return peers.isReader() || peers.offerOverdue() }
--- a/internal/assembler/direct_readers_test.go
+++ b/internal/assembler/direct_readers_test.go
@@ -23,10 +23,10 @@
 			defer release()
 			clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 			direct.clock = clock.Clock()
-			direct.fellows.turns.introduce(test.entries, clock.Now())
-			So(direct.fellows.reads(), ShouldEqual, test.reads)
-			clock.Advance(introduction)
-			So(direct.fellows.reads(), ShouldBeTrue)
+			direct.peers.election.startDiscovery(test.entries, clock.Now())
+			So(direct.peers.isReader(), ShouldEqual, test.reads)
+			clock.Advance(discoveryTime)
+			So(direct.peers.isReader(), ShouldBeTrue)
 		})
 	}
 }
--- a/internal/assembler/direct_served_test.go
+++ b/internal/assembler/direct_served_test.go
@@ -36,13 +36,13 @@
 			direct.clock = clock.Clock()
 			clock.Advance(test.now)
 			for _, after := range test.served {
-				direct.fellows.noteServed(start.Add(after))
+				direct.peers.recordPeerAnswered(start.Add(after))
 			}
 			want := timekeeper.Instant(0)
 			if test.want != 0 {
 				want = start.Add(test.want)
 			}
-			So(direct.fellows.othersServed(start), ShouldEqual, want)
+			So(direct.peers.servedSince(start), ShouldEqual, want)
 		})
 	}
 }
--- a/internal/assembler/direct_settings.go
+++ b/internal/assembler/direct_settings.go
@@ -13,26 +13,25 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// settingsEvery is how often the settings file is looked at, since it may change
+// settingsPollInterval is how often the settings file is checked, since it may change
 // without a signal.
-const settingsEvery = 2 * timekeeper.Second
+const settingsPollInterval = 2 * timekeeper.Second
 
-// watchSettings reads the settings again when a signal says so, and when the
-// file has changed without one.
+// watchSettings reads the settings again on a signal, and when the file has changed.
 func (direct *Direct) watchSettings(ctx context.Context) {
-	written := modified(direct.file)
+	lastModified := modifiedAt(direct.file)
 	for {
-		fired, release := direct.clock.After(settingsEvery)
+		fired, release := direct.clock.After(settingsPollInterval)
 		select {
 		case <-ctx.Done():
 			release()
 			return
-		case <-direct.hangUps:
-			written = modified(direct.file)
+		case <-direct.reloadSignals:
+			lastModified = modifiedAt(direct.file)
 			direct.reload("signal")
 		case <-fired:
-			if now := modified(direct.file); !now.Equal(written) {
-				written = now
+			if now := modifiedAt(direct.file); !now.Equal(lastModified) {
+				lastModified = now
 				direct.reload("file changed")
 			}
 		}
@@ -40,7 +39,7 @@
 	}
 }
 
-func modified(file string) time.Time {
+func modifiedAt(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -48,25 +47,25 @@
 	return info.ModTime()
 }
 
-// reload takes in what can change while the process runs. A file with faults
-// changes nothing.
-func (direct *Direct) reload(why string) {
-	fresh, faults := loader.ReadDirect(direct.file)
-	log := direct.log.WithField("reason", why)
+// reload reads the settings file and applies the log level, the only setting that can
+// change while the process runs. A file with faults changes nothing.
+func (direct *Direct) reload(reason string) {
+	updated, faults := loader.ReadDirect(direct.file)
+	log := direct.log.WithField("reason", reason)
 	if len(faults) > 0 {
 		log.WithField("faults", faults.Error()).Error("settings not taken in")
 		return
 	}
-	fixed := fresh
-	fixed.LogLevel = direct.settings.LogLevel
-	// Before the level changes, which may be to one that leaves this line out.
-	log.WithField("needs-restart", fixed != direct.settings).Info("settings read again")
-	if level, err := logrus.ParseLevel(fresh.LogLevel); err == nil {
+	withCurrentLevel := updated
+	withCurrentLevel.LogLevel = direct.settings.LogLevel
+	// Log before the level changes: the new level may suppress this line.
+	log.WithField("needs-restart", withCurrentLevel != direct.settings).Info("settings read again")
+	if level, err := logrus.ParseLevel(updated.LogLevel); err == nil {
 		direct.logger.SetLevel(level)
 	}
 }
 
-// engineOf returns what the configuration says of engines as decisions use it.
+// engineOf converts a configured engine to the balancer's units.
 func engineOf(engine router.Engine) balancer.Engine {
 	const bytesPerMillisecond = 1e6 / 8 / 1000
 	return balancer.Engine{
--- a/internal/assembler/direct_survey.go
+++ b/internal/assembler/direct_stats.go
@@ -8,9 +8,9 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// survey writes what the entry believes into gauges. It is called once a second:
-// what changes faster is counted where it happens.
-func (direct *Direct) survey() {
+// reportStats writes the state of the entry into gauges. It is called once a second;
+// values that change faster are counted where they change.
+func (direct *Direct) reportStats() {
 	now := direct.clock.Now()
 	var services []balancer.ServiceStats
 	var transitions []balancer.Transition
@@ -18,29 +18,29 @@
 		services, transitions = fleet.Stats(now), fleet.Transitions(now)
 	})
 	direct.logTransitions(transitions, now)
-	left := direct.front.RetriesRemaining()
+	left := direct.frontend.RetriesRemaining()
 	for _, service := range services {
 		scope := direct.scope.Tagged(map[string]string{"service": service.Service})
-		writeService(scope.SubScope("service"), service)
+		reportService(scope.SubScope("service"), service)
 		if retries, known := left[service.Service]; known {
 			scope.Gauge("retries-left").Update(retries)
 		}
 	}
-	if accepted := timekeeper.Instant(direct.accepted.Load()); accepted != 0 {
-		direct.scope.Gauge("configuration-age-ms").Update(float64(now.Since(accepted)))
+	if inForceSince := timekeeper.Instant(direct.inForceSince.Load()); inForceSince != 0 {
+		direct.scope.Gauge("configuration-age-ms").Update(float64(now.Since(inForceSince)))
 	}
 	if answered := direct.storeAnswered(); answered != 0 {
 		direct.scope.Gauge("store-silent-ms").Update(float64(now.Since(answered)))
 	}
-	if fresh := direct.replicas.LastConfirmed(); fresh != 0 {
-		direct.scope.Gauge("replicas-confirmed-ago-ms").Update(float64(now.Since(fresh)))
+	if confirmed := direct.replicas.LastConfirmed(); confirmed != 0 {
+		direct.scope.Gauge("replicas-confirmed-ago-ms").Update(float64(now.Since(confirmed)))
 	}
-	direct.surveyReaders()
-	direct.scope.Gauge("log-lines-dropped").Update(float64(direct.dropped()))
-	direct.scope.Gauge("requests-active").Update(float64(direct.front.Active()))
+	direct.reportReaders()
+	direct.scope.Gauge("log-lines-dropped").Update(float64(direct.droppedLines()))
+	direct.scope.Gauge("requests-active").Update(float64(direct.frontend.Active()))
 }
 
-// logTransitions logs which replicas may get more or less than before, and by what news.
+// logTransitions logs which replicas have become more or less eligible, and why.
 func (direct *Direct) logTransitions(transitions []balancer.Transition, now timekeeper.Instant) {
 	for _, change := range transitions {
 		fields := logrus.Fields{
@@ -61,22 +61,22 @@
 	}
 }
 
-// surveyReaders writes who reads the store, as this entry sees it, and logs when its own
-// part changes.
-func (direct *Direct) surveyReaders() {
-	reads, readers := direct.fellows.reads(), direct.fellows.takingTurns()
-	direct.scope.Gauge("store-reads").Update(map[bool]float64{true: 1}[reads])
+// reportReaders writes gauges of the reader election, and logs when this entry becomes
+// an active reader or stops being one.
+func (direct *Direct) reportReaders() {
+	isReader, readers := direct.peers.isReader(), direct.peers.activeReaders()
+	direct.scope.Gauge("store-reads").Update(map[bool]float64{true: 1}[isReader])
 	direct.scope.Gauge("store-readers").Update(float64(readers))
-	if was := direct.reader.Swap(reads); was != reads {
+	if was := direct.wasReader.Swap(isReader); was != isReader {
 		direct.log.WithFields(logrus.Fields{
-			"reads": reads, "readers": readers, "entries-near": direct.fellows.sharers(),
+			"reads": isReader, "readers": readers, "entries-near": direct.peers.recentEntries(),
 		}).Info("part in reading the store changes")
 	}
 }
 
-// writeService writes the gauges of one service. A service whose replicas are all
-// gone keeps its last values; its configuration names it no more.
-func writeService(scope tally.Scope, service balancer.ServiceStats) {
+// reportService writes the gauges of one service. A service whose replicas are all removed
+// keeps its last values; the configuration no longer names it.
+func reportService(scope tally.Scope, service balancer.ServiceStats) {
 	gauges := []struct {
 		name  string
 		value float64
--- a/internal/assembler/direct_survey_test.go
+++ b/internal/assembler/direct_stats_test.go
@@ -21,11 +21,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	direct.accept(document, "test")
+	direct.applyConfiguration(document, "test")
 	direct.list(map[string]balancer.Replica{
 		"i-1": {ID: "i-1", Service: "orders", Slots: 6}, "i-2": {ID: "i-2", Service: "orders", Slots: 6, Leaving: true},
 	}, 1)
-	direct.survey()
+	direct.reportStats()
 	gauges := map[string]float64{}
 	for _, gauge := range scope.Snapshot().Gauges() {
 		gauges[gauge.Name()] = gauge.Value()
--- a/internal/assembler/direct_stop_test.go
+++ b/internal/assembler/direct_stop_test.go
@@ -31,12 +31,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	direct.accept(document, "test")
-	return &stoppingEntry{Direct: direct, server: direct.callerServer(direct.front), stopped: make(chan struct{})}
+	direct.applyConfiguration(document, "test")
+	return &stoppingEntry{Direct: direct, server: direct.callerServer(direct.frontend), stopped: make(chan struct{})}
 }
 
 func (entry *stoppingEntry) serve() {
-	go func() { _ = entry.server.Serve(entry.callerListener(entry.listeners.front)) }()
+	go func() { _ = entry.server.Serve(entry.callerListener(entry.listeners.frontend)) }()
 }
 
 func (entry *stoppingEntry) stop() {
@@ -95,13 +95,13 @@
 	// that had his request unread when the process ended: neither an answer nor a refusal.
 	// So the entry closes its door while there is time to answer all that has come: who
 	// comes then finds no connection, idle connections end, and what is under way does not.
-	entry := newStoppingEntry(t, lastTaken+endMargin+300)
+	entry := newStoppingEntry(t, acceptMargin+exitMargin+300)
 	entry.serve()
 	long, err := entry.call(t, emulator.Head(http.MethodPost, host, "/news/long", "long", 2)+"{")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for entry.front.Active() == 0 {
+	for entry.frontend.Active() == 0 {
 		_ = entry.clock.Sleep(t.Context(), 1)
 	}
 	idle, err := entry.call(t, emulator.Head(http.MethodGet, host, lost, "lost", 0))
@@ -139,7 +139,7 @@
 	}
 	Convey("the request is answered before it ends", t, func() {
 		entry.stop()
-		So(entry.runs(t, entry.settings.StopDelay+10*stopPoll), ShouldBeTrue)
+		So(entry.runs(t, entry.settings.StopDelay+10*stopPollInterval), ShouldBeTrue)
 		entry.serve()
 		So(answered(conn), ShouldEqual, http.StatusNotFound)
 		<-entry.stopped
@@ -153,11 +153,11 @@
 	entry := newStoppingEntry(t, patience)
 	entry.serve()
 	left, _ := connPair(t)
-	entry.callers.watch(left, http.StateActive)
+	entry.callerConns.trackState(left, http.StateActive)
 	Convey("it ends once they are closed", t, func() {
 		entry.stop()
-		So(entry.runs(t, entry.settings.StopDelay+10*stopPoll), ShouldBeTrue)
-		entry.callers.watch(left, http.StateClosed)
+		So(entry.runs(t, entry.settings.StopDelay+10*stopPollInterval), ShouldBeTrue)
+		entry.callerConns.trackState(left, http.StateClosed)
 		<-entry.stopped
 	})
 }
--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -10,75 +10,77 @@
 	"github.com/trefoilseam/trefoilseam/platform"
 )
 
-// How entries read the store. Up to storeReaders of them each read as often as
-// one alone would; of more only a few read, together as often as one would, and tell
-// the others.
+// Up to storeReaders entries each read the store as often as a single one would. Of more
+// entries only a few read, together as often as a single one would, and publish to the
+// others what they read.
 const (
 	storeReaders = 4
-	// configurationPace keeps a store that answers at once without a change from
-	// being asked in a loop; the operator's table changes seldom.
-	configurationPace = 25 * timekeeper.Millisecond
+	// configurationInterval prevents a busy loop if the store answers at once although
+	// the operator's table, which changes seldom, has not changed.
+	configurationInterval = 25 * timekeeper.Millisecond
 )
 
 var (
-	// replicaPace is the least time between two reads of the replicas' list, in
-	// which every heartbeat is a change. A leaving replica must be known well
-	// within the two seconds for which it still serves, also when what a reader told
-	// is lost. Readers of a large fleet take turns: a reader each 450 ms.
-	replicaPace = follower.Interval{
+	// replicaInterval is the least time between two reads of the list of replicas, in
+	// which every heartbeat is a change. Entries must know of a leaving replica well
+	// within the two seconds for which it still serves, even if a reader's update is
+	// lost. In a large fleet the active readers share the reads: one reads every 450 ms.
+	replicaInterval = follower.Interval{
 		Min: 450 * timekeeper.Millisecond, Max: 4 * timekeeper.Second, MaxUnshared: 1,
 	}
-	// replicaWait is how long the store may hold a call for a change of that list. Where
-	// there are replicas, heartbeats end it within that time, so silence is a fault.
+	// replicaWait is how long the store may hold a call until that list changes. If there
+	// are replicas, their heartbeats end the call earlier, so a timeout is a fault.
 	replicaWait = follower.Every(1500 * timekeeper.Millisecond)
 	// configurationWait is the same for the operator's table, which changes seldom. A
-	// connection that has gone silent is noticed a second and a half after it, in which
-	// a change must still come into force; where several wait, the first to notice tells
-	// the others.
+	// dead connection is noticed a second and a half after this time; within that, a
+	// change must still come into force. With several readers the first one to notice
+	// publishes the change to the others.
 	configurationWait = follower.Interval{
 		Min: 1500 * timekeeper.Millisecond, Max: 5 * timekeeper.Second, MaxUnshared: 1,
 	}
 )
 
-// follow sets up what is read of the platform's store.
-func (direct *Direct) follow(store *platform.Store) {
-	fellows := direct.fellows
-	direct.orders = follower.New(follower.Settings[platform.Order]{
+// followStore sets up the followers of the platform's tables.
+func (direct *Direct) followStore(store *platform.Store) {
+	peers := direct.peers
+	direct.operatorTable = follower.New(follower.Settings[platform.Order]{
 		Name: "configuration", Clock: direct.clock, Log: direct.log, Source: platform.Orders(store), Seed: newIncarnation(),
-		ReadInterval: follower.Every(configurationPace), Wait: configurationWait,
-		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.readsConfiguration,
-		Apply: direct.order, Confirm: direct.confirmOrders,
-		// What others have they offer by its version; there is nothing else to miss.
+		ReadInterval: follower.Every(configurationInterval), Wait: configurationWait,
+		Readers: peers.activeReaders, Processes: peers.recentEntries, IsReader: peers.readsConfiguration,
+		Apply: direct.applyOperatorTable, Confirm: direct.confirmOperatorTable,
+		// Peers offer newer versions of the configuration in their digests, so there is
+		// no need to read the table only because no update has come for a while.
 		FailingElsewhere: func() bool { return true },
 	})
 	direct.replicas = follower.New(follower.Settings[balancer.Replica]{
 		Name: "replicas", Clock: direct.clock, Log: direct.log, Source: platform.Replicas(store, direct.clock), Seed: newIncarnation(),
-		ReadInterval: replicaPace, Wait: replicaWait, Lapse: replicaLapse,
-		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.reads, FailingElsewhere: fellows.doubted,
-		Apply: direct.list, Confirm: direct.confirmList, Sum: gossiper.SumOf, Publish: direct.tellListed,
-		OthersServed: fellows.othersServed, FetchCopy: fellows.copyReplicas,
+		ReadInterval: replicaInterval, Wait: replicaWait, Lapse: replicaLapse,
+		Readers: peers.activeReaders, Processes: peers.recentEntries, IsReader: peers.isReader, FailingElsewhere: peers.failingElsewhere,
+		Apply: direct.list, Confirm: direct.confirmList, Sum: gossiper.SumOf, Publish: direct.publishListChanges,
+		OthersServed: peers.servedSince, FetchCopy: peers.fetchReplicaList,
 	})
 }
 
-// order takes in the operator's table.
-func (direct *Direct) order(rows map[string]platform.Order, version follower.Version) {
-	direct.ordered = platform.EvacuatedIn(rows)
-	direct.confirmOrders(version)
+// applyOperatorTable applies a new copy of the operator's table.
+func (direct *Direct) applyOperatorTable(rows map[string]platform.Order, version follower.Version) {
+	direct.evacuatedCentres = platform.EvacuatedIn(rows)
+	direct.confirmOperatorTable(version)
 	if document, found := platform.ConfigurationOf(rows); found {
-		direct.accept(document, "store")
+		direct.applyConfiguration(document, "store")
 	}
 }
 
-// confirmOrders notes that the operator's table is as it was read last at a version. What
-// a peer told in between may have ended before that version, with no change of the copy.
-func (direct *Direct) confirmOrders(version follower.Version) {
-	if direct.evacuate(balancer.NewEvacuations(uint64(version), direct.ordered), "store") {
-		direct.fellows.gossiper.SendEvacuations()
+// confirmOperatorTable records that the last copy of the operator's table is also that of
+// a newer version. It applies the evacuations again: one that a peer sent in between may
+// have ended before that version, without a change of the copy.
+func (direct *Direct) confirmOperatorTable(version follower.Version) {
+	if direct.applyEvacuations(balancer.NewEvacuations(uint64(version), direct.evacuatedCentres), "store") {
+		direct.peers.gossiper.SendEvacuations()
 	}
 }
 
-// accept puts a configuration in force, unless a newer one is.
-func (direct *Direct) accept(document platform.Document, from string) {
+// applyConfiguration puts a configuration in force, unless the one in force is as new.
+func (direct *Direct) applyConfiguration(document platform.Document, from string) {
 	config := document.Config
 	for {
 		current := direct.document.Load()
@@ -89,8 +91,8 @@
 			break
 		}
 	}
-	direct.accepted.Store(int64(direct.clock.Now()))
-	direct.fellows.gossiper.SendVersion()
+	direct.inForceSince.Store(int64(direct.clock.Now()))
+	direct.peers.gossiper.SendVersion()
 	direct.fleet.With(func(fleet *balancer.Fleet) {
 		for _, service := range config.Services() {
 			fleet.SetWarmUp(service.Name, balancer.WarmUp{Span: service.ColdTime, Rate: service.ColdRate})
@@ -105,7 +107,7 @@
 	}).Info("configuration in force")
 }
 
-// list takes in the platform's list of replicas.
+// list applies a new copy of the platform's list of replicas.
 func (direct *Direct) list(rows map[string]balancer.Replica, version follower.Version) {
 	list := make([]balancer.Replica, 0, len(rows))
 	for _, replica := range rows {
@@ -115,7 +117,7 @@
 	direct.fleet.With(func(fleet *balancer.Fleet) { changes = fleet.SetReplicas(list, uint64(version)) })
 	for _, change := range changes {
 		if change.TurnedCold {
-			direct.chilled(change.Replica)
+			direct.reportCold(change.Replica)
 			continue
 		}
 		if change.Gone || change.Restarted {
@@ -128,37 +130,39 @@
 	}
 }
 
-// chilled logs that a replica has turned cold and tells peers, who don't see each row.
-func (direct *Direct) chilled(replica balancer.Replica) {
-	direct.fellows.gossiper.SendCold(gossiper.ColdNotice{Replica: replica.Key(), Until: replica.WarmAt})
+// reportCold logs that a replica has turned cold and publishes it to peers, which don't
+// read each row.
+func (direct *Direct) reportCold(replica balancer.Replica) {
+	direct.peers.gossiper.SendCold(gossiper.ColdNotice{Replica: replica.Key(), Until: replica.WarmAt})
 	direct.log.WithFields(logrus.Fields{
 		labelReplica: replica.ID, "service": replica.Service, "warm-in-ms": int64(replica.WarmAt.Since(direct.clock.Now())),
 	}).Info("replica is cold")
 }
 
-// confirmList notes that the list of replicas is also that of a newer version.
+// confirmList records that the list of replicas is also that of a newer version.
 func (direct *Direct) confirmList(version follower.Version) {
-	var back []string
-	direct.fleet.With(func(fleet *balancer.Fleet) { back = fleet.ConfirmVersion(uint64(version)) })
-	for _, replica := range back {
+	var restored []string
+	direct.fleet.With(func(fleet *balancer.Fleet) { restored = fleet.ConfirmVersion(uint64(version)) })
+	for _, replica := range restored {
 		direct.log.WithFields(logrus.Fields{
 			labelReplica: replica, "version": uint64(version),
 		}).Info("replica gets work again, the list is as new as what a peer saw")
 	}
 }
 
-// mostTold bounds the changes of a reading that peers are told one by one, some 60
-// bytes each. Of more than that they fetch the list.
-const mostTold = 32
+// maxPublishedChanges bounds the changes of one read that are published one by one, at
+// some 60 bytes each. If there are more, peers fetch the list.
+const maxPublishedChanges = 32
 
-// tellListed tells peers what this entry's reading has changed in the list of replicas.
-func (direct *Direct) tellListed(news gossiper.ReplicaUpdate) {
-	for _, change := range news.Changes {
+// publishListChanges sends peers the changes of the list of replicas that this entry has
+// read.
+func (direct *Direct) publishListChanges(update gossiper.ReplicaUpdate) {
+	for _, change := range update.Changes {
 		if change.Removed || change.Value.Leaving {
-			direct.fellows.gossiper.SendLeaving(gossiper.Leave{Replica: change.Key, Version: uint64(news.Version)})
+			direct.peers.gossiper.SendLeaving(gossiper.Leave{Replica: change.Key, Version: uint64(update.Version)})
 		}
 	}
-	if len(news.Changes) <= mostTold {
-		direct.fellows.gossiper.SendListChange(news)
+	if len(update.Changes) <= maxPublishedChanges {
+		direct.peers.gossiper.SendListChange(update)
 	}
 }
--- a/internal/assembler/direct_test.go
+++ b/internal/assembler/direct_test.go
@@ -54,7 +54,7 @@
 	direct.AddTo(&group)
 	ended := make(chan error, 1)
 	go func() { ended <- group.Run() }()
-	_ = direct.listeners.peers.Close()
+	_ = direct.listeners.peer.Close()
 	Convey("with the error of that part", t, func() {
 		err := <-ended
 		So(err, ShouldNotBeNil)
@@ -83,7 +83,7 @@
 		Convey(test.name, t, func() {
 			document, err := platform.DecodeConfiguration(fmt.Appendf(nil, `{"version":%d}`, test.version))
 			So(err, ShouldBeNil)
-			direct.accept(document, test.from)
+			direct.applyConfiguration(document, test.from)
 			So(direct.config().Version(), ShouldEqual, test.expected)
 		})
 	}
@@ -111,7 +111,7 @@
 				for _, version := range versions {
 					document, err := platform.DecodeConfiguration(fmt.Appendf(nil, `{"version":%d}`, version))
 					if err == nil {
-						direct.accept(document, "test")
+						direct.applyConfiguration(document, "test")
 					}
 				}
 			})
--- a/internal/assembler/doc.go
+++ b/internal/assembler/doc.go
@@ -1,10 +1,11 @@
-// Package assembler puts the parts of a process together: an entry, an agent,
-// or the whole small site that the command dev runs.
+// Package assembler wires the components of a process together: an entry, an agent,
+// or the small site that the command dev runs.
 //
-// What entries and agents have in common is a shell: listeners, metrics, the
-// record, and the watch over configuration and membership.
+// There are two kinds of entries: Entry sends calls to agents, Direct sends requests to
+// replicas itself. Entry and Agent share a base: listeners, metrics, the record,
+// and the watch over configuration and membership.
 //
-// Each process is a set of actors in a group of oklog/run. When one of them
-// ends, or the process is told to stop, all are interrupted; the actor that
-// serves calls first lets what is in flight end.
+// Each process is a group of oklog/run actors. When one of them ends, or the process
+// receives a stop signal, all are interrupted; the actor that serves calls first waits
+// for calls in flight.
 package assembler
--- a/internal/assembler/entry.go
+++ b/internal/assembler/entry.go
@@ -18,30 +18,30 @@
 
 // Entry is an entry process, ready to run.
 type Entry struct {
-	*shell
-	front     *forwarder.Entry
+	*base
+	frontend  *forwarder.Entry
 	announcer *announcer
-	// stopDelay is how long a stopping entry still takes callers.
+	// stopDelay is how long a stopping entry still accepts connections.
 	stopDelay timekeeper.Span
 	planners  planners
 }
 
-// EntryStatus is what an entry says about itself.
+// EntryStatus is the content of an entry's status page.
 type EntryStatus struct {
 	Name     string         `json:"name"`
 	Site     string         `json:"site"`
 	Revision uint64         `json:"revision"`
 	Replicas map[string]int `json:"replicas"`
-	// Control is what the entry spends on control.
+	// Control is the entry's control traffic.
 	Control budgeter.Status `json:"control"`
-	// Members is what the entry believes about each replica.
+	// Members holds the entry's view of each replica.
 	Members []reporter.ReplicaStatus `json:"members"`
 }
 
-// NewEntry returns an entry that listens and has its first configuration, and
-// a function that releases what it holds. It waits for the configuration.
+// NewEntry waits for the first configuration, then returns a listening entry and a
+// function that releases its resources.
 func NewEntry(ctx context.Context, settings loader.Entry, env Environment) (*Entry, func(), error) {
-	entry := &Entry{shell: newShell(shellSettings{
+	entry := &Entry{base: newBase(baseSettings{
 		process: settings.Process, env: env, kind: "entry", group: recorder.EntryGroup,
 	})}
 	entry.stopDelay = settings.StopDelay
@@ -50,13 +50,14 @@
 		name: settings.Name, pool: entry.pool, peers: entry.view.Addresses,
 		revision: func() uint64 { return entry.watcher.Current().Revision },
 	}
-	// An entry whose instance list can't be read asks the peers of its settings.
-	if err := entry.ready(ctx, entry.control.exchanger.Round); err != nil {
+	// If the instance list can't be read, exchange digests with the peers named in the
+	// settings.
+	if err := entry.start(ctx, entry.control.exchanger.Round); err != nil {
 		entry.release()
 		return nil, nil, err
 	}
-	entry.record.SetPulse(entry.alive)
-	entry.front = forwarder.New(forwarder.Settings{
+	entry.record.SetPulse(entry.aliveEvent)
+	entry.frontend = forwarder.New(forwarder.Settings{
 		Name:        settings.Name,
 		Site:        settings.Site,
 		Incarnation: entry.incarnation,
@@ -69,20 +70,20 @@
 		Holders:     entry.view.Holders,
 		Locate:      entry.view.Locate,
 		Claimed:     entry.claimed,
-		Learn:       entry.learn,
+		Learn:       entry.applyDigest,
 		Failed:      entry.view.Fail,
 		Record:      entry.record.Record,
 	})
 	return entry, entry.release, nil
 }
 
-// claimed returns the request that has claimed a key.
+// claimed returns the request that holds the claim on a key.
 func (entry *Entry) claimed(ctx context.Context, rowKey string) (request string, found bool, err error) {
 	row, found, err := claimer.Find(ctx, entry.env.Platform.Table, rowKey)
 	return row.Owner.Request, found, err
 }
 
-// Status returns what the entry says about itself.
+// Status returns the entry's own state and its view of the replicas.
 func (entry *Entry) Status() EntryStatus {
 	config := entry.watcher.Current()
 	status := EntryStatus{
@@ -99,18 +100,18 @@
 	return status
 }
 
-// AddTo adds the entry's actors to a group. Its front stops first; the rest,
-// the page of status among it, stays until the last call has ended.
+// AddTo adds the entry's actors to a group. The server for callers stops first; the
+// rest, including the status page, runs until the last call has ended.
 func (entry *Entry) AddTo(group *run.Group) {
-	var order stages
-	front, rest := order.add(), order.add()
-	entry.readiness.addFront(
-		front, entry.listener, entry.front, entry.env.Clock, entry.stopDelay, resolver.DefaultLongestCall,
+	var stopOrder stages
+	frontend, rest := stopOrder.add(), stopOrder.add()
+	entry.readiness.addFrontend(
+		frontend, entry.listener, entry.frontend, entry.env.Clock, entry.stopDelay, resolver.DefaultLongestCall,
 	)
 	addLoop(rest, entry.watcher.Run)
 	addLoop(rest, entry.planners.run)
 	addLoop(rest, func(ctx context.Context) { entry.announcer.run(ctx, entry.env.Clock) })
 	entry.control.addTo(rest)
 	entry.addAdmin(rest, handler.Show(entry.Status))
-	order.addTo(group)
+	stopOrder.addTo(group)
 }
--- a/internal/assembler/labels.go
+++ b/internal/assembler/labels.go
@@ -1,6 +1,6 @@
 package assembler
 
-// The fields of log lines and the tags of metrics that several parts of a process write.
+// Log fields and metric tags that several files use.
 const (
 	labelCause   = "cause"
 	labelReplica = "replica"
--- a/internal/assembler/path_bench_test.go
+++ b/internal/assembler/path_bench_test.go
@@ -65,8 +65,8 @@
 		b.Fatal(err)
 	}
 	server := httptest.NewServer(upstream)
-	var order stages
-	entries, agents := order.add(), order.add()
+	var stopOrder stages
+	entries, agents := stopOrder.add(), stopOrder.add()
 	services := []string{"planner", "orders"}
 	instances := make([]storekeeper.Instance, 0, len(services))
 	for _, service := range services {
@@ -87,7 +87,7 @@
 	}
 	front.AddTo(entries)
 	var group run.Group
-	order.addTo(&group)
+	stopOrder.addTo(&group)
 	stop, done := make(chan struct{}), make(chan error, 1)
 	group.Add(func() error { <-stop; return errStop }, func(error) {})
 	go func() { done <- group.Run() }()
--- a/internal/assembler/orders.go
+++ b/internal/assembler/planners.go
@@ -14,10 +14,11 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// plannersLook is how soon a service that is new in the configuration is planned for.
-const plannersLook = 2 * timekeeper.Second
+// plannersPollInterval bounds the delay until a planner starts for a service that is new
+// in the configuration.
+const plannersPollInterval = 2 * timekeeper.Second
 
-// planners run one planner for each service that has something to order.
+// planners run one planner for each service that has engine orders.
 type planners struct {
 	entry       *Entry
 	pool        *dialer.Pool
@@ -28,7 +29,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	started := map[string]bool{}
-	look := func(ctx context.Context) {
+	startMissing := func(ctx context.Context) {
 		config := planners.entry.watcher.Current()
 		for _, name := range config.ServiceNames() {
 			if !started[name] && config.Services[name].Ordered() {
@@ -37,8 +38,8 @@
 			}
 		}
 	}
-	look(ctx)
-	planners.entry.env.Clock.Every(ctx, func() timekeeper.Span { return plannersLook }, look)
+	startMissing(ctx)
+	planners.entry.env.Clock.Every(ctx, func() timekeeper.Span { return plannersPollInterval }, startMissing)
 }
 
 func (planners planners) planner(service string) *planner.Planner {
@@ -62,7 +63,7 @@
 		return nil, err
 	}
 	if answer.GetEngineOrderDone() == nil {
-		return nil, eris.New("the agent answered something else than the end of an order")
+		return nil, eris.New("the agent's answer to an engine order is not EngineOrderDone")
 	}
 	return answer.GetEngineOrderDone(), nil
 }
--- a/internal/assembler/process.go
+++ b/internal/assembler/process.go
@@ -16,7 +16,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Environment is what a process gets from outside.
+// Environment holds the external dependencies of a process.
 type Environment struct {
 	Clock    timekeeper.Clock
 	Log      logrus.FieldLogger
@@ -24,19 +24,19 @@
 }
 
 const (
-	// headerTimeout bounds the arrival of a request's headers.
+	// headerTimeout bounds the time to read a request's headers.
 	headerTimeout = 5 * time.Second
-	// idleTimeout closes a caller's connection that is not used.
+	// idleTimeout is how long a caller's connection may be idle.
 	idleTimeout = 2 * time.Minute
-	// headerLimit bounds the headers of a request in bytes.
-	headerLimit = 32 << 10
-	// startTimeout bounds the wait for a first configuration.
+	// maxHeaderBytes bounds the headers of a request.
+	maxHeaderBytes = 32 << 10
+	// startTimeout bounds the wait for the first configuration.
 	startTimeout = 30 * time.Second
 )
 
-// newIncarnation returns a number that sets a process apart from all others.
-// Its high bits are the start time in milliseconds, so that of two lives of
-// one name the later has the higher number; the low bits are random.
+// newIncarnation returns a number that is unique to a start of a process. Its high bits
+// are the start time in milliseconds, so that a restart under the same name gets a higher
+// number; the low bits are random.
 func newIncarnation() uint64 {
 	const randomBits = 22
 	var bytes [8]byte
@@ -58,18 +58,19 @@
 	}, func(error) { cancel() })
 }
 
-// addServer adds an HTTP server. Its stop waits for calls in flight up to longest.
-func addServer(group *run.Group, listener net.Listener, handler http.Handler, longest time.Duration) {
-	// A server whose readiness nobody asks for stops without delay.
-	new(readiness).addFront(group, listener, handler, timekeeper.SinceBoot(), 0, timekeeper.Span(longest/time.Millisecond))
+// addServer adds an HTTP server. When it stops, it waits for calls in flight, at most
+// for drainTimeout.
+func addServer(group *run.Group, listener net.Listener, handler http.Handler, drainTimeout time.Duration) {
+	// No balancer asks for this server's readiness, so it stops without delay.
+	new(readiness).addFrontend(group, listener, handler, timekeeper.SinceBoot(), 0, timekeeper.Span(drainTimeout/time.Millisecond))
 }
 
-// newServer returns a server with the limits that all share.
+// newServer returns a server with the limits that all servers here share.
 func newServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerLimit,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 }
--- a/internal/assembler/readiness.go
+++ b/internal/assembler/readiness.go
@@ -12,12 +12,12 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// readiness tells the platform's balancer whether to send callers here.
+// readiness serves the health check of the platform's load balancer.
 type readiness struct {
 	leaving atomic.Bool
 }
 
-// ServeHTTP answers 200 while callers are welcome and 503 once a stop was asked for.
+// ServeHTTP answers 200 while the process takes callers, and 503 once it is stopping.
 func (ready *readiness) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	if ready.leaving.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -26,15 +26,14 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// addFront adds the server that callers reach. Its stop goes in three steps:
-// not ready, then after the delay no new connections, then the end of all calls.
+// addFrontend adds the server for callers. It stops in three steps: it reports not
+// ready, closes its listener after the delay, then waits for all calls to end.
 //
-// The failure: a balancer looks every few seconds, and an entry that stops
-// closes its door at once. The symptom: callers in between are turned away by a
-// planned stop. With a delay longer than the balancer's round it has sent them
-// elsewhere before the door closes.
-func (ready *readiness) addFront(
-	group *run.Group, listener net.Listener, handler http.Handler, clock timekeeper.Clock, delay, longest timekeeper.Span,
+// The delay is there because a load balancer checks readiness only every few seconds: if
+// the listener closed at once, callers sent meanwhile would be rejected by a planned stop.
+// With a delay longer than the check interval, the balancer sends them elsewhere first.
+func (ready *readiness) addFrontend(
+	group *run.Group, listener net.Listener, handler http.Handler, clock timekeeper.Clock, delay, drainTimeout timekeeper.Span,
 ) {
 	server := newServer(handler)
 	stopped := make(chan error, 1)
@@ -47,7 +46,7 @@
 		ready.leaving.Store(true)
 		go func() {
 			_ = clock.Sleep(context.Background(), delay)
-			ctx, cancel := context.WithTimeout(context.Background(), longest.Duration())
+			ctx, cancel := context.WithTimeout(context.Background(), drainTimeout.Duration())
 			defer cancel()
 			stopped <- server.Shutdown(ctx)
 		}()
--- a/internal/assembler/record.go
+++ b/internal/assembler/record.go
@@ -5,12 +5,12 @@
 	"github.com/trefoilseam/trefoilseam/internal/recorder"
 )
 
-// newRecorder starts the record of a process, and returns a function that ends
-// it once nothing more can happen.
+// newRecorder starts the record of a process, and returns a function that ends it, to be
+// called when no more events can occur.
 //
-// The size of the fleet, by the list that the process reads anyway, only
-// stretches the time between flushes; until a list was read the record is
-// flushed as a small fleet's.
+// processes returns the size of the fleet, from the list that the process reads anyway.
+// It only lengthens the interval between flushes; until a list has been read, the
+// interval is that of a small fleet.
 func newRecorder(
 	env Environment, process loader.Process, origin recorder.Origin, processes func() int,
 ) (*recorder.Recorder, func()) {
@@ -31,7 +31,7 @@
 	}, started)
 }
 
-// alive returns the event by which an entry's record tells that it lived.
-func (entry *Entry) alive() recorder.Event {
+// aliveEvent returns the event that an entry records periodically to show that it runs.
+func (entry *Entry) aliveEvent() recorder.Event {
 	return recorder.Event{Kind: recorder.Alive, Revision: entry.watcher.Current().Revision}
 }
--- a/internal/assembler/stages.go
+++ b/internal/assembler/stages.go
@@ -5,16 +5,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// stages are groups of actors that stop one after the other. The failure: all
-// processes of a small site are told to stop together, and an upstream closes
-// its door while a call is on its way to it. The symptom: calls in flight are
-// refused or cut by a planned stop. In order, front first, each stage has let
-// go of its calls before the next one stops.
+// stages are groups of actors that stop one after the other, servers for callers first.
+// If all processes of a small site stopped at once, an upstream could close its listener
+// while a call is on the way to it, and a planned stop would refuse or cut off calls in
+// flight. In order, the calls of each stage have ended before the next stage stops.
 type stages struct {
 	groups []*run.Group
 }
 
-// errStageStopped ends the groups of a stage as planned.
+// errStageStopped is the error with which the group of a stage ends in a planned stop.
 var errStageStopped = eris.New("stage stopped")
 
 // add returns a new stage that stops after all earlier ones.
@@ -24,23 +23,23 @@
 	return group
 }
 
-// addTo adds one actor that runs all stages to a group.
+// addTo adds to a group one actor that runs all stages.
 func (stages *stages) addTo(group *run.Group) {
 	stop := make(chan struct{})
 	group.Add(func() error { return stages.run(stop) }, func(error) { close(stop) })
 }
 
-// running is a stage that has been started.
-type running struct {
+// startedStage is a stage that is running.
+type startedStage struct {
 	stop chan struct{}
 	done chan error
 }
 
 func (stages *stages) run(stop <-chan struct{}) error {
-	started := make([]running, len(stages.groups))
+	started := make([]startedStage, len(stages.groups))
 	failed := make(chan struct{}, len(stages.groups))
 	for i, group := range stages.groups {
-		started[i] = start(group, failed)
+		started[i] = startStage(group, failed)
 	}
 	select {
 	case <-stop:
@@ -56,8 +55,8 @@
 	return first
 }
 
-func start(group *run.Group, failed chan<- struct{}) running {
-	stage := running{stop: make(chan struct{}), done: make(chan error, 1)}
+func startStage(group *run.Group, failed chan<- struct{}) startedStage {
+	stage := startedStage{stop: make(chan struct{}), done: make(chan error, 1)}
 	ended := make(chan struct{})
 	group.Add(func() error {
 		select {
--- a/internal/assembler/watch.go
+++ b/internal/assembler/watch.go
@@ -14,8 +14,8 @@
 	"github.com/trefoilseam/trefoilseam/internal/storekeeper"
 )
 
-// newWatcher returns the watcher of a process. Its peers are those of the
-// settings and those that the process knows.
+// newWatcher returns the configuration watcher of a process. Its peers are those in the
+// settings and those that known returns.
 func newWatcher(
 	env Environment, process loader.Process, incarnation uint64, pool *dialer.Pool, known func() []string,
 	record func(event recorder.Event),
@@ -36,8 +36,8 @@
 	})
 }
 
-// newMeter returns the meter before a process's platform. Its rates follow the
-// configuration, once there is one.
+// newMeter returns the meter that counts and limits a process's calls to its platform.
+// Its rates follow the configuration, once there is one.
 func newMeter(env Environment, scope tally.Scope, watcher func() *publisher.Watcher) *storekeeper.Meter {
 	return storekeeper.NewMeter(storekeeper.MeterSettings{
 		Clock: env.Clock,
@@ -56,10 +56,10 @@
 	})
 }
 
-// learn takes in what an agent said about itself: its state for the view, and
-// the revision that it carries for the watcher.
-func (entry *Entry) learn(digest *encoder.Digest) {
-	entry.control.heard(digest)
+// applyDigest applies a digest from an agent: its state to the view, its revision to the
+// watcher.
+func (entry *Entry) applyDigest(digest *encoder.Digest) {
+	entry.control.countDigest(digest)
 	entry.watcher.Hear(digest.GetRevision())
 	entry.view.Learn(digest)
 }
