--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -144,7 +144,7 @@
 // end, so that waiting for the store does not delay the stop.
 func (peers *peers) unregister(ctx context.Context) {
 	if err := platform.Unregister(ctx, peers.store, peers.direct.settings.Name); err != nil {
-		peers.direct.log.WithField(labelCause, err.Error()).Warn("entry not unregistered, its address stays in the store")
+		peers.direct.log.WithField(labelCause, err.Error()).Warn("entry's address stays in the store")
 	}
 }
 
@@ -289,7 +289,7 @@
 		}
 		list, err := gossiper.DecodeReplicas(raw, peers.direct.clock.Now())
 		if err != nil {
-			peers.direct.log.WithFields(logrus.Fields{"peer": peer, labelCause: err.Error()}).Warn("list of replicas of a peer can't be decoded")
+			peers.direct.log.WithFields(logrus.Fields{"peer": peer, labelCause: err.Error()}).Warn("list of replicas from a peer can't be read")
 			continue
 		}
 		rows := make([]follower.Change[balancer.Replica], len(list.Replicas))
@@ -314,7 +314,7 @@
 	}
 	text, err := list.Encode(peers.direct.clock.Now())
 	if err != nil {
-		peers.direct.log.WithField(labelCause, err.Error()).Error("list of replicas can't be encoded")
+		peers.direct.log.WithField(labelCause, err.Error()).Error("list of replicas can't be written for a peer")
 		return nil
 	}
 	return text
--- a/internal/assembler/planners.go
+++ b/internal/assembler/planners.go
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	if answer.GetEngineOrderDone() == nil {
-		return nil, eris.New("the agent's answer to an engine order is not EngineOrderDone")
+		return nil, eris.New("the agent answered an engine order without reporting its end")
 	}
 	return answer.GetEngineOrderDone(), nil
 }
