--- a/internal/assembler/direct_sharing_test.go
+++ b/internal/assembler/direct_cold_test.go
@@ -16,10 +16,10 @@
 	"github.com/trefoilseam/trefoilseam/platform"
 )
 
-// engines is how many there are in the tests here.
+// engines is the number of engines in these tests.
 const engines = 20
 
-// enginesColdFor lists engines that say they are cold for a span.
+// enginesColdFor lists engines that are cold for a span.
 func (direct *Direct) enginesColdFor(span timekeeper.Span) {
 	rows := map[string]balancer.Replica{}
 	for number := range engines {
@@ -29,15 +29,15 @@
 	direct.list(rows, 1)
 }
 
-// warmSlowly puts a configuration in force by which engines bear few requests while cold.
-func warmSlowly(direct *Direct) {
+// limitColdRate puts a configuration in force with a low request rate for cold engines.
+func limitColdRate(direct *Direct) {
 	config := router.New(router.Content{
 		Version: 1, Services: []router.Service{{Name: "planner", ColdTime: timekeeper.Minute, ColdRate: 12}},
 	})
-	direct.accept(platform.Document{Config: config}, "test")
+	direct.applyConfiguration(platform.Document{Config: config}, "test")
 }
 
-// used returns how many of the cold engines this entry sends requests to.
+// used returns to how many of the cold engines this entry sends requests.
 func (direct *Direct) used() int {
 	used := map[string]bool{}
 	now := direct.clock.Now()
@@ -53,56 +53,57 @@
 	return len(used)
 }
 
-func TestWhoSharesColdReplicas(t *testing.T) {
-	// Guards against an entry that sends to cold replicas before it knows the others, and
-	// against one that takes a peer which is silent for a while for gone.
+func TestColdReplicasWaitForKnownPeers(t *testing.T) {
+	// Guards against an entry that sends to cold replicas before it knows the other
+	// entries, and against one that no longer counts a peer after a short silence: both
+	// would exceed the cold-start rate.
 	direct, release := directOnLoopback(t)
 	defer release()
-	warmSlowly(direct)
+	limitColdRate(direct)
 	direct.enginesColdFor(timekeeper.Minute)
 	now := direct.clock.Now()
-	Convey("nobody, before the entry has known the others for a while", t, func() {
-		direct.fellows.share()
+	Convey("no cold engine is used before the entry has known the others for a while", t, func() {
+		direct.peers.updateColdSharing()
 		So(direct.used(), ShouldEqual, 0)
-		direct.fellows.sharing.registered(now)
-		direct.fellows.share()
+		direct.peers.coldSharing.recordRegistered(now)
+		direct.peers.updateColdSharing()
 		So(direct.used(), ShouldEqual, 0)
-		So(direct.fellows.sharing.settled(now.Add(sharerPatience)), ShouldBeTrue)
+		So(direct.peers.coldSharing.complete(now.Add(coldSendDelay)), ShouldBeTrue)
 	})
-	Convey("then all that were heard or learnt of within a minute", t, func() {
-		direct.fellows.sharing.since.Store(int64(now.Add(-sharerPatience)))
-		direct.fellows.gossiper.AddPeer("127.0.0.1:7300")
+	Convey("then the cold engines are shared with all peers known within a minute", t, func() {
+		direct.peers.coldSharing.since.Store(int64(now.Add(-coldSendDelay)))
+		direct.peers.gossiper.AddPeer("127.0.0.1:7300")
 		_ = direct.clock.Sleep(t.Context(), 1200)
-		direct.fellows.share()
+		direct.peers.updateColdSharing()
 		So(direct.used(), ShouldBeBetween, 1, engines)
 	})
 }
 
-func TestPeersAreToldOfReplicasThatTurnCold(t *testing.T) {
-	// Guards against entries that don't read each row and go on as before when a replica
-	// turns cold without a start.
+func TestColdReplicasArePublished(t *testing.T) {
+	// Guards against entries that send at the full rate to a replica that turns cold
+	// without a restart, since they don't read each row.
 	direct, release := directOnLoopback(t)
 	defer release()
-	warmSlowly(direct)
+	limitColdRate(direct)
 	direct.enginesColdFor(0)
 	key := balancer.Replica{ID: "i-0"}.Key()
 	cold := func() (count int) {
 		direct.fleet.With(func(fleet *balancer.Fleet) { count = fleet.Stats(direct.clock.Now())[0].Cold })
 		return count
 	}
-	Convey("one that hears goes by it", t, func() {
+	Convey("an entry that receives the notice treats the replica as cold", t, func() {
 		So(cold(), ShouldEqual, 0)
 		notice := gossiper.ColdNotice{Replica: key, Until: direct.clock.Now().Add(timekeeper.Minute)}
-		direct.fellows.hear(gossiper.Digest{Address: "127.0.0.1:7300", Cold: []gossiper.ColdNotice{notice}})
+		direct.peers.applyDigest(gossiper.Digest{Address: "127.0.0.1:7300", Cold: []gossiper.ColdNotice{notice}})
 		So(cold(), ShouldEqual, 1)
 	})
-	Convey("one that reads tells", t, func() {
+	Convey("an entry that reads the rows publishes them", t, func() {
 		peer, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer func() { _ = peer.Close() }()
-		direct.fellows.gossiper.AddPeer(peer.LocalAddr().String())
+		direct.peers.gossiper.AddPeer(peer.LocalAddr().String())
 		direct.enginesColdFor(2 * timekeeper.Minute)
-		go direct.fellows.gossiper.Run(t.Context())
+		go direct.peers.gossiper.Run(t.Context())
 		So(peer.SetReadDeadline(timekeeper.In(10*timekeeper.Second)), ShouldBeNil)
 		buffer := make([]byte, 1<<16)
 		size, _, err := peer.ReadFrom(buffer)
--- a/internal/assembler/direct_test.go
+++ b/internal/assembler/direct_test.go
@@ -20,14 +20,14 @@
 	"github.com/trefoilseam/trefoilseam/platform/emulator"
 )
 
-// directOnLoopback returns an entry with a store that holds nothing.
+// directOnLoopback returns an entry with an empty store.
 func directOnLoopback(t *testing.T) (*Direct, func()) {
 	t.Helper()
-	return directBefore(t, emulator.NewStore(timekeeper.Steady()))
+	return directWithStore(t, emulator.NewStore(timekeeper.Steady()))
 }
 
-// directBefore returns an entry before a store.
-func directBefore(t *testing.T, emulated *emulator.Store) (*Direct, func()) {
+// directWithStore returns an entry that uses the given store.
+func directWithStore(t *testing.T, emulated *emulator.Store) (*Direct, func()) {
 	t.Helper()
 	store := httptest.NewServer(emulated)
 	t.Cleanup(store.Close)
@@ -37,34 +37,34 @@
 		Name: "entry-1", DataCentre: "bole", Listen: "127.0.0.1:0", ReadyListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
 		Store: store.Listener.Addr().String(), StopDelay: 10, StopGrace: timekeeper.Second, Bound: 2,
 	}
-	direct, release, err := NewDirect(context.Background(), settings, "", Surroundings{Log: log, Dropped: func() int64 { return 3 }})
+	direct, release, err := NewDirect(context.Background(), settings, "", DirectEnvironment{Log: log, DroppedLines: func() int64 { return 3 }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return direct, release
 }
 
-func TestAnActorThatEndsEndsTheProcess(t *testing.T) {
-	// A part of an entry ends that should not, such as the listener for its peers.
-	// The entry stops as a whole, so that it is started again; it must not go on
-	// half, answering callers with what it knew.
+func TestFailedActorEndsProcess(t *testing.T) {
+	// Guards against an entry that goes on serving callers, with stale state, after one of
+	// its actors has failed, such as the listener for peers. The whole entry must stop, so
+	// that it is restarted.
 	direct, release := directOnLoopback(t)
 	defer release()
 	var group run.Group
 	direct.AddTo(&group)
 	ended := make(chan error, 1)
 	go func() { ended <- group.Run() }()
-	_ = direct.listeners.peers.Close()
-	Convey("with the error of that part", t, func() {
+	_ = direct.listeners.peer.Close()
+	Convey("the process ends with the error of that actor", t, func() {
 		err := <-ended
 		So(err, ShouldNotBeNil)
 		So(err.Error(), ShouldContainSubstring, "serve")
 	})
 }
 
-func TestAConfigurationInForceNeverReverts(t *testing.T) {
-	// A key is taken away. The store's answer and a peer's copy arrive in any order;
-	// if the older one counted, the key would be let in again.
+func TestConfigurationNeverReverts(t *testing.T) {
+	// Guards against a revoked key that becomes valid again: the store's answer and a
+	// peer's copy arrive in any order, and an older configuration replaces a newer one.
 	direct, release := directOnLoopback(t)
 	defer release()
 	tests := []struct {
@@ -73,27 +73,27 @@
 		from     string
 		expected uint64
 	}{
-		{"the first", 5, "store", 5},
-		{"an older one from a peer", 4, "peer 127.0.0.1:1", 5},
-		{"an older one from the store", 3, "store", 5},
-		{"a newer one from a peer", 6, "peer 127.0.0.1:1", 6},
-		{"the one before it from the store", 5, "store", 6},
+		{"the first version", 5, "store", 5},
+		{"an older version from a peer", 4, "peer 127.0.0.1:1", 5},
+		{"an older version from the store", 3, "store", 5},
+		{"a newer version from a peer", 6, "peer 127.0.0.1:1", 6},
+		{"the previous version from the store", 5, "store", 6},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			document, err := platform.DecodeConfiguration(fmt.Appendf(nil, `{"version":%d}`, test.version))
 			So(err, ShouldBeNil)
-			direct.accept(document, test.from)
+			direct.applyConfiguration(document, test.from)
 			So(direct.config().Version(), ShouldEqual, test.expected)
 		})
 	}
 }
 
-// TestNoScheduleRevertsAConfiguration lets the store and two peers bring versions
-// in any order, at the same time, while a request looks at the one in force again
-// and again. It never sees an older one after a newer one, and in the end the
-// newest is in force, whoever brought it.
-func TestNoScheduleRevertsAConfiguration(t *testing.T) {
+// TestConcurrentConfigurationsNeverRevert lets the store and two peers deliver versions
+// concurrently in any order, while a reader polls the version in force. The reader must
+// never see an older version after a newer one, and in the end the newest must be in
+// force, whichever source delivered it.
+func TestConcurrentConfigurationsNeverRevert(t *testing.T) {
 	direct, release := directOnLoopback(t)
 	defer release()
 	base := uint64(0)
@@ -105,19 +105,19 @@
 			newest = max(newest, slices.Max(sources[i]))
 		}
 		base += 10
-		var bringing sync.WaitGroup
+		var deliveries sync.WaitGroup
 		for _, versions := range sources {
-			bringing.Go(func() {
+			deliveries.Go(func() {
 				for _, version := range versions {
 					document, err := platform.DecodeConfiguration(fmt.Appendf(nil, `{"version":%d}`, version))
 					if err == nil {
-						direct.accept(document, "test")
+						direct.applyConfiguration(document, "test")
 					}
 				}
 			})
 		}
 		ended := make(chan struct{})
-		go func() { bringing.Wait(); close(ended) }()
+		go func() { deliveries.Wait(); close(ended) }()
 		last := uint64(0)
 		for over := false; !over; {
 			select {
@@ -132,7 +132,7 @@
 			last = now
 		}
 		if last != newest {
-			t.Fatalf("version %d in force, %d was brought", last, newest)
+			t.Fatalf("version %d in force, %d was delivered", last, newest)
 		}
 	})
 }
