--- a/internal/admitter/controller.go
+++ b/internal/admitter/controller.go
@@ -279,8 +279,8 @@
 	return controller.promote(now)
 }
 
-// Opened notes the first byte of a running ticket's answer.
-func (controller *Controller) Opened(id string, now timekeeper.Instant) {
+// RecordFirstByte notes the first byte of a running ticket's answer.
+func (controller *Controller) RecordFirstByte(id string, now timekeeper.Instant) {
 	if held, ok := controller.running[id]; ok {
 		controller.pace.open(now.Since(held.started))
 	}
--- a/internal/runner/slot.go
+++ b/internal/runner/slot.go
@@ -144,7 +144,7 @@
 	now := agent.settings.Clock.Now()
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	agent.controller.Opened(id, now)
+	agent.controller.RecordFirstByte(id, now)
 }
 
 // hold keeps the slot of a cancelled run for a while.
--- a/test/load/cancel_test.go
+++ b/test/load/cancel_test.go
@@ -63,7 +63,7 @@
 		starts[id] = func() {
 			engine.enter(func() {
 				wait := fleet.now.Since(arrived)
-				controller.Opened(id, fleet.now)
+				controller.RecordFirstByte(id, fleet.now)
 				if class == caption {
 					waits = append(waits, wait)
 				}
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -368,7 +368,7 @@
 	done := fleet.results[id]
 	done.wait = fleet.now.Since(request.arrived) + prefill
 	life := member.life
-	fleet.at(fleet.now.Add(prefill), func() { member.controller.Opened(id, fleet.now) })
+	fleet.at(fleet.now.Add(prefill), func() { member.controller.RecordFirstByte(id, fleet.now) })
 	fleet.at(fleet.now.Add(took), func() {
 		if fleet.members[member.name] == nil || fleet.members[member.name].life != life {
 			return
