--- a/internal/admitter/controller.go
+++ b/internal/admitter/controller.go
@@ -176,8 +176,8 @@
 	return ticket.Last && mean.Age > 0 && len(controller.waiting) == 0 && controller.fits(ticket)
 }
 
-// PushedOut returns the failure that a displaced ticket gets.
-func (controller *Controller) PushedOut() classifier.Failure {
+// DisplacedFailure returns the failure that a displaced ticket gets.
+func (controller *Controller) DisplacedFailure() classifier.Failure {
 	return controller.refuse(classifier.Overloaded, detailPushed, 0).Failure
 }
 
--- a/internal/admitter/controller_test.go
+++ b/internal/admitter/controller_test.go
@@ -161,7 +161,7 @@
 		decision := controller.Offer(ticket("quiet", "small", 3, 100), Mean{})
 		So(decision.Outcome, ShouldEqual, Queued)
 		So(decision.Displaced[0].ID, ShouldEqual, "surge-4")
-		So(controller.PushedOut().Kind, ShouldEqual, classifier.Overloaded)
+		So(controller.DisplacedFailure().Kind, ShouldEqual, classifier.Overloaded)
 		So(controller.Offer(ticket("surge-10", "loud", 3, 100), Mean{}).Outcome, ShouldEqual, Refused)
 		controller.Finish("surge-0", 10)
 		So(controller.Finish("surge-1", 20)[0].ID, ShouldEqual, "quiet")
--- a/internal/runner/slot.go
+++ b/internal/runner/slot.go
@@ -52,7 +52,7 @@
 	agent.noteLoad(offer, decision)
 	agent.noteAdapter(offer, decision)
 	for _, ticket := range decision.Displaced {
-		agent.tell(ticket.ID, verdict{failure: agent.controller.PushedOut()})
+		agent.tell(ticket.ID, verdict{failure: agent.controller.DisplacedFailure()})
 	}
 	slot := make(chan verdict, 1)
 	switch decision.Outcome {
