--- a/internal/admitter/controller.go
+++ b/internal/admitter/controller.go
@@ -131,9 +131,9 @@
 	return bound
 }
 
-// Allowed returns what the mean allows the controller to hold now, and zero when the
+// WorkBound returns what the mean allows the controller to hold now, and zero when the
 // mean sets no bound.
-func (controller *Controller) Allowed(mean Mean) int64 {
+func (controller *Controller) WorkBound(mean Mean) int64 {
 	if bound := controller.bound(Ticket{}, mean); bound != unbounded {
 		return bound
 	}
--- a/internal/runner/record.go
+++ b/internal/runner/record.go
@@ -104,7 +104,7 @@
 	mean := agent.settings.Mean()
 	agent.mu.Lock()
 	load := agent.controller.Load()
-	event.Bound = agent.controller.Allowed(agent.demand.Raise(mean, event.At))
+	event.Bound = agent.controller.WorkBound(agent.demand.Raise(mean, event.At))
 	agent.mu.Unlock()
 	event.Load = load.Work
 	event.Count = int64(load.Running + load.Waiting)
