--- a/internal/admitter/controller.go
+++ b/internal/admitter/controller.go
@@ -18,10 +18,10 @@
 	// Cold says that no prefix of the call is cached here, so that it runs as
 	// well elsewhere.
 	Cold bool
-	// Last says that the offer goes nowhere else if it is refused here.
-	Last     bool
-	Arrived  timekeeper.Instant
-	Deadline timekeeper.Instant
+	// LastAttempt says that the offer goes nowhere else if it is refused here.
+	LastAttempt bool
+	Arrived     timekeeper.Instant
+	Deadline    timekeeper.Instant
 }
 
 // Outcome is what the controller decided.
@@ -173,7 +173,7 @@
 	if len(controller.running)+len(controller.waiting) < controller.limits.FreeCalls {
 		return true
 	}
-	return ticket.Last && mean.Age > 0 && len(controller.waiting) == 0 && controller.fits(ticket)
+	return ticket.LastAttempt && mean.Age > 0 && len(controller.waiting) == 0 && controller.fits(ticket)
 }
 
 // DisplacedFailure returns the failure that a displaced ticket gets.
--- a/internal/runner/slot.go
+++ b/internal/runner/slot.go
@@ -67,14 +67,14 @@
 func (agent *Agent) ticket(offer *encoder.Offer, arrived timekeeper.Instant) admitter.Ticket {
 	const lastClass = 7
 	ticket := admitter.Ticket{
-		ID:      offer.GetRequestId(),
-		Team:    offer.GetTeam(),
-		Weight:  agent.settings.Config().Teams[offer.GetTeam()].Weight,
-		Class:   uint8(min(offer.GetClass(), lastClass)),
-		Work:    offer.GetWork(),
-		Last:    offer.GetAttempt() >= placer.MaxOffers-1,
-		Cold:    agent.places.Cold(offer.GetChat(), int(offer.GetAttempt())),
-		Arrived: arrived,
+		ID:          offer.GetRequestId(),
+		Team:        offer.GetTeam(),
+		Weight:      agent.settings.Config().Teams[offer.GetTeam()].Weight,
+		Class:       uint8(min(offer.GetClass(), lastClass)),
+		Work:        offer.GetWork(),
+		LastAttempt: offer.GetAttempt() >= placer.MaxOffers-1,
+		Cold:        agent.places.Cold(offer.GetChat(), int(offer.GetAttempt())),
+		Arrived:     arrived,
 	}
 	if offer.GetDeadline() > 0 {
 		ticket.Deadline = arrived.Add(timekeeper.Span(offer.GetDeadline()))
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -325,7 +325,7 @@
 		ID: request.id, Team: request.team, Weight: request.weight, Class: request.class, Work: request.work(),
 		Arrived: fleet.now, Deadline: fleet.now.Add(request.deadline),
 	}
-	ticket.Last = visit.Attempt >= placer.MaxOffers-1
+	ticket.LastAttempt = visit.Attempt >= placer.MaxOffers-1
 	ticket.Cold = member.known.Cold(request.chat, visit.Attempt)
 	if fleet.policy.plain {
 		ticket.Team, ticket.Class, ticket.Deadline = "", 3, 0
