--- a/internal/admitter/controller.go
+++ b/internal/admitter/controller.go
@@ -15,9 +15,9 @@
 	Weight int
 	Class  uint8
 	Work   int64
-	// Cold says that no prefix of the call is cached here, so that it runs as
+	// PrefixMiss says that no prefix of the call is cached here, so that it runs as
 	// well elsewhere.
-	Cold bool
+	PrefixMiss bool
 	// LastAttempt says that the offer goes nowhere else if it is refused here.
 	LastAttempt bool
 	Arrived     timekeeper.Instant
--- a/internal/admitter/controller_test.go
+++ b/internal/admitter/controller_test.go
@@ -131,7 +131,7 @@
 				controller.Offer(ticket("held", "a", 3, test.held), Mean{})
 			}
 			offered := ticket("new", "a", 3, test.work)
-			offered.Cold, offered.LastAttempt = test.cold, test.last
+			offered.PrefixMiss, offered.LastAttempt = test.cold, test.last
 			decision := controller.Offer(offered, test.mean)
 			SoMsg(test.name, decision.Outcome == Refused, ShouldEqual, test.refused)
 			if test.refused {
--- a/internal/admitter/limits.go
+++ b/internal/admitter/limits.go
@@ -87,7 +87,7 @@
 	// What is held here is known exactly, so it is the least that the total can be.
 	total := max(mean.Total, held)
 	factor := limits.LoadFactor
-	if ticket.Cold {
+	if ticket.PrefixMiss {
 		factor = 1 + (factor-1)*coldShare
 	}
 	bound := math.Ceil(factor * float64(total+ticket.Work) / float64(mean.Replicas))
