--- a/internal/admitter/controller.go
+++ b/internal/admitter/controller.go
@@ -44,8 +44,8 @@
 	Outcome Outcome
 	// Failure is the reason of a refusal, with the span after which a retry is welcome.
 	Failure classifier.Failure
-	// Estimate is the wait that the controller expects for the ticket.
-	Estimate timekeeper.Span
+	// EstimatedWait is the wait that the controller expects for the ticket.
+	EstimatedWait timekeeper.Span
 	// Displaced are waiting tickets that lost their place to this one. They
 	// have not run and must be told so at once.
 	Displaced []Ticket
@@ -160,7 +160,7 @@
 	if slices.ContainsFunc(controller.promote(now), func(granted Ticket) bool { return granted.ID == ticket.ID }) {
 		return Decision{Outcome: Granted, Displaced: displaced}
 	}
-	return Decision{Outcome: Queued, Estimate: estimate, Displaced: displaced}
+	return Decision{Outcome: Queued, EstimatedWait: estimate, Displaced: displaced}
 }
 
 // spared reports whether the bound doesn't apply to the ticket.
@@ -184,7 +184,7 @@
 // refuse returns a refusal whose retry span grows with the expected wait.
 func (controller *Controller) refuse(kind classifier.Kind, detail string, estimate timekeeper.Span) Decision {
 	failure := classifier.New(kind, detail).WithRetryAfter(controller.limits.Backoff.RetryAfter(estimate))
-	return Decision{Outcome: Refused, Failure: failure, Estimate: estimate}
+	return Decision{Outcome: Refused, Failure: failure, EstimatedWait: estimate}
 }
 
 // place puts the ticket into the queue. With a full queue the ticket takes the
--- a/internal/admitter/controller_test.go
+++ b/internal/admitter/controller_test.go
@@ -185,7 +185,7 @@
 		controller.Offer(Ticket{ID: "queued", Team: "a", Class: 3, Work: 100, Arrived: 4000}, Mean{})
 		decision := controller.Offer(Ticket{ID: "late", Team: "a", Class: 3, Work: 100, Arrived: 4000, Deadline: 5000}, Mean{})
 		So(decision.Failure.Kind, ShouldEqual, classifier.DeadlinePassed)
-		So(decision.Failure.RetryAfter, ShouldEqual, 2*decision.Estimate)
+		So(decision.Failure.RetryAfter, ShouldEqual, 2*decision.EstimatedWait)
 	})
 }
 
--- a/internal/runner/offer.go
+++ b/internal/runner/offer.go
@@ -87,7 +87,7 @@
 	case admitter.Refused:
 		return decision.Failure, false
 	case admitter.Queued:
-		if err := stream.Write(encoder.Of(&encoder.Queued{RequestId: offer.GetRequestId(), Estimate: int64(decision.Estimate)})); err != nil {
+		if err := stream.Write(encoder.Of(&encoder.Queued{RequestId: offer.GetRequestId(), Estimate: int64(decision.EstimatedWait)})); err != nil {
 			agent.release(offer.GetRequestId())
 			return classifier.New(classifier.CallerGone, ""), false
 		}
@@ -214,7 +214,7 @@
 		fields["retry-after"] = decision.Failure.RetryAfter.String()
 	}
 	if decision.Outcome == admitter.Queued {
-		fields["estimate"] = decision.Estimate.String()
+		fields["estimate"] = decision.EstimatedWait.String()
 	}
 	agent.settings.Scope.Tagged(map[string]string{"outcome": decision.Outcome.String()}).Counter("offers").Inc(1)
 	agent.settings.Log.WithFields(fields).Info("admission")
