--- a/internal/admitter/limits.go
+++ b/internal/admitter/limits.go
@@ -33,8 +33,8 @@
 	// means none. A few calls crush no engine, and with them a service under
 	// light load keeps its chats where their prefixes are.
 	FreeCalls int
-	// OldestMean is the age past which a mean is not believed; zero means 5 seconds.
-	OldestMean timekeeper.Span
+	// MaxMeanAge is the age past which a mean is not believed; zero means 5 seconds.
+	MaxMeanAge timekeeper.Span
 	// Ageing is the wait that lifts a ticket by one class; zero means half a second.
 	Ageing timekeeper.Span
 	// Backoff tells refused callers when to come back.
@@ -42,8 +42,8 @@
 }
 
 func (limits Limits) withDefaults() Limits {
-	if limits.OldestMean == 0 {
-		limits.OldestMean = 5 * timekeeper.Second
+	if limits.MaxMeanAge == 0 {
+		limits.MaxMeanAge = 5 * timekeeper.Second
 	}
 	if limits.Ageing == 0 {
 		limits.Ageing = timekeeper.Second / 2
@@ -81,7 +81,7 @@
 // only. The harm is a returning chat that is sent away from its prefix because
 // work that could run anywhere came first; the rest of the way is for it.
 func (limits Limits) Bound(mean Mean, held int64, ticket Ticket) int64 {
-	if limits.LoadFactor == 0 || mean.Replicas <= 1 || mean.Age > limits.OldestMean {
+	if limits.LoadFactor == 0 || mean.Replicas <= 1 || mean.Age > limits.MaxMeanAge {
 		return unbounded
 	}
 	// What is held here is known exactly, so it is the least that the total can be.
