--- a/internal/admitter/demand.go
+++ b/internal/admitter/demand.go
@@ -35,8 +35,8 @@
 	at    timekeeper.Instant
 }
 
-// Note takes in what an entry has under way, the offered call included.
-func (demand *Demand) Note(entry string, work int64, now timekeeper.Instant) {
+// Record takes in what an entry has under way, the offered call included.
+func (demand *Demand) Record(entry string, work int64, now timekeeper.Instant) {
 	demand.forget(now)
 	at := slices.IndexFunc(demand.reports, func(reports demandReport) bool { return reports.entry == entry })
 	switch {
--- a/internal/admitter/demand_test.go
+++ b/internal/admitter/demand_test.go
@@ -26,7 +26,7 @@
 		Convey(test.name, t, func() {
 			var demand Demand
 			for _, told := range test.told {
-				demand.Note(told.entry, told.work, told.at)
+				demand.Record(told.entry, told.work, told.at)
 			}
 			got := demand.Raise(stale, test.now)
 			So(got.Total, ShouldEqual, test.want)
@@ -77,7 +77,7 @@
 		at := (home + attempt*(call%4+1)) % len(controllers)
 		now := mean
 		if told {
-			demands[at].Note("entry-1", int64(call+1)*work, 0)
+			demands[at].Record("entry-1", int64(call+1)*work, 0)
 			now = demands[at].Raise(mean, 0)
 		}
 		ticket := Ticket{ID: string(rune('a' + call)), Work: work, Class: 3}
--- a/internal/runner/slot.go
+++ b/internal/runner/slot.go
@@ -37,7 +37,7 @@
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	agent.adopt()
-	agent.demand.Note(offer.GetEntry(), offer.GetUnderWay(), arrived)
+	agent.demand.Record(offer.GetEntry(), offer.GetUnderWay(), arrived)
 	mean = agent.demand.Raise(mean, arrived)
 	if failure, ok := agent.bound(offer); ok {
 		return admitter.Decision{Outcome: admitter.Refused, Failure: failure}, nil
