--- a/internal/assembler/slopes_test.go
+++ b/internal/assembler/slopes_test.go
@@ -61,7 +61,7 @@
 		replicas[i] = "replica-" + strconv.Itoa(i)
 	}
 	for i := range count {
-		directory.Note(spreadHash(i), replicas[i%len(replicas)], 2000)
+		directory.Record(spreadHash(i), replicas[i%len(replicas)], 2000)
 	}
 	return directory
 }
--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -40,9 +40,9 @@
 	return &Directory{settings: settings, own: newPointerCache(), away: newPointerCache()}
 }
 
-// Note remembers that the chat ran at a replica and left a prefix of so many
+// Record remembers that the chat ran at a replica and left a prefix of so many
 // tokens there. Chat zero is no chat.
-func (directory *Directory) Note(chat uint64, where string, tokens int64) {
+func (directory *Directory) Record(chat uint64, where string, tokens int64) {
 	if chat == 0 || where == "" {
 		return
 	}
@@ -189,7 +189,7 @@
 // fetched it, and the copy here is the next to be evicted.
 func (directory *Directory) Left(chat uint64, where string) {
 	directory.Gone(chat)
-	directory.Note(chat, where, 0)
+	directory.Record(chat, where, 0)
 }
 
 // Move says what a leaving replica gives away of a chat.
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -56,12 +56,12 @@
 func (agent *Agent) noteChat(chat uint64, tokens int64) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	agent.places.Note(chat, agent.settings.Name, tokens)
+	agent.places.Record(chat, agent.settings.Name, tokens)
 }
 
 // notePointer remembers that a chat whose home is here ran elsewhere.
 func (agent *Agent) notePointer(put *encoder.PointerPut) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	agent.places.Note(put.GetChat(), put.GetInstance(), put.GetTokens())
+	agent.places.Record(put.GetChat(), put.GetInstance(), put.GetTokens())
 }
--- a/internal/runner/prefix.go
+++ b/internal/runner/prefix.go
@@ -157,7 +157,7 @@
 	if able {
 		// Noted before the import, so that hand-overs side by side don't all
 		// see the same room.
-		agent.places.Note(body.GetChat(), agent.settings.Name, body.GetTokens())
+		agent.places.Record(body.GetChat(), agent.settings.Name, body.GetTokens())
 	}
 	agent.mu.Unlock()
 	if !able {
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -186,7 +186,7 @@
 	for _, move := range gone.known.Handover(fleet.roster, placer.DirectorySize) {
 		home := fleet.members[move.To[0].Name]
 		if move.Where != "" {
-			home.known.Note(move.Chat, move.Where, 0)
+			home.known.Record(move.Chat, move.Where, 0)
 			continue
 		}
 		tokens := gone.cache.tokens(move.Chat)
@@ -194,8 +194,8 @@
 			to := fleet.members[replica.Name]
 			if tokens > 0 && to.cache.used+tokens <= to.cache.room {
 				to.cache.put(move.Chat, tokens)
-				to.known.Note(move.Chat, to.name, tokens)
-				home.known.Note(move.Chat, to.name, tokens)
+				to.known.Record(move.Chat, to.name, tokens)
+				home.known.Record(move.Chat, to.name, tokens)
 				break
 			}
 		}
@@ -259,7 +259,7 @@
 		if taken {
 			for _, keeper := range plan.Holders(stop.Replica) {
 				if member := fleet.members[keeper.Name]; member != nil {
-					member.known.Note(request.chat, stop.Replica.Name, request.work())
+					member.known.Record(request.chat, stop.Replica.Name, request.work())
 				}
 			}
 			return
@@ -340,7 +340,7 @@
 		share := float64(total+request.work()) / float64(len(fleet.members))
 		fleet.worst = max(fleet.worst, float64(held)/share)
 		request.fetched = fleet.fetch(member, visit)
-		member.known.Note(request.chat, name, request.work())
+		member.known.Record(request.chat, name, request.work())
 		fleet.waiting[request.id] = request
 		member.busy[request.chat]++
 	}
