--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -69,10 +69,10 @@
 	directory.shrink()
 }
 
-// Where returns a replica that has the chat's prefix, or "". The directory's
+// Locate returns a replica that has the chat's prefix, or "". The directory's
 // own replica comes first: a busy chat has copies at several, and the one that
 // is asked already costs no hop.
-func (directory *Directory) Where(chat uint64) string {
+func (directory *Directory) Locate(chat uint64) string {
 	if _, ok := directory.own.get(chat); ok {
 		return directory.settings.Self
 	}
@@ -82,7 +82,7 @@
 
 // Cold reports whether an offer has no prefix here and may still go elsewhere.
 func (directory *Directory) Cold(chat uint64, attempt int) bool {
-	return attempt < MaxOffers-1 && directory.Where(chat) != directory.settings.Self
+	return attempt < MaxOffers-1 && directory.Locate(chat) != directory.settings.Self
 }
 
 // Len returns how many chats the directory knows.
@@ -126,7 +126,7 @@
 	if visit.Chat == 0 || len(visit.Ranked) < 2 {
 		return false
 	}
-	where := directory.Where(visit.Chat)
+	where := directory.Locate(visit.Chat)
 	home := visit.Ranked[0] == directory.settings.Self
 	switch {
 	case visit.Seek:
@@ -152,7 +152,7 @@
 	if !visit.Fetches || visit.Chat == 0 || len(visit.Ranked) < needed {
 		return ""
 	}
-	where := directory.Where(visit.Chat)
+	where := directory.Locate(visit.Chat)
 	home := visit.Ranked[0] == directory.settings.Self
 	switch {
 	case where == directory.settings.Self:
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -39,7 +39,7 @@
 		return "", ""
 	}
 	agent.mu.Lock()
-	where = agent.places.Where(offer.GetChat())
+	where = agent.places.Locate(offer.GetChat())
 	agent.mu.Unlock()
 	if where == agent.settings.Name {
 		where = ""
--- a/internal/runner/fetch_test.go
+++ b/internal/runner/fetch_test.go
@@ -145,7 +145,7 @@
 			So(trio.turn(t, "a", test.ranked...), ShouldEqual, test.cached)
 			So(timekeeper.Wall().Now().Since(begun), ShouldBeLessThan, turnDeadline)
 			if test.evicted {
-				So(trio.agents["b"].places.Where(7) == "b", ShouldEqual, test.running)
+				So(trio.agents["b"].places.Locate(7) == "b", ShouldEqual, test.running)
 			}
 		})
 	}
@@ -178,7 +178,7 @@
 				trio.agents[name].places.Resize(test.room)
 			}
 			So(trio.agents["b"].Drain(t.Context()), ShouldBeNil)
-			taken := trio.agents["a"].places.Where(7) == "a" || trio.agents["c"].places.Where(7) == "c"
+			taken := trio.agents["a"].places.Locate(7) == "a" || trio.agents["c"].places.Locate(7) == "c"
 			So(taken, ShouldEqual, test.taken)
 		})
 	}
--- a/internal/runner/prefix.go
+++ b/internal/runner/prefix.go
@@ -113,7 +113,7 @@
 // givePrefix answers a replica that asks for the prefix of a chat.
 func (agent *Agent) givePrefix(ctx context.Context, ask *encoder.PrefixAsk) *encoder.PrefixBody {
 	agent.mu.Lock()
-	where, tokens := agent.places.Where(ask.GetChat()), agent.places.Tokens(ask.GetChat())
+	where, tokens := agent.places.Locate(ask.GetChat()), agent.places.Tokens(ask.GetChat())
 	longest, able := agent.service.LongestFetch, agent.upstream.service.CachePath != ""
 	agent.mu.Unlock()
 	none := &encoder.PrefixBody{Chat: ask.GetChat(), Kind: classifier.NotFound.String()}
@@ -152,7 +152,7 @@
 	answer := &encoder.PointerAnswer{Chat: body.GetChat()}
 	agent.mu.Lock()
 	able := agent.upstream.service.CachePath != "" && !agent.draining && agent.places.Fits(body.GetTokens())
-	known := agent.places.Where(body.GetChat()) == agent.settings.Name
+	known := agent.places.Locate(body.GetChat()) == agent.settings.Name
 	longest := agent.service.LongestFetch
 	if able {
 		// Noted before the import, so that hand-overs side by side don't all
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -274,7 +274,7 @@
 		return placer.Refusal{}, false
 	}
 	refusal := placer.Refusal{}
-	if where := member.known.Where(visit.Chat); where != name {
+	if where := member.known.Locate(visit.Chat); where != name {
 		refusal.Where = where
 	}
 	visit.Settling, visit.Fetches = fleet.now.Since(member.born) < fleet.settle, fleet.policy.fetch
@@ -299,7 +299,7 @@
 			from.known.Gone(visit.Chat)
 		}
 		// The pointer is followed once.
-		from = fleet.members[from.known.Where(visit.Chat)]
+		from = fleet.members[from.known.Locate(visit.Chat)]
 	}
 	if from == nil || from == member || from.cache.tokens(visit.Chat) == 0 {
 		return 0
