--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -80,8 +80,8 @@
 	return found.where
 }
 
-// Cold reports whether an offer has no prefix here and may still go elsewhere.
-func (directory *Directory) Cold(chat uint64, attempt int) bool {
+// PrefixMiss reports whether an offer has no prefix here and may still go elsewhere.
+func (directory *Directory) PrefixMiss(chat uint64, attempt int) bool {
 	return attempt < MaxOffers-1 && directory.Locate(chat) != directory.settings.Self
 }
 
--- a/internal/runner/slot.go
+++ b/internal/runner/slot.go
@@ -73,7 +73,7 @@
 		Class:       uint8(min(offer.GetClass(), lastClass)),
 		Work:        offer.GetWork(),
 		LastAttempt: offer.GetAttempt() >= placer.MaxOffers-1,
-		PrefixMiss:  agent.places.Cold(offer.GetChat(), int(offer.GetAttempt())),
+		PrefixMiss:  agent.places.PrefixMiss(offer.GetChat(), int(offer.GetAttempt())),
 		Arrived:     arrived,
 	}
 	if offer.GetDeadline() > 0 {
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -326,7 +326,7 @@
 		Arrived: fleet.now, Deadline: fleet.now.Add(request.deadline),
 	}
 	ticket.LastAttempt = visit.Attempt >= placer.MaxOffers-1
-	ticket.PrefixMiss = member.known.Cold(request.chat, visit.Attempt)
+	ticket.PrefixMiss = member.known.PrefixMiss(request.chat, visit.Attempt)
 	if fleet.policy.plain {
 		ticket.Team, ticket.Class, ticket.Deadline = "", 3, 0
 	}
