--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -106,7 +106,7 @@
 	Fetches bool
 }
 
-// Moved decides whether the offer is better sent on to where its prefix is.
+// ShouldRedirect decides whether the offer is better sent on to where its prefix is.
 //
 // It is made for a fleet in which replicas come and go while chats return: the
 // harm is a long prompt that is read again though its prefix lies cached one
@@ -122,7 +122,7 @@
 //
 // After two refusals the third candidate takes the chat, so no offer is sent
 // around in circles by replicas that disagree.
-func (directory *Directory) Moved(visit Visit) bool {
+func (directory *Directory) ShouldRedirect(visit Visit) bool {
 	if visit.Chat == 0 || len(visit.Ranked) < 2 {
 		return false
 	}
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -14,7 +14,7 @@
 	if agent.service.Kind != resolver.KindModel {
 		return classifier.Failure{}, false
 	}
-	if !agent.places.Moved(agent.visit(offer, now)) {
+	if !agent.places.ShouldRedirect(agent.visit(offer, now)) {
 		return classifier.Failure{}, false
 	}
 	return classifier.New(classifier.Moved, "the chat last ran at another replica"), true
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -278,7 +278,7 @@
 		refusal.Where = where
 	}
 	visit.Settling, visit.Fetches = fleet.now.Since(member.born) < fleet.settle, fleet.policy.fetch
-	if member.known.Moved(visit) {
+	if member.known.ShouldRedirect(visit) {
 		fleet.results[request.id].offers++
 		refusal.Moved = true
 		return refusal, false
