--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -139,7 +139,7 @@
 	return home && visit.Settling && !visit.Fetches
 }
 
-// Source returns the replica that a taken offer's prefix is best fetched from,
+// FetchSource returns the replica that a taken offer's prefix is best fetched from,
 // or "" when there is none to ask.
 //
 // It is made for two loads. A replica that joins stays empty while the former
@@ -147,7 +147,7 @@
 // runner-up. And a chat that spilled at the bound reads a long prompt anew
 // though its home has it; so it asks the home. One replica is asked, once, and
 // its word costs a message where it knows nothing.
-func (directory *Directory) Source(visit Visit) string {
+func (directory *Directory) FetchSource(visit Visit) string {
 	const needed = 2
 	if !visit.Fetches || visit.Chat == 0 || len(visit.Ranked) < needed {
 		return ""
--- a/internal/runner/fetch.go
+++ b/internal/runner/fetch.go
@@ -31,7 +31,7 @@
 	agent.mu.Lock()
 	source, longest := "", agent.service.LongestFetch
 	if agent.fetches() {
-		source = agent.places.Source(agent.visit(offer, arrived))
+		source = agent.places.FetchSource(agent.visit(offer, arrived))
 	}
 	agent.mu.Unlock()
 	if deadline := timekeeper.Span(offer.GetDeadline()); deadline > 0 {
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -293,7 +293,7 @@
 
 // fetch brings the prefix of a request that was taken from where it is.
 func (fleet *fleet) fetch(member *member, visit placer.Visit) int64 {
-	from := fleet.members[member.known.Source(visit)]
+	from := fleet.members[member.known.FetchSource(visit)]
 	if from != nil && from.cache.tokens(visit.Chat) == 0 {
 		if from.busy[visit.Chat] == 0 {
 			from.known.Gone(visit.Chat)
