--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -173,8 +173,8 @@
 	return directory.settings.CacheTokens == 0 || directory.tokens+tokens <= directory.settings.CacheTokens
 }
 
-// Tokens returns how long the prefix is that the replica has of the chat.
-func (directory *Directory) Tokens(chat uint64) int64 {
+// PrefixTokens returns how long the prefix is that the replica has of the chat.
+func (directory *Directory) PrefixTokens(chat uint64) int64 {
 	found, _ := directory.own.get(chat)
 	return found.tokens
 }
--- a/internal/runner/prefix.go
+++ b/internal/runner/prefix.go
@@ -113,7 +113,7 @@
 // givePrefix answers a replica that asks for the prefix of a chat.
 func (agent *Agent) givePrefix(ctx context.Context, ask *encoder.PrefixAsk) *encoder.PrefixBody {
 	agent.mu.Lock()
-	where, tokens := agent.places.Locate(ask.GetChat()), agent.places.Tokens(ask.GetChat())
+	where, tokens := agent.places.Locate(ask.GetChat()), agent.places.PrefixTokens(ask.GetChat())
 	longest, able := agent.service.LongestFetch, agent.upstream.service.CachePath != ""
 	agent.mu.Unlock()
 	none := &encoder.PrefixBody{Chat: ask.GetChat(), Kind: classifier.NotFound.String()}
