--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -179,16 +179,16 @@
 	return found.tokens
 }
 
-// Gone forgets a prefix that the engine turned out not to have. Engines tell of
+// Forget forgets a prefix that the engine turned out not to have. Engines tell of
 // evictions late and with gaps; what they answer when asked is what repairs.
-func (directory *Directory) Gone(chat uint64) {
+func (directory *Directory) Forget(chat uint64) {
 	directory.tokens -= directory.own.drop(chat).tokens
 }
 
 // Left forgets that the chat's prefix is here: it went to the replica that
 // fetched it, and the copy here is the next to be evicted.
 func (directory *Directory) Left(chat uint64, where string) {
-	directory.Gone(chat)
+	directory.Forget(chat)
 	directory.Record(chat, where, 0)
 }
 
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -296,7 +296,7 @@
 	from := fleet.members[member.known.FetchSource(visit)]
 	if from != nil && from.cache.tokens(visit.Chat) == 0 {
 		if from.busy[visit.Chat] == 0 {
-			from.known.Gone(visit.Chat)
+			from.known.Forget(visit.Chat)
 		}
 		// The pointer is followed once.
 		from = fleet.members[from.known.Locate(visit.Chat)]
