--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -185,9 +185,9 @@
 	directory.tokens -= directory.own.drop(chat).tokens
 }
 
-// Left forgets that the chat's prefix is here: it went to the replica that
+// RecordTransfer forgets that the chat's prefix is here: it went to the replica that
 // fetched it, and the copy here is the next to be evicted.
-func (directory *Directory) Left(chat uint64, where string) {
+func (directory *Directory) RecordTransfer(chat uint64, where string) {
 	directory.Forget(chat)
 	directory.Record(chat, where, 0)
 }
--- a/internal/runner/prefix.go
+++ b/internal/runner/prefix.go
@@ -140,7 +140,7 @@
 	case err != nil:
 		return none
 	case ask.GetRelease():
-		agent.places.Left(ask.GetChat(), ask.GetAsker())
+		agent.places.RecordTransfer(ask.GetChat(), ask.GetAsker())
 	}
 	return &encoder.PrefixBody{Chat: ask.GetChat(), Body: body, Tokens: tokens}
 }
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -307,7 +307,7 @@
 	tokens := from.cache.tokens(visit.Chat)
 	if visit.Ranked[0] == member.name {
 		from.cache.demote(visit.Chat)
-		from.known.Left(visit.Chat, member.name)
+		from.known.RecordTransfer(visit.Chat, member.name)
 	}
 	member.cache.put(visit.Chat, tokens)
 	fleet.fetched += tokens
