--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -97,8 +97,8 @@
 	Attempt int
 	// Ranked are the candidates as the entry ranks them; the first is the home.
 	Ranked []string
-	// Seek says that the offer came for the chat's prefix alone.
-	Seek bool
+	// OnlyIfCached says that the offer came for the chat's prefix alone.
+	OnlyIfCached bool
 	// Settling says that the replica started lately, so chats that it doesn't
 	// know may have run at the runner-up before.
 	Settling bool
@@ -129,7 +129,7 @@
 	where := directory.Locate(visit.Chat)
 	home := visit.Ranked[0] == directory.settings.Self
 	switch {
-	case visit.Seek:
+	case visit.OnlyIfCached:
 		return where != directory.settings.Self
 	case visit.Attempt > 0:
 		return false
