--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -99,9 +99,9 @@
 	Ranked []string
 	// OnlyIfCached says that the offer came for the chat's prefix alone.
 	OnlyIfCached bool
-	// Settling says that the replica started lately, so chats that it doesn't
+	// RecentlyStarted says that the replica started lately, so chats that it doesn't
 	// know may have run at the runner-up before.
-	Settling bool
+	RecentlyStarted bool
 	// Fetches says that the replica can fetch a prefix from another.
 	Fetches bool
 }
@@ -136,7 +136,7 @@
 	case where != "":
 		return where != directory.settings.Self && home
 	}
-	return home && visit.Settling && !visit.Fetches
+	return home && visit.RecentlyStarted && !visit.Fetches
 }
 
 // FetchSource returns the replica that a taken offer's prefix is best fetched from,
@@ -161,7 +161,7 @@
 		return where
 	case !home:
 		return visit.Ranked[0]
-	case visit.Settling:
+	case visit.RecentlyStarted:
 		return visit.Ranked[1]
 	}
 	return ""
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -23,12 +23,12 @@
 // visit returns an offer as the directory sees it; the lock must be held.
 func (agent *Agent) visit(offer *encoder.Offer, now timekeeper.Instant) placer.Visit {
 	return placer.Visit{
-		Chat:         offer.GetChat(),
-		Attempt:      int(offer.GetAttempt()),
-		Ranked:       offer.GetCandidates(),
-		OnlyIfCached: offer.GetSeek(),
-		Settling:     now.Since(agent.born) < *agent.service.SettleTime,
-		Fetches:      agent.fetches(),
+		Chat:            offer.GetChat(),
+		Attempt:         int(offer.GetAttempt()),
+		Ranked:          offer.GetCandidates(),
+		OnlyIfCached:    offer.GetSeek(),
+		RecentlyStarted: now.Since(agent.born) < *agent.service.SettleTime,
+		Fetches:         agent.fetches(),
 	}
 }
 
