--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -102,8 +102,8 @@
 	// RecentlyStarted says that the replica started lately, so chats that it doesn't
 	// know may have run at the runner-up before.
 	RecentlyStarted bool
-	// Fetches says that the replica can fetch a prefix from another.
-	Fetches bool
+	// CanFetch says that the replica can fetch a prefix from another.
+	CanFetch bool
 }
 
 // ShouldRedirect decides whether the offer is better sent on to where its prefix is.
@@ -136,7 +136,7 @@
 	case where != "":
 		return where != directory.settings.Self && home
 	}
-	return home && visit.RecentlyStarted && !visit.Fetches
+	return home && visit.RecentlyStarted && !visit.CanFetch
 }
 
 // FetchSource returns the replica that a taken offer's prefix is best fetched from,
@@ -149,7 +149,7 @@
 // its word costs a message where it knows nothing.
 func (directory *Directory) FetchSource(visit Visit) string {
 	const needed = 2
-	if !visit.Fetches || visit.Chat == 0 || len(visit.Ranked) < needed {
+	if !visit.CanFetch || visit.Chat == 0 || len(visit.Ranked) < needed {
 		return ""
 	}
 	where := directory.Locate(visit.Chat)
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -28,7 +28,7 @@
 		Ranked:          offer.GetCandidates(),
 		OnlyIfCached:    offer.GetSeek(),
 		RecentlyStarted: now.Since(agent.born) < *agent.service.SettleTime,
-		Fetches:         agent.fetches(),
+		CanFetch:        agent.fetches(),
 	}
 }
 
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -277,7 +277,7 @@
 	if where := member.known.Locate(visit.Chat); where != name {
 		refusal.Where = where
 	}
-	visit.RecentlyStarted, visit.Fetches = fleet.now.Since(member.born) < fleet.settle, fleet.policy.fetch
+	visit.RecentlyStarted, visit.CanFetch = fleet.now.Since(member.born) < fleet.settle, fleet.policy.fetch
 	if member.known.ShouldRedirect(visit) {
 		fleet.results[request.id].offers++
 		refusal.Moved = true
