--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -90,8 +90,8 @@
 	return len(directory.own.byChat) + len(directory.away.byChat)
 }
 
-// Visit is a chat's offer at a replica, as far as the directory decides it.
-type Visit struct {
+// ChatOffer is a chat's offer at a replica, as far as the directory decides it.
+type ChatOffer struct {
 	Chat uint64
 	// Attempt is 0 for the first candidate of the offer.
 	Attempt int
@@ -122,7 +122,7 @@
 //
 // After two refusals the third candidate takes the chat, so no offer is sent
 // around in circles by replicas that disagree.
-func (directory *Directory) ShouldRedirect(visit Visit) bool {
+func (directory *Directory) ShouldRedirect(visit ChatOffer) bool {
 	if visit.Chat == 0 || len(visit.Ranked) < 2 {
 		return false
 	}
@@ -147,7 +147,7 @@
 // runner-up. And a chat that spilled at the bound reads a long prompt anew
 // though its home has it; so it asks the home. One replica is asked, once, and
 // its word costs a message where it knows nothing.
-func (directory *Directory) FetchSource(visit Visit) string {
+func (directory *Directory) FetchSource(visit ChatOffer) string {
 	const needed = 2
 	if !visit.CanFetch || visit.Chat == 0 || len(visit.Ranked) < needed {
 		return ""
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -21,8 +21,8 @@
 }
 
 // visit returns an offer as the directory sees it; the lock must be held.
-func (agent *Agent) visit(offer *encoder.Offer, now timekeeper.Instant) placer.Visit {
-	return placer.Visit{
+func (agent *Agent) visit(offer *encoder.Offer, now timekeeper.Instant) placer.ChatOffer {
+	return placer.ChatOffer{
 		Chat:            offer.GetChat(),
 		Attempt:         int(offer.GetAttempt()),
 		Ranked:          offer.GetCandidates(),
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -239,7 +239,7 @@
 	fleet.results[request.id] = &result{request: request, wait: request.deadline}
 	if fleet.policy.order != nil {
 		for i, name := range fleet.policy.order(fleet, request) {
-			if i == placer.MaxOffers || fleet.offer(request, name, placer.Visit{Attempt: i}).Outcome != admitter.Refused {
+			if i == placer.MaxOffers || fleet.offer(request, name, placer.ChatOffer{Attempt: i}).Outcome != admitter.Refused {
 				return
 			}
 		}
@@ -252,7 +252,7 @@
 		if !ok || attempt > 0 && !stop.Free && !fleet.budget.Spend() {
 			return
 		}
-		visit := placer.Visit{
+		visit := placer.ChatOffer{
 			Chat: request.chat, Attempt: attempt, Ranked: plan.Ranked(), OnlyIfCached: stop.Seek,
 		}
 		refusal, taken := fleet.visit(request, stop.Replica.Name, visit)
@@ -268,7 +268,7 @@
 	}
 }
 
-func (fleet *fleet) visit(request request, name string, visit placer.Visit) (placer.Refusal, bool) {
+func (fleet *fleet) visit(request request, name string, visit placer.ChatOffer) (placer.Refusal, bool) {
 	member := fleet.members[name]
 	if member == nil {
 		return placer.Refusal{}, false
@@ -292,7 +292,7 @@
 }
 
 // fetch brings the prefix of a request that was taken from where it is.
-func (fleet *fleet) fetch(member *member, visit placer.Visit) int64 {
+func (fleet *fleet) fetch(member *member, visit placer.ChatOffer) int64 {
 	from := fleet.members[member.known.FetchSource(visit)]
 	if from != nil && from.cache.tokens(visit.Chat) == 0 {
 		if from.busy[visit.Chat] == 0 {
@@ -315,7 +315,7 @@
 }
 
 // offer brings a request to a replica's controller.
-func (fleet *fleet) offer(request request, name string, visit placer.Visit) admitter.Decision {
+func (fleet *fleet) offer(request request, name string, visit placer.ChatOffer) admitter.Decision {
 	member := fleet.members[name]
 	if member == nil {
 		return admitter.Decision{Outcome: admitter.Refused}
