--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -199,9 +199,9 @@
 	// To are the chat's home among the rest and the runners-up, which take the
 	// prefix when the home has no room for it.
 	To []Replica
-	// Where is the replica that has the prefix; "" means the leaving one, so
+	// Holder is the replica that has the prefix; "" means the leaving one, so
 	// that the prefix itself goes along.
-	Where string
+	Holder string
 }
 
 // Handover decides what a leaving replica gives away: the chats that ran here,
@@ -219,7 +219,7 @@
 			}
 			move := Move{Chat: pointer.chat, Tokens: pointer.tokens, To: ranked}
 			if pointer.where != directory.settings.Self {
-				move.Where = pointer.where
+				move.Holder = pointer.where
 			}
 			moves = append(moves, move)
 		}
--- a/internal/runner/handover.go
+++ b/internal/runner/handover.go
@@ -106,8 +106,8 @@
 // has room for it. A chat that isn't at its home then has a pointer there.
 func (giver *giver) one(ctx context.Context, move placer.Move) {
 	home := move.To[0]
-	if move.Where != "" {
-		giver.point(ctx, home, move, move.Where)
+	if move.Holder != "" {
+		giver.point(ctx, home, move, move.Holder)
 		return
 	}
 	if giver.left.Load() <= 0 {
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -185,8 +185,8 @@
 	}
 	for _, move := range gone.known.Handover(fleet.roster, placer.DirectorySize) {
 		home := fleet.members[move.To[0].Name]
-		if move.Where != "" {
-			home.known.Record(move.Chat, move.Where, 0)
+		if move.Holder != "" {
+			home.known.Record(move.Chat, move.Holder, 0)
 			continue
 		}
 		tokens := gone.cache.tokens(move.Chat)
