--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -36,7 +36,7 @@
 		if !ok || call.left <= 0 || (i > 0 && !stop.Free && !entry.budgets.spend(call.service)) {
 			break
 		}
-		call.seek, call.ranked = stop.Seek, route.Ranked()
+		call.seek, call.ranked = stop.OnlyIfCached, route.Ranked()
 		failure, done := entry.attempt(ctx, w, call, stop.Replica, i)
 		if done {
 			go entry.tellHolders(context.WithoutCancel(ctx), call, route.Holders(stop.Replica), stop.Replica)
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -9,9 +9,9 @@
 // Stop is a replica that an offer goes to.
 type Stop struct {
 	Replica Replica
-	// Seek says that the offer goes there for the chat's prefix alone: a replica
+	// OnlyIfCached says that the offer goes there for the chat's prefix alone: a replica
 	// that doesn't know the chat sends it back.
-	Seek bool
+	OnlyIfCached bool
 	// Free says that the stop follows a hint and is no retry after a failure.
 	Free bool
 }
@@ -131,7 +131,7 @@
 	}
 	// The home asked to look at the runner-up, without knowing more.
 	if plan.home && len(plan.visited) == 1 && plan.hint.Where == "" && len(plan.ranked) > 1 {
-		return Stop{Replica: plan.ranked[1], Seek: true, Free: true}, true
+		return Stop{Replica: plan.ranked[1], OnlyIfCached: true, Free: true}, true
 	}
 	if replica, ok := plan.fresh(plan.hint.Room); ok && len(plan.visited) == MaxOffers-1 {
 		return Stop{Replica: replica, Free: true}, true
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -253,7 +253,7 @@
 			return
 		}
 		visit := placer.ChatOffer{
-			Chat: request.chat, Attempt: attempt, Ranked: plan.Ranked(), OnlyIfCached: stop.Seek,
+			Chat: request.chat, Attempt: attempt, Ranked: plan.Ranked(), OnlyIfCached: stop.OnlyIfCached,
 		}
 		refusal, taken := fleet.visit(request, stop.Replica.Name, visit)
 		if taken {
