--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -33,7 +33,7 @@
 			stop, ok = route.Again()
 			i = placer.MaxOffers - 1
 		}
-		if !ok || call.left <= 0 || (i > 0 && !stop.Free && !entry.budgets.spend(call.service)) {
+		if !ok || call.left <= 0 || (i > 0 && !stop.BudgetExempt && !entry.budgets.spend(call.service)) {
 			break
 		}
 		call.seek, call.ranked = stop.OnlyIfCached, route.Ranked()
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -12,8 +12,8 @@
 	// OnlyIfCached says that the offer goes there for the chat's prefix alone: a replica
 	// that doesn't know the chat sends it back.
 	OnlyIfCached bool
-	// Free says that the stop follows a hint and is no retry after a failure.
-	Free bool
+	// BudgetExempt says that the stop follows a hint and is no retry after a failure.
+	BudgetExempt bool
 }
 
 // Refusal is what an plan reads in a refusal.
@@ -97,7 +97,7 @@
 		return Stop{}, false
 	}
 	stop, ok := plan.choose()
-	stop.Free = stop.Free || plan.hint.AtBound
+	stop.BudgetExempt = stop.BudgetExempt || plan.hint.AtBound
 	if ok {
 		plan.visited = append(plan.visited, stop.Replica.Name)
 	}
@@ -119,26 +119,26 @@
 	for len(plan.visited) < MaxOffers {
 		plan.visited = append(plan.visited, replica.Name)
 	}
-	return Stop{Replica: replica, Free: true}, ok
+	return Stop{Replica: replica, BudgetExempt: true}, ok
 }
 
 func (plan *AttemptPlan) choose() (Stop, bool) {
 	first := len(plan.visited) == 0
 	if !first {
 		if replica, ok := plan.fresh(plan.hint.Where); ok {
-			return Stop{Replica: replica, Free: plan.hint.Moved}, true
+			return Stop{Replica: replica, BudgetExempt: plan.hint.Moved}, true
 		}
 	}
 	// The home asked to look at the runner-up, without knowing more.
 	if plan.home && len(plan.visited) == 1 && plan.hint.Where == "" && len(plan.ranked) > 1 {
-		return Stop{Replica: plan.ranked[1], OnlyIfCached: true, Free: true}, true
+		return Stop{Replica: plan.ranked[1], OnlyIfCached: true, BudgetExempt: true}, true
 	}
 	if replica, ok := plan.fresh(plan.hint.Room); ok && len(plan.visited) == MaxOffers-1 {
-		return Stop{Replica: replica, Free: true}, true
+		return Stop{Replica: replica, BudgetExempt: true}, true
 	}
 	if plan.home && !first {
 		plan.home = false
-		return Stop{Replica: plan.ranked[0], Free: true}, true
+		return Stop{Replica: plan.ranked[0], BudgetExempt: true}, true
 	}
 	for _, replica := range plan.ranked {
 		if !slices.Contains(plan.visited, replica.Name) {
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -249,7 +249,7 @@
 	plan := placer.NewAttemptPlan(fleet.entry(), cmp.Or(request.chat, request.body), nil)
 	for attempt := 0; ; attempt++ {
 		stop, ok := plan.Next()
-		if !ok || attempt > 0 && !stop.Free && !fleet.budget.Spend() {
+		if !ok || attempt > 0 && !stop.BudgetExempt && !fleet.budget.Spend() {
 			return
 		}
 		visit := placer.ChatOffer{
