--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -6,8 +6,8 @@
 // saturated service costs, however many replicas it has.
 const MaxOffers = 3
 
-// Stop is a replica that an offer goes to.
-type Stop struct {
+// Attempt is a replica that an offer goes to.
+type Attempt struct {
 	Replica Replica
 	// OnlyIfCached says that the offer goes there for the chat's prefix alone: a replica
 	// that doesn't know the chat sends it back.
@@ -92,9 +92,9 @@
 }
 
 // Next returns the next stop; it returns false when there is none left.
-func (plan *AttemptPlan) Next() (Stop, bool) {
+func (plan *AttemptPlan) Next() (Attempt, bool) {
 	if len(plan.visited) >= MaxOffers || len(plan.ranked) == 0 {
-		return Stop{}, false
+		return Attempt{}, false
 	}
 	stop, ok := plan.choose()
 	stop.BudgetExempt = stop.BudgetExempt || plan.hint.AtBound
@@ -111,41 +111,41 @@
 // and the mean still counts all three. The symptom: the one that is left is over
 // its share of nothing, and callers are refused while its slots are free. Offered
 // as the last stop it gives a free slot, as it does to a call that three refused.
-func (plan *AttemptPlan) Again() (Stop, bool) {
+func (plan *AttemptPlan) Again() (Attempt, bool) {
 	if plan.bounded == "" || len(plan.visited) >= MaxOffers {
-		return Stop{}, false
+		return Attempt{}, false
 	}
 	replica, ok := plan.roster.Find(plan.bounded)
 	for len(plan.visited) < MaxOffers {
 		plan.visited = append(plan.visited, replica.Name)
 	}
-	return Stop{Replica: replica, BudgetExempt: true}, ok
+	return Attempt{Replica: replica, BudgetExempt: true}, ok
 }
 
-func (plan *AttemptPlan) choose() (Stop, bool) {
+func (plan *AttemptPlan) choose() (Attempt, bool) {
 	first := len(plan.visited) == 0
 	if !first {
 		if replica, ok := plan.fresh(plan.hint.Where); ok {
-			return Stop{Replica: replica, BudgetExempt: plan.hint.Moved}, true
+			return Attempt{Replica: replica, BudgetExempt: plan.hint.Moved}, true
 		}
 	}
 	// The home asked to look at the runner-up, without knowing more.
 	if plan.home && len(plan.visited) == 1 && plan.hint.Where == "" && len(plan.ranked) > 1 {
-		return Stop{Replica: plan.ranked[1], OnlyIfCached: true, BudgetExempt: true}, true
+		return Attempt{Replica: plan.ranked[1], OnlyIfCached: true, BudgetExempt: true}, true
 	}
 	if replica, ok := plan.fresh(plan.hint.Room); ok && len(plan.visited) == MaxOffers-1 {
-		return Stop{Replica: replica, BudgetExempt: true}, true
+		return Attempt{Replica: replica, BudgetExempt: true}, true
 	}
 	if plan.home && !first {
 		plan.home = false
-		return Stop{Replica: plan.ranked[0], BudgetExempt: true}, true
+		return Attempt{Replica: plan.ranked[0], BudgetExempt: true}, true
 	}
 	for _, replica := range plan.ranked {
 		if !slices.Contains(plan.visited, replica.Name) {
-			return Stop{Replica: replica}, true
+			return Attempt{Replica: replica}, true
 		}
 	}
-	return Stop{}, false
+	return Attempt{}, false
 }
 
 // fresh returns the named replica when the roster has it and it was not visited.
