--- a/internal/forwarder/route.go
+++ b/internal/forwarder/route.go
@@ -36,10 +36,10 @@
 // refusalOf returns what the plan reads in a failure.
 func (entry *Entry) refusalOf(call call, route *placer.AttemptPlan, failure classifier.Failure) placer.Refusal {
 	refusal := placer.Refusal{
-		Moved:   failure.Kind == classifier.Moved,
-		AtBound: failure.Kind == classifier.AtBound,
-		Where:   failure.Where,
-		Room:    failure.Room,
+		Moved:       failure.Kind == classifier.Moved,
+		AtBound:     failure.Kind == classifier.AtBound,
+		LastReplica: failure.Where,
+		Room:        failure.Room,
 	}
 	if refusal.AtBound {
 		refusal.Room = entry.roomiest(call, route, failure.Room)
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -25,8 +25,8 @@
 	// follows is a part of placing the call, which can't add to a saturation, and
 	// no charge on the retry budget.
 	AtBound bool
-	// Where is the replica that the chat last ran at, or "".
-	Where string
+	// LastReplica is the replica that the chat last ran at, or "".
+	LastReplica string
 	// Room is a replica with room, or "".
 	Room string
 }
@@ -125,12 +125,12 @@
 func (plan *AttemptPlan) choose() (Attempt, bool) {
 	first := len(plan.visited) == 0
 	if !first {
-		if replica, ok := plan.fresh(plan.hint.Where); ok {
+		if replica, ok := plan.fresh(plan.hint.LastReplica); ok {
 			return Attempt{Replica: replica, BudgetExempt: plan.hint.Moved}, true
 		}
 	}
 	// The home asked to look at the runner-up, without knowing more.
-	if plan.home && len(plan.visited) == 1 && plan.hint.Where == "" && len(plan.ranked) > 1 {
+	if plan.home && len(plan.visited) == 1 && plan.hint.LastReplica == "" && len(plan.ranked) > 1 {
 		return Attempt{Replica: plan.ranked[1], OnlyIfCached: true, BudgetExempt: true}, true
 	}
 	if replica, ok := plan.fresh(plan.hint.Room); ok && len(plan.visited) == MaxOffers-1 {
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -275,7 +275,7 @@
 	}
 	refusal := placer.Refusal{}
 	if where := member.known.Locate(visit.Chat); where != name {
-		refusal.Where = where
+		refusal.LastReplica = where
 	}
 	visit.RecentlyStarted, visit.CanFetch = fleet.now.Since(member.born) < fleet.settle, fleet.policy.fetch
 	if member.known.ShouldRedirect(visit) {
