--- a/internal/forwarder/route.go
+++ b/internal/forwarder/route.go
@@ -39,10 +39,10 @@
 		Moved:       failure.Kind == classifier.Moved,
 		AtBound:     failure.Kind == classifier.AtBound,
 		LastReplica: failure.Where,
-		Room:        failure.Room,
+		Alternative: failure.Room,
 	}
 	if refusal.AtBound {
-		refusal.Room = entry.roomiest(call, route, failure.Room)
+		refusal.Alternative = entry.roomiest(call, route, failure.Room)
 	}
 	return refusal
 }
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -27,8 +27,8 @@
 	AtBound bool
 	// LastReplica is the replica that the chat last ran at, or "".
 	LastReplica string
-	// Room is a replica with room, or "".
-	Room string
+	// Alternative is a replica with room, or "".
+	Alternative string
 }
 
 // AttemptPlan leads one call's offers: to the chat's home, then where a hint
@@ -133,7 +133,7 @@
 	if plan.home && len(plan.visited) == 1 && plan.hint.LastReplica == "" && len(plan.ranked) > 1 {
 		return Attempt{Replica: plan.ranked[1], OnlyIfCached: true, BudgetExempt: true}, true
 	}
-	if replica, ok := plan.fresh(plan.hint.Room); ok && len(plan.visited) == MaxOffers-1 {
+	if replica, ok := plan.fresh(plan.hint.Alternative); ok && len(plan.visited) == MaxOffers-1 {
 		return Attempt{Replica: replica, BudgetExempt: true}, true
 	}
 	if plan.home && !first {
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -286,7 +286,7 @@
 	decision := fleet.offer(request, name, visit)
 	if decision.Failure.Kind == classifier.AtBound {
 		refusal.AtBound = true
-		refusal.Room = fleet.least()
+		refusal.Alternative = fleet.least()
 	}
 	return refusal, decision.Outcome != admitter.Refused
 }
