--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -30,7 +30,7 @@
 		call.left = deadline.Since(entry.settings.Clock.Now())
 		stop, ok := route.Next()
 		if !ok {
-			stop, ok = route.Again()
+			stop, ok = route.RetryAtBound()
 			i = placer.MaxOffers - 1
 		}
 		if !ok || call.left <= 0 || (i > 0 && !stop.BudgetExempt && !entry.budgets.spend(call.service)) {
--- a/internal/placer/again_test.go
+++ b/internal/placer/again_test.go
@@ -25,12 +25,12 @@
 			route.Refused(test.refusal)
 			_, ok = route.Next()
 			So(ok, ShouldBeFalse)
-			last, ok := route.Again()
+			last, ok := route.RetryAtBound()
 			So(ok, ShouldEqual, test.again)
 			if ok {
 				So(last.Replica.Name, ShouldEqual, first.Replica.Name)
 			}
-			_, ok = route.Again()
+			_, ok = route.RetryAtBound()
 			So(ok, ShouldBeFalse)
 		})
 	}
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -104,14 +104,14 @@
 	return stop, ok
 }
 
-// Again returns the replica that refused at its bound once more, as the last
+// RetryAtBound returns the replica that refused at its bound once more, as the last
 // stop, when no other is left before the plan is at its full length.
 //
 // The failure: a service of three has one replica stopped and one not yet known,
 // and the mean still counts all three. The symptom: the one that is left is over
 // its share of nothing, and callers are refused while its slots are free. Offered
 // as the last stop it gives a free slot, as it does to a call that three refused.
-func (plan *AttemptPlan) Again() (Attempt, bool) {
+func (plan *AttemptPlan) RetryAtBound() (Attempt, bool) {
 	if plan.bounded == "" || len(plan.visited) >= MaxOffers {
 		return Attempt{}, false
 	}
