--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -56,7 +56,7 @@
 		if !attempts.add(call, failure) {
 			break
 		}
-		route.Refused(entry.refusalOf(call, route, failure))
+		route.RecordRefusal(entry.refusalOf(call, route, failure))
 	}
 	return giveUp(attempts.failure())
 }
--- a/internal/placer/again_test.go
+++ b/internal/placer/again_test.go
@@ -22,7 +22,7 @@
 			route := NewAttemptPlan(NewRoster([]Replica{{Name: "orders-1"}}), 7, nil)
 			first, ok := route.Next()
 			So(ok, ShouldBeTrue)
-			route.Refused(test.refusal)
+			route.RecordRefusal(test.refusal)
 			_, ok = route.Next()
 			So(ok, ShouldBeFalse)
 			last, ok := route.RetryAtBound()
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -80,8 +80,8 @@
 	return slices.Contains(plan.visited, name)
 }
 
-// Refused takes in the refusal of the last stop.
-func (plan *AttemptPlan) Refused(refusal Refusal) {
+// RecordRefusal takes in the refusal of the last stop.
+func (plan *AttemptPlan) RecordRefusal(refusal Refusal) {
 	plan.hint = refusal
 	if refusal.AtBound && len(plan.visited) > 0 {
 		plan.bounded = plan.visited[len(plan.visited)-1]
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -264,7 +264,7 @@
 			}
 			return
 		}
-		plan.Refused(refusal)
+		plan.RecordRefusal(refusal)
 	}
 }
 
