--- a/internal/forwarder/demand.go
+++ b/internal/forwarder/demand.go
@@ -80,7 +80,7 @@
 	defer entry.demand.mu.Unlock()
 	best, least := "", int64(0)
 	for _, replica := range sample {
-		if route.Visited(replica.Name) {
+		if route.Attempted(replica.Name) {
 			continue
 		}
 		work := entry.demand.byReplica[place{call.service, replica.Name}]
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -75,8 +75,8 @@
 	return slices.DeleteFunc(holders, func(keeper Replica) bool { return keeper.Name == served.Name })
 }
 
-// Visited reports whether a replica was a stop already.
-func (plan *AttemptPlan) Visited(name string) bool {
+// Attempted reports whether a replica was a stop already.
+func (plan *AttemptPlan) Attempted(name string) bool {
 	return slices.Contains(plan.visited, name)
 }
 
