--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -39,7 +39,7 @@
 		call.seek, call.ranked = stop.OnlyIfCached, route.Ranked()
 		failure, done := entry.attempt(ctx, w, call, stop.Replica, i)
 		if done {
-			go entry.tellHolders(context.WithoutCancel(ctx), call, route.Holders(stop.Replica), stop.Replica)
+			go entry.tellHolders(context.WithoutCancel(ctx), call, route.PointerHolders(stop.Replica), stop.Replica)
 			return nil
 		}
 		entry.logAttempt(call, stop.Replica, failure)
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -65,9 +65,9 @@
 	return names
 }
 
-// Holders returns the replicas that are to know where the chat ran: its home,
+// PointerHolders returns the replicas that are to know where the chat ran: its home,
 // and the runner-up, which is the home should the home fail.
-func (plan *AttemptPlan) Holders(served Replica) []Replica {
+func (plan *AttemptPlan) PointerHolders(served Replica) []Replica {
 	if plan.ranked[0].Name == served.Name {
 		return nil
 	}
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -257,7 +257,7 @@
 		}
 		refusal, taken := fleet.visit(request, stop.Replica.Name, visit)
 		if taken {
-			for _, keeper := range plan.Holders(stop.Replica) {
+			for _, keeper := range plan.PointerHolders(stop.Replica) {
 				if member := fleet.members[keeper.Name]; member != nil {
 					member.known.Record(request.chat, stop.Replica.Name, request.work())
 				}
