--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -2,18 +2,18 @@
 
 // Settings set up a budget. The zero value of a field means its default.
 type Settings struct {
-	// Share is how many retries each call earns; zero means a half. At a half
+	// Ratio is how many retries each call earns; zero means a half. At a half
 	// the agents of a saturated service see at most 1.5 offers a call, while a
 	// service in which every third call spills is still served whole.
-	Share float64
+	Ratio float64
 	// Reserve is how many retries are there at the start, and the most that
 	// quiet times save up; zero means 20.
 	Reserve float64
 }
 
 func (settings Settings) withDefaults() Settings {
-	if settings.Share == 0 {
-		settings.Share = 0.5
+	if settings.Ratio == 0 {
+		settings.Ratio = 0.5
 	}
 	if settings.Reserve == 0 {
 		settings.Reserve = 20
@@ -36,7 +36,7 @@
 
 // Earn notes a call.
 func (budget *Budget) Earn() {
-	budget.left = min(budget.settings.Reserve, budget.left+budget.settings.Share)
+	budget.left = min(budget.settings.Reserve, budget.left+budget.settings.Ratio)
 }
 
 // Spend takes one retry out of the budget and reports whether there was one.
--- a/internal/retrier/budget_test.go
+++ b/internal/retrier/budget_test.go
@@ -13,7 +13,7 @@
 func TestRetriesStayWithinTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{
-			Share:   rapid.Float64Range(0.01, 2).Draw(t, "share"),
+			Ratio:   rapid.Float64Range(0.01, 2).Draw(t, "share"),
 			Reserve: rapid.Float64Range(1, 50).Draw(t, "reserve"),
 		}
 		budget := NewBudget(settings)
@@ -30,7 +30,7 @@
 			case budget.Spend():
 				retries++
 			}
-			if most := settings.Reserve + calls*settings.Share; retries > most+1e-9 {
+			if most := settings.Reserve + calls*settings.Ratio; retries > most+1e-9 {
 				t.Fatalf("%v retries after %v calls and %d quiet ones; the most is %v", retries, calls, quiet, most)
 			}
 		}
@@ -48,7 +48,7 @@
 		retries  int
 	}{
 		{"defaults", Settings{}, 519},
-		{"a tenth", Settings{Share: 0.1, Reserve: 10}, 109},
+		{"a tenth", Settings{Ratio: 0.1, Reserve: 10}, 109},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
