--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -270,7 +270,7 @@
 	defer entry.mu.Unlock()
 	left := make(map[string]float64, len(entry.budgets))
 	for service, window := range entry.budgets {
-		left[service] = window.Left(sharers, now)
+		left[service] = window.Remaining(sharers, now)
 	}
 	return left
 }
--- a/internal/retrier/window.go
+++ b/internal/retrier/window.go
@@ -64,15 +64,15 @@
 // Spend takes one retry and reports whether there was one. parts is among how
 // many entries the allowance is shared.
 func (window *Window) Spend(parts int, now timekeeper.Instant) bool {
-	if window.Left(parts, now) < 1 {
+	if window.Remaining(parts, now) < 1 {
 		return false
 	}
 	window.slot(now).retries++
 	return true
 }
 
-// Left returns how many retries there are: less than one means none.
-func (window *Window) Left(parts int, now timekeeper.Instant) float64 {
+// Remaining returns how many retries there are: less than one means none.
+func (window *Window) Remaining(parts int, now timekeeper.Instant) float64 {
 	current := window.slot(now).number
 	requests, retries := 0.0, 0.0
 	for _, slot := range window.slots {
