--- a/internal/admitter/controller.go
+++ b/internal/admitter/controller.go
@@ -7,18 +7,20 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Ticket is one offer at the controller.
+// Ticket is one call that is offered to the controller.
 type Ticket struct {
 	ID   string
 	Team string
-	// Weight is the team's share; zero means 1.
+	// Weight is the team's weight in fair queuing; zero means 1.
 	Weight int
 	Class  uint8
-	Work   int64
-	// PrefixMiss says that no prefix of the call is cached here, so that it runs as
-	// well elsewhere.
+	// Work is the estimated work of the call, in tokens.
+	Work int64
+	// PrefixMiss is true if the replica caches no prefix of the call, so that the
+	// call runs as well on another replica.
 	PrefixMiss bool
-	// LastAttempt says that the offer goes nowhere else if it is refused here.
+	// LastAttempt is true if the call isn't offered to another replica after a
+	// refusal by this one.
 	LastAttempt bool
 	Arrived     timekeeper.Instant
 	Deadline    timekeeper.Instant
@@ -34,7 +36,7 @@
 	Refused
 )
 
-// String returns the outcome's name as it stands in logs.
+// String returns the outcome's name for logs.
 func (outcome Outcome) String() string {
 	return [...]string{"none", "granted", "queued", "refused"}[outcome]
 }
@@ -42,15 +44,15 @@
 // Decision is a controller's answer to an offer.
 type Decision struct {
 	Outcome Outcome
-	// Failure is the reason of a refusal, with the span after which a retry is welcome.
+	// Failure is the reason of a refusal, with the time after which to retry.
 	Failure classifier.Failure
-	// EstimatedWait is the wait that the controller expects for the ticket.
+	// EstimatedWait is the expected time in the queue.
 	EstimatedWait timekeeper.Span
-	// Displaced are waiting tickets that lost their place to this one. They
-	// have not run and must be told so at once.
+	// Displaced are tickets that were removed from the queue in favour of this
+	// one. They have not run; the caller must refuse them at once.
 	Displaced []Ticket
-	// Load is the work held with the ticket, and Bound what the mean allowed
-	// without it; a bound of zero means that none applied.
+	// Load is the work held, the ticket included, and Bound the limit that the
+	// mean set for the work held before it; zero means that there was no bound.
 	Load  int64
 	Bound int64
 }
@@ -74,45 +76,46 @@
 	limits  Limits
 	running map[string]grant
 	waiting []Ticket
-	// places counts the waiting tickets of each team.
-	places map[string]int
-	rotas  [classes]rota
-	grants uint64
-	pace   pace
-	work   int64
+	// waitingByTeam counts the waiting tickets of each team.
+	waitingByTeam map[string]int
+	schedulers    [classCount]scheduler
+	grants        uint64
+	timing        timing
+	work          int64
+	// urgent counts the running tickets that are urgent.
 	urgent int
 }
 
 // NewController returns an empty controller. It panics when a limit is out of its range.
 func NewController(limits Limits) *Controller {
-	return &Controller{limits: limits.checked(), running: map[string]grant{}, places: map[string]int{}}
+	return &Controller{limits: limits.validated(), running: map[string]grant{}, waitingByTeam: map[string]int{}}
 }
 
 const (
-	badLimits    = "admitter: a controller needs a slot for each class of work"
-	knownTicket  = "admitter: the ticket is at the controller already"
-	detailBound  = "the replica is at its share of the service's load"
-	detailQueue  = "the queue is full"
-	detailWait   = "the wait would pass the deadline"
-	detailPushed = "a team under its share took the place in the queue"
+	invalidLimits   = "admitter: Slots must be positive and exceed UrgentSlots, and QueueLength must not be negative"
+	duplicateTicket = "admitter: the controller already holds a ticket with this ID"
+	detailBound     = "the replica's load has reached its bound relative to the service's mean"
+	detailQueue     = "the queue is full"
+	detailWait      = "the wait would pass the deadline"
+	detailDisplaced = "a call of a team below its share took the place in the queue"
 )
 
-// Offer decides about a ticket at the instant of its arrival. It panics when a
-// ticket of the same ID is at the controller.
+// Offer decides about a ticket at the instant of its arrival. It panics when the
+// controller holds a ticket of the same ID.
 //
-// The order of the checks is the order of the harm they prevent: the bound
-// keeps one engine from being crushed while others idle, the deadline keeps
-// work from being done that nobody waits for any more, and the queue's cap
-// bounds the memory and the wait of a burst that outruns the slots.
+// The checks are ordered by the severity of what they prevent: the bound keeps
+// one engine from being overloaded while others idle, the deadline keeps the
+// engine from work whose caller has given up, and the queue's limit bounds memory
+// and waiting time in a burst that exceeds the slots.
 func (controller *Controller) Offer(ticket Ticket, mean Mean) Decision {
 	if controller.Holds(ticket.ID) {
-		panic(knownTicket)
+		panic(duplicateTicket)
 	}
 	bound := controller.bound(ticket, mean)
 	if controller.work >= bound {
 		return controller.refuse(classifier.AtBound, detailBound, 0)
 	}
-	decision := controller.seat(ticket)
+	decision := controller.admit(ticket)
 	if decision.Outcome != Refused {
 		decision.Load = controller.work
 	}
@@ -122,17 +125,17 @@
 	return decision
 }
 
-// bound returns what the mean allows the controller to hold before the ticket.
+// bound returns the limit that the mean sets for the work held before the ticket.
 func (controller *Controller) bound(ticket Ticket, mean Mean) int64 {
 	bound := controller.limits.Bound(mean, controller.work, ticket)
-	if controller.work >= bound && controller.spared(ticket, mean) {
+	if controller.work >= bound && controller.exemptFromBound(ticket, mean) {
 		return unbounded
 	}
 	return bound
 }
 
-// WorkBound returns what the mean allows the controller to hold now, and zero when the
-// mean sets no bound.
+// WorkBound returns the limit that the mean sets for the work held now; zero
+// means that there is no bound.
 func (controller *Controller) WorkBound(mean Mean) int64 {
 	if bound := controller.bound(Ticket{}, mean); bound != unbounded {
 		return bound
@@ -140,82 +143,84 @@
 	return 0
 }
 
-// seat gives a ticket that is within the bound a slot or a place in the queue.
-func (controller *Controller) seat(ticket Ticket) Decision {
+// admit gives a ticket that is within the bound a slot or a place in the queue,
+// or refuses it.
+func (controller *Controller) admit(ticket Ticket) Decision {
 	now := ticket.Arrived
-	if len(controller.waiting) == 0 && controller.fits(ticket) {
-		controller.take(ticket)
-		controller.run(ticket, now)
+	if len(controller.waiting) == 0 && controller.hasSlot(ticket) {
+		controller.addWork(ticket)
+		controller.start(ticket, now)
 		return Decision{Outcome: Granted}
 	}
-	estimate := controller.estimate(ticket, now)
-	if ticket.Deadline != 0 && ticket.Deadline.Before(now.Add(estimate+controller.pace.margin())) {
-		return controller.refuse(classifier.DeadlinePassed, detailWait, estimate)
+	expectedWait := controller.expectedWait(ticket, now)
+	if ticket.Deadline != 0 && ticket.Deadline.Before(now.Add(expectedWait+controller.timing.firstByteMargin())) {
+		return controller.refuse(classifier.DeadlinePassed, detailWait, expectedWait)
 	}
-	displaced, ok := controller.place(ticket, now)
+	displaced, ok := controller.enqueue(ticket, now)
 	if !ok {
-		return controller.refuse(classifier.Overloaded, detailQueue, estimate)
+		return controller.refuse(classifier.Overloaded, detailQueue, expectedWait)
 	}
-	// An urgent ticket may find the urgent slot free while others wait.
-	if slices.ContainsFunc(controller.promote(now), func(granted Ticket) bool { return granted.ID == ticket.ID }) {
+	// An urgent ticket may get an urgent slot while others wait.
+	if slices.ContainsFunc(controller.grantWaiting(now), func(granted Ticket) bool { return granted.ID == ticket.ID }) {
 		return Decision{Outcome: Granted, Displaced: displaced}
 	}
-	return Decision{Outcome: Queued, EstimatedWait: estimate, Displaced: displaced}
+	return Decision{Outcome: Queued, EstimatedWait: expectedWait, Displaced: displaced}
 }
 
-// spared reports whether the bound doesn't apply to the ticket.
+// exemptFromBound reports whether the bound doesn't apply to the ticket.
 //
-// The failure: the mean is some time old and load has grown since. The
-// symptom: every candidate holds more than it allows, and a caller is refused
-// while slots are free. So an offer that goes nowhere else takes a free slot
-// here; it crushes no engine, since it runs at once and joins no queue.
-func (controller *Controller) spared(ticket Ticket, mean Mean) bool {
+// When load has grown since the mean was computed, every candidate holds more
+// than the outdated mean allows, and callers would be refused while slots are
+// free. So a ticket on its last attempt takes a free slot here. It can't overload
+// the engine, since it runs at once and doesn't queue.
+func (controller *Controller) exemptFromBound(ticket Ticket, mean Mean) bool {
 	if len(controller.running)+len(controller.waiting) < controller.limits.FreeCalls {
 		return true
 	}
-	return ticket.LastAttempt && mean.Age > 0 && len(controller.waiting) == 0 && controller.fits(ticket)
+	return ticket.LastAttempt && mean.Age > 0 && len(controller.waiting) == 0 && controller.hasSlot(ticket)
 }
 
 // DisplacedFailure returns the failure that a displaced ticket gets.
 func (controller *Controller) DisplacedFailure() classifier.Failure {
-	return controller.refuse(classifier.Overloaded, detailPushed, 0).Failure
+	return controller.refuse(classifier.Overloaded, detailDisplaced, 0).Failure
 }
 
-// refuse returns a refusal whose retry span grows with the expected wait.
+// refuse returns a refusal whose retry delay grows with the expected wait.
 func (controller *Controller) refuse(kind classifier.Kind, detail string, estimate timekeeper.Span) Decision {
 	failure := classifier.New(kind, detail).WithRetryAfter(controller.limits.Backoff.RetryAfter(estimate))
 	return Decision{Outcome: Refused, Failure: failure, EstimatedWait: estimate}
 }
 
-// place puts the ticket into the queue. With a full queue the ticket takes the
-// place of one that has less right to it, if there is one.
-func (controller *Controller) place(ticket Ticket, now timekeeper.Instant) ([]Ticket, bool) {
+// enqueue puts the ticket into the queue. If the queue is full, the ticket
+// displaces one of lower precedence; it returns false when there is none.
+func (controller *Controller) enqueue(ticket Ticket, now timekeeper.Instant) ([]Ticket, bool) {
 	var displaced []Ticket
 	if len(controller.waiting) >= controller.limits.QueueLength {
-		at := controller.weakest(ticket, now)
+		at := controller.findVictim(ticket, now)
 		if at < 0 {
 			return nil, false
 		}
-		displaced = []Ticket{controller.leave(at)}
+		displaced = []Ticket{controller.dequeue(at)}
 		controller.work -= displaced[0].Work
 	}
-	controller.take(ticket)
+	controller.addWork(ticket)
 	controller.waiting = append(controller.waiting, ticket)
-	controller.places[ticket.Team]++
+	controller.waitingByTeam[ticket.Team]++
 	return displaced, true
 }
 
-// weakest returns the position of the waiting ticket that the newcomer may
+// findVictim returns the position of the waiting ticket that the newcomer may
 // displace, or -1.
 //
-// The failure: one team's surge fills the queue. The symptom: every other
-// team is refused for it. So the newest ticket of the team that holds most of
-// the queue for its weight gives way, but only while that team holds more than
-// the newcomer's would. Inside one team the more urgent ticket wins.
-func (controller *Controller) weakest(newcomer Ticket, now timekeeper.Instant) int {
-	victim := controller.heaviest()
-	mine := controller.held(newcomer.Team) + 1
-	if victim.Team != newcomer.Team && controller.held(victim.Team)*newcomer.weight() <= mine*victim.weight() {
+// Otherwise the surge of one team would fill the queue, and every other team
+// would be refused. The team with the most waiting tickets relative to its weight
+// loses its newest one of the least urgent class, but only while it holds more
+// relative to its weight than the newcomer's team would. Within one team the
+// more urgent ticket wins.
+func (controller *Controller) findVictim(newcomer Ticket, now timekeeper.Instant) int {
+	victim := controller.largestHolder()
+	withNewcomer := controller.waitingOf(newcomer.Team) + 1
+	if victim.Team != newcomer.Team && controller.waitingOf(victim.Team)*newcomer.weight() <= withNewcomer*victim.weight() {
 		victim = newcomer
 	}
 	found := -1
@@ -223,74 +228,76 @@
 		if controller.waiting[i].Team != victim.Team {
 			continue
 		}
-		if found < 0 || controller.class(controller.waiting[i], now) >= controller.class(controller.waiting[found], now) {
+		if found < 0 || controller.effectiveClass(controller.waiting[i], now) >= controller.effectiveClass(controller.waiting[found], now) {
 			found = i
 		}
 	}
-	if victim.Team != newcomer.Team || found < 0 || newcomer.Class < controller.class(controller.waiting[found], now) {
+	if victim.Team != newcomer.Team || found < 0 || newcomer.Class < controller.effectiveClass(controller.waiting[found], now) {
 		return found
 	}
 	return -1
 }
 
-// heaviest returns a ticket of the team that holds most of the queue for its weight.
-func (controller *Controller) heaviest() Ticket {
-	var heaviest Ticket
+// largestHolder returns a ticket of the team with the most waiting tickets
+// relative to its weight.
+func (controller *Controller) largestHolder() Ticket {
+	var largestHolder Ticket
 	for i := range controller.waiting {
 		ticket := controller.waiting[i]
-		if controller.held(ticket.Team)*heaviest.weight() > controller.held(heaviest.Team)*ticket.weight() {
-			heaviest = ticket
+		if controller.waitingOf(ticket.Team)*largestHolder.weight() > controller.waitingOf(largestHolder.Team)*ticket.weight() {
+			largestHolder = ticket
 		}
 	}
-	return heaviest
+	return largestHolder
 }
 
-// held returns how many places of the queue a team holds.
-func (controller *Controller) held(team string) int {
-	return controller.places[team]
+// waitingOf returns the number of the team's waiting tickets.
+func (controller *Controller) waitingOf(team string) int {
+	return controller.waitingByTeam[team]
 }
 
-// leave takes the ticket at a position out of the queue.
-func (controller *Controller) leave(at int) Ticket {
+// dequeue removes the ticket at a position from the queue.
+func (controller *Controller) dequeue(at int) Ticket {
 	ticket := controller.waiting[at]
 	controller.waiting = slices.Delete(controller.waiting, at, at+1)
-	controller.places[ticket.Team]--
-	if controller.places[ticket.Team] == 0 {
-		delete(controller.places, ticket.Team)
+	controller.waitingByTeam[ticket.Team]--
+	if controller.waitingByTeam[ticket.Team] == 0 {
+		delete(controller.waitingByTeam, ticket.Team)
 	}
 	return ticket
 }
 
-// Finish gives the ticket's slot back, or takes it out of the queue, and
-// returns the tickets that got a slot by that. An unknown ID changes nothing.
+// Finish releases the ticket's slot, or removes the ticket from the queue, and
+// returns the waiting tickets that then got a slot. An unknown ID changes nothing.
 func (controller *Controller) Finish(id string, now timekeeper.Instant) []Ticket {
-	if held, ok := controller.running[id]; ok {
+	if finished, ok := controller.running[id]; ok {
 		delete(controller.running, id)
-		controller.work -= held.ticket.Work
-		if held.ticket.urgent() {
+		controller.work -= finished.ticket.Work
+		if finished.ticket.urgent() {
 			controller.urgent--
 		}
-		controller.pace.note(held.ticket.Work, now.Since(held.started))
+		controller.timing.recordCall(finished.ticket.Work, now.Since(finished.started))
 	}
 	at := slices.IndexFunc(controller.waiting, func(ticket Ticket) bool { return ticket.ID == id })
 	if at >= 0 {
-		controller.work -= controller.leave(at).Work
+		controller.work -= controller.dequeue(at).Work
 	}
-	return controller.promote(now)
+	return controller.grantWaiting(now)
 }
 
-// RecordFirstByte notes the first byte of a running ticket's answer.
+// RecordFirstByte records that a running ticket's answer has begun.
 func (controller *Controller) RecordFirstByte(id string, now timekeeper.Instant) {
-	if held, ok := controller.running[id]; ok {
-		controller.pace.open(now.Since(held.started))
+	if granted, ok := controller.running[id]; ok {
+		controller.timing.recordFirstByte(now.Since(granted.started))
 	}
 }
 
-// Resize changes the limits and returns the tickets that got a slot by that.
-// What runs or waits over a lower limit stays, and new offers are held to it.
+// Resize changes the limits and returns the waiting tickets that then got a
+// slot. Tickets that run or wait in excess of a lower limit stay; it applies to
+// new offers.
 func (controller *Controller) Resize(limits Limits, now timekeeper.Instant) []Ticket {
-	controller.limits = limits.checked()
-	return controller.promote(now)
+	controller.limits = limits.validated()
+	return controller.grantWaiting(now)
 }
 
 // Load returns what the controller holds.
@@ -306,26 +313,27 @@
 	return slices.ContainsFunc(controller.waiting, func(ticket Ticket) bool { return ticket.ID == id })
 }
 
-func (controller *Controller) take(ticket Ticket) {
+func (controller *Controller) addWork(ticket Ticket) {
 	controller.work += ticket.Work
 }
 
-func (controller *Controller) run(ticket Ticket, now timekeeper.Instant) {
+func (controller *Controller) start(ticket Ticket, now timekeeper.Instant) {
 	controller.running[ticket.ID] = grant{ticket: ticket, started: now}
 	if ticket.urgent() {
 		controller.urgent++
 	}
 }
 
-// fits reports whether a slot is free for the ticket. Some slots are kept for
-// urgent work: a call can't be preempted, so without them a live caption that
-// finds every slot under long batch work waits for the shortest of it.
-func (controller *Controller) fits(ticket Ticket) bool {
+// hasSlot reports whether a slot is free for the ticket. Some slots are reserved
+// for urgent tickets: calls can't be preempted, so without them a live caption
+// that finds all slots held by long batch calls waits until the first of these
+// ends.
+func (controller *Controller) hasSlot(ticket Ticket) bool {
 	if ticket.urgent() {
 		return len(controller.running) < controller.limits.Slots
 	}
-	others := len(controller.running) - controller.urgent
-	return len(controller.running) < controller.limits.Slots && others < controller.limits.Slots-controller.limits.UrgentSlots
+	notUrgent := len(controller.running) - controller.urgent
+	return len(controller.running) < controller.limits.Slots && notUrgent < controller.limits.Slots-controller.limits.UrgentSlots
 }
 
 // weight returns the team's weight, at least 1.
@@ -333,7 +341,7 @@
 	return max(1, ticket.Weight)
 }
 
-// urgent reports whether the ticket may use the slots kept for urgent work.
+// urgent reports whether the ticket may use the slots reserved for urgent tickets.
 func (ticket Ticket) urgent() bool {
 	return ticket.Class <= urgentClass
 }
--- a/internal/admitter/controller_test.go
+++ b/internal/admitter/controller_test.go
@@ -15,86 +15,86 @@
 	return Ticket{ID: id, Team: team, Class: class, Work: work}
 }
 
-// trial follows what a controller says about its tickets.
-type trial struct {
+// model tracks the tickets that run and wait by the controller's decisions.
+type model struct {
 	t                *rapid.T
 	controller       *Controller
 	running, waiting map[string]bool
 	now              timekeeper.Instant
 }
 
-func (trial *trial) finish(number int) {
-	id := rapid.SampledFrom(keys(trial.running, number)).Draw(trial.t, "finished")
-	delete(trial.running, id)
-	for _, granted := range trial.controller.Finish(id, trial.now) {
-		if trial.running[granted.ID] || !trial.waiting[granted.ID] {
-			trial.t.Fatalf("%s was granted twice, or never waited", granted.ID)
+func (model *model) finish(number int) {
+	id := rapid.SampledFrom(keys(model.running, number)).Draw(model.t, "finished")
+	delete(model.running, id)
+	for _, granted := range model.controller.Finish(id, model.now) {
+		if model.running[granted.ID] || !model.waiting[granted.ID] {
+			model.t.Fatalf("%s was granted twice or never waited", granted.ID)
 		}
-		delete(trial.waiting, granted.ID)
-		trial.running[granted.ID] = true
+		delete(model.waiting, granted.ID)
+		model.running[granted.ID] = true
 	}
 }
 
-func (trial *trial) offer(number int) {
-	t := trial.t
+func (model *model) offer(number int) {
+	t := model.t
 	offered := ticket(fmt.Sprint(number), fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "team")),
 		uint8(rapid.IntRange(0, 7).Draw(t, "class")), int64(rapid.IntRange(1, 500).Draw(t, "work")))
-	offered.Arrived = trial.now
+	offered.Arrived = model.now
 	mean := Mean{Total: int64(rapid.IntRange(0, 9000).Draw(t, "total")), Replicas: rapid.IntRange(0, 9).Draw(t, "replicas")}
-	held := trial.controller.Load().Work
-	decision := trial.controller.Offer(offered, mean)
+	held := model.controller.Load().Work
+	decision := model.controller.Offer(offered, mean)
 	for _, displaced := range decision.Displaced {
-		if !trial.waiting[displaced.ID] {
-			t.Fatalf("%s was displaced and did not wait", displaced.ID)
+		if !model.waiting[displaced.ID] {
+			t.Fatalf("%s was displaced but did not wait", displaced.ID)
 		}
-		delete(trial.waiting, displaced.ID)
+		delete(model.waiting, displaced.ID)
 	}
 	switch decision.Outcome {
 	case Granted:
-		trial.running[offered.ID] = true
+		model.running[offered.ID] = true
 	case Queued:
-		trial.waiting[offered.ID] = true
+		model.waiting[offered.ID] = true
 	}
-	if decision.Outcome != Refused && held >= trial.controller.limits.Bound(mean, held, offered) {
-		t.Fatalf("taken above the bound: held %d, mean %+v", held, mean)
+	if decision.Outcome != Refused && held >= model.controller.limits.Bound(mean, held, offered) {
+		t.Fatalf("a ticket was taken above the bound: held %d, mean %+v", held, mean)
 	}
 }
 
-func (trial *trial) check() {
-	load := trial.controller.Load()
-	if load.Running != len(trial.running) || load.Waiting != len(trial.waiting) {
-		trial.t.Fatalf("the controller holds %+v, of %d running and %d waiting", load, len(trial.running), len(trial.waiting))
+func (model *model) check() {
+	load := model.controller.Load()
+	if load.Running != len(model.running) || load.Waiting != len(model.waiting) {
+		model.t.Fatalf("the controller reports %+v, want %d running and %d waiting", load, len(model.running), len(model.waiting))
 	}
-	if load.Running > trial.controller.limits.Slots || load.Waiting > trial.controller.limits.QueueLength {
-		trial.t.Fatalf("a cap broke: %+v", load)
+	if load.Running > model.controller.limits.Slots || load.Waiting > model.controller.limits.QueueLength {
+		model.t.Fatalf("a limit is exceeded: %+v", load)
 	}
 }
 
-// TestDeskKeepsEveryTicket drives a controller at random: no ticket is lost, none is
-// granted twice, the caps hold, and no replica goes above its bound by more
-// than the one ticket that crosses it.
+// TestControllerKeepsEveryTicket runs random operations on a controller: no
+// ticket is lost or granted twice, the limits hold, and a replica exceeds its
+// bound by at most the one ticket that crosses it.
 func TestControllerKeepsEveryTicket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
 			Slots: rapid.IntRange(2, 6).Draw(t, "slots"), QueueLength: rapid.IntRange(0, 8).Draw(t, "queue"),
 			UrgentSlots: 1, LoadFactor: 1.25,
 		}
-		trial := trial{t: t, controller: NewController(limits), running: map[string]bool{}, waiting: map[string]bool{}}
+		model := model{t: t, controller: NewController(limits), running: map[string]bool{}, waiting: map[string]bool{}}
 		for number := range rapid.IntRange(1, 80).Draw(t, "steps") {
-			trial.now = trial.now.Add(timekeeper.Span(rapid.IntRange(0, 900).Draw(t, "pause")))
-			if len(trial.running) > 0 && rapid.Bool().Draw(t, "finish") {
-				trial.finish(number)
+			model.now = model.now.Add(timekeeper.Span(rapid.IntRange(0, 900).Draw(t, "pause")))
+			if len(model.running) > 0 && rapid.Bool().Draw(t, "finish") {
+				model.finish(number)
 			} else {
-				trial.offer(number)
+				model.offer(number)
 			}
-			trial.check()
+			model.check()
 		}
 	})
 }
 
-func keys(set map[string]bool, most int) []string {
+func keys(set map[string]bool, limit int) []string {
 	var out []string
-	for number := range most {
+	for number := range limit {
 		if set[fmt.Sprint(number)] {
 			out = append(out, fmt.Sprint(number))
 		}
@@ -103,35 +103,35 @@
 }
 
 func TestBound(t *testing.T) {
-	old := Mean{Total: 300, Replicas: 4, Age: timekeeper.Second}
+	outdated := Mean{Total: 300, Replicas: 4, Age: timekeeper.Second}
 	tests := []struct {
 		name       string
 		mean       Mean
 		held       int64
 		work       int64
-		cold, last bool
+		miss, last bool
 		refused    bool
 	}{
 		{"an empty replica takes any ticket", Mean{Total: 0, Replicas: 182}, 0, 5000, false, false, false},
 		{"below the bound in a service of four", Mean{Total: 400, Replicas: 4}, 100, 100, false, false, false},
 		{"at the bound in a service of four", Mean{Total: 300, Replicas: 4}, 125, 100, false, false, true},
-		{"a cold ticket stops nearer to the mean", Mean{Total: 400, Replicas: 4}, 140, 100, true, false, true},
-		{"an old mean", old, 125, 100, false, false, true},
-		{"an old mean, and nowhere else to go", old, 125, 100, false, true, false},
-		{"a fresh mean, and nowhere else to go", Mean{Total: 300, Replicas: 4}, 125, 100, false, true, true},
-		{"a service of one has no mean", Mean{Total: 900, Replicas: 1}, 900, 100, false, false, false},
-		{"a service of 182", Mean{Total: 182_000, Replicas: 182}, 1260, 100, false, false, true},
-		{"an unknown mean", Mean{}, 900, 100, false, false, false},
-		{"a stale mean", Mean{Total: 4, Replicas: 4, Age: 6 * timekeeper.Second}, 900, 100, false, false, false},
+		{"the bound is lower for a prefix miss", Mean{Total: 400, Replicas: 4}, 140, 100, true, false, true},
+		{"an outdated mean", outdated, 125, 100, false, false, true},
+		{"an outdated mean on the last attempt", outdated, 125, 100, false, true, false},
+		{"a current mean on the last attempt", Mean{Total: 300, Replicas: 4}, 125, 100, false, true, true},
+		{"a service of one replica has no bound", Mean{Total: 900, Replicas: 1}, 900, 100, false, false, false},
+		{"a service of 182 replicas", Mean{Total: 182_000, Replicas: 182}, 1260, 100, false, false, true},
+		{"an unknown mean sets no bound", Mean{}, 900, 100, false, false, false},
+		{"a mean over the maximum age sets no bound", Mean{Total: 4, Replicas: 4, Age: 6 * timekeeper.Second}, 900, 100, false, false, false},
 	}
-	Convey("the bound follows the mean while that can be believed", t, func() {
+	Convey("the bound follows the mean up to its maximum age", t, func() {
 		for _, test := range tests {
 			controller := NewController(Limits{Slots: 8, QueueLength: 8, LoadFactor: 1.25})
 			if test.held > 0 {
 				controller.Offer(ticket("held", "a", 3, test.held), Mean{})
 			}
 			offered := ticket("new", "a", 3, test.work)
-			offered.PrefixMiss, offered.LastAttempt = test.cold, test.last
+			offered.PrefixMiss, offered.LastAttempt = test.miss, test.last
 			decision := controller.Offer(offered, test.mean)
 			SoMsg(test.name, decision.Outcome == Refused, ShouldEqual, test.refused)
 			if test.refused {
@@ -142,7 +142,7 @@
 }
 
 func TestQueueUnderLoad(t *testing.T) {
-	Convey("a caption finds the slot kept for it while batch work holds the rest", t, func() {
+	Convey("a caption gets the urgent slot while batch calls hold the rest", t, func() {
 		controller := NewController(Limits{Slots: 4, QueueLength: 8, UrgentSlots: 1})
 		for i := range 6 {
 			controller.Offer(ticket(fmt.Sprint("batch-", i), "a", 6, 900), Mean{})
@@ -153,7 +153,7 @@
 		granted := controller.Finish("batch-0", 10)
 		So(granted[0].ID, ShouldEqual, "next")
 	})
-	Convey("a surge of one team harms only itself", t, func() {
+	Convey("a surge of one team displaces only that team's calls", t, func() {
 		controller := NewController(Limits{Slots: 1, QueueLength: 4})
 		for i := range 9 {
 			controller.Offer(ticket(fmt.Sprint("surge-", i), "loud", 3, 100), Mean{})
@@ -166,7 +166,7 @@
 		controller.Finish("surge-0", 10)
 		So(controller.Finish("surge-1", 20)[0].ID, ShouldEqual, "quiet")
 	})
-	Convey("old batch work is not starved by a flood of live work", t, func() {
+	Convey("a flood of urgent calls doesn't starve an old batch call", t, func() {
 		controller := NewController(Limits{Slots: 1, QueueLength: 64})
 		controller.Offer(ticket("first", "a", 0, 1), Mean{})
 		controller.Offer(ticket("batch", "a", 7, 1), Mean{})
@@ -175,9 +175,9 @@
 			controller.Offer(Ticket{ID: fmt.Sprint("live-", rounds), Team: "b", Work: 1, Arrived: now}, Mean{})
 			last = controller.Finish(last, now)[0].ID
 		}
-		So(rounds, ShouldBeBetweenOrEqual, 2, agedShare)
+		So(rounds, ShouldBeBetweenOrEqual, 2, agedGrantInterval)
 	})
-	Convey("a wait past the deadline is refused at once, with a time to come back", t, func() {
+	Convey("a call whose wait would pass its deadline is refused at once, with a retry time", t, func() {
 		controller := NewController(Limits{Slots: 1, QueueLength: 64, Backoff: Backoff{Draw: func() float64 { return 0.5 }}})
 		controller.Offer(ticket("slow", "a", 3, 100), Mean{})
 		controller.Finish("slow", 4000)
@@ -189,8 +189,8 @@
 	})
 }
 
-// TestFairShares gives a team of weight 2 twice the work of one of weight 1,
-// whatever the lengths of their calls.
+// TestFairShares checks that a team of weight 2 gets twice the work of one of
+// weight 1, whatever the lengths of their calls.
 func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controller := NewController(Limits{Slots: 1, QueueLength: 400})
@@ -206,7 +206,7 @@
 			last = granted.ID
 		}
 		if share := float64(work["long"]) / float64(work["short"]); share < 1.7 || share > 2.3 {
-			t.Fatalf("the shares are %v, of lengths %v", work, lengths)
+			t.Fatalf("the teams' work is %v, with call lengths %v", work, lengths)
 		}
 	})
 }
--- a/internal/admitter/demand.go
+++ b/internal/admitter/demand.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// demandAge is how long an entry's word counts. Calls take from a tenth of a
-	// second to some twenty seconds, so within a second little of what an entry
-	// has under way has ended.
-	demandAge = timekeeper.Second
-	// mostEntries bounds the memory; the fleet is designed for 380 daemons.
-	mostEntries = 1024
+	// maxReportAge is how long an entry's report counts. Calls take from 0.1 to
+	// some 20 seconds, so within a second few of the calls that an entry had in
+	// flight have ended.
+	maxReportAge = timekeeper.Second
+	// maxEntries bounds the memory; the fleet is designed for 380 daemons.
+	maxEntries = 1024
 )
 
-// Demand is the work that entries say they have under way at a service, reports
-// with each offer.
+// Demand sums the work that entries report with each offer as in flight at a
+// service.
 //
-// It is for the first second of a burst. Digests between agents are a second or
-// more old; they say that the service is idle, so every replica that holds one
-// call is over its share of nothing. The symptom: callers refused at half load,
-// by every candidate, with slots free all over. What an entry has under way is
-// exact and as old as its offer. The sum over entries leaves out those that have
-// not offered here lately, so it is at most the true total but for what ended
-// within a second, and the mean takes the larger of the two.
+// It corrects the mean in the first second of a burst. Digests between agents
+// are a second or more old and still show an idle service, so every replica that
+// holds one call exceeds its share of a total near zero, and all candidates
+// refuse callers at half load while slots are free. An entry's own in-flight
+// work is exact and as old as its offer. The sum lacks entries that made no offer
+// here lately, so apart from calls that ended within the last second it is at
+// most the true total, and Raise takes the larger of the two.
 type Demand struct {
-	reports []demandReport
+	// latest holds the latest report of each entry.
+	latest []demandReport
 }
 
 type demandReport struct {
@@ -35,29 +36,30 @@
 	at    timekeeper.Instant
 }
 
-// Record takes in what an entry has under way, the offered call included.
+// Record replaces the entry's report. The work includes the offered call.
 func (demand *Demand) Record(entry string, work int64, now timekeeper.Instant) {
-	demand.forget(now)
-	at := slices.IndexFunc(demand.reports, func(reports demandReport) bool { return reports.entry == entry })
+	demand.dropExpired(now)
+	at := slices.IndexFunc(demand.latest, func(latest demandReport) bool { return latest.entry == entry })
 	switch {
 	case at >= 0:
-		demand.reports[at] = demandReport{entry, work, now}
-	case len(demand.reports) < mostEntries:
-		demand.reports = append(demand.reports, demandReport{entry, work, now})
+		demand.latest[at] = demandReport{entry, work, now}
+	case len(demand.latest) < maxEntries:
+		demand.latest = append(demand.latest, demandReport{entry, work, now})
 	}
 }
 
-// Raise returns the mean with a total that is not below what entries have reports.
+// Raise returns the mean with its total raised to at least the sum of the
+// entries' reports.
 func (demand *Demand) Raise(mean Mean, now timekeeper.Instant) Mean {
-	demand.forget(now)
+	demand.dropExpired(now)
 	var total int64
-	for _, reports := range demand.reports {
-		total += reports.work
+	for _, latest := range demand.latest {
+		total += latest.work
 	}
 	mean.Total = max(mean.Total, total)
 	return mean
 }
 
-func (demand *Demand) forget(now timekeeper.Instant) {
-	demand.reports = slices.DeleteFunc(demand.reports, func(reports demandReport) bool { return now.Since(reports.at) > demandAge })
+func (demand *Demand) dropExpired(now timekeeper.Instant) {
+	demand.latest = slices.DeleteFunc(demand.latest, func(latest demandReport) bool { return now.Since(latest.at) > maxReportAge })
 }
--- a/internal/admitter/limits.go
+++ b/internal/admitter/limits.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// classes is the number of urgencies of RFC 9218, 0 (first) to 7 (last).
-	classes = 8
-	// urgentClass is the last class that counts as live work.
+	// classCount is the number of urgencies of RFC 9218, 0 (first) to 7 (last).
+	classCount = 8
+	// urgentClass is the last class that counts as urgent.
 	urgentClass = 0
-	// agedClass is the best class that a ticket reaches by waiting.
-	agedClass = 1
-	// agedShare is one in how many grants goes to aged work when live work waits.
-	agedShare = 8
-	// minimumBound lets an empty replica take any ticket.
-	minimumBound = 1
+	// bestAgedClass is the best class that a ticket reaches by waiting.
+	bestAgedClass = 1
+	// agedGrantInterval reserves every eighth grant for aged tickets while urgent
+	// ones wait.
+	agedGrantInterval = 8
+	// minBound lets an empty replica take any ticket.
+	minBound = 1
 )
 
 // Limits bound what a controller admits. Slots must be positive.
@@ -27,17 +28,17 @@
 	QueueLength int
 	// UrgentSlots is how many of the slots only class 0 may use; zero means none.
 	UrgentSlots int
-	// LoadFactor is c of the bound; zero means that there is no bound.
+	// LoadFactor is the factor c in Bound; zero means that there is no bound.
 	LoadFactor float64
-	// FreeCalls is how many calls a replica takes whatever the bound says; zero
-	// means none. A few calls crush no engine, and with them a service under
-	// light load keeps its chats where their prefixes are.
+	// FreeCalls is how many calls a replica takes regardless of the bound; zero
+	// means none. A few calls overload no engine, and the exemption keeps chats
+	// at the replicas that cache their prefixes while the service is lightly loaded.
 	FreeCalls int
-	// MaxMeanAge is the age past which a mean is not believed; zero means 5 seconds.
+	// MaxMeanAge is the age above which a mean is ignored; zero means 5 seconds.
 	MaxMeanAge timekeeper.Span
-	// Ageing is the wait that lifts a ticket by one class; zero means half a second.
+	// Ageing is the wait that raises a ticket by one class; zero means half a second.
 	Ageing timekeeper.Span
-	// Backoff tells refused callers when to come back.
+	// Backoff sets when refused callers should retry.
 	Backoff Backoff
 }
 
@@ -51,14 +52,14 @@
 	return limits
 }
 
-// coldShare is how far above the mean a cold ticket is taken, as a share of
-// the way to the bound.
-const coldShare = 0.25
+// prefixMissShare is the part of the way from the mean to the bound up to which
+// a replica takes tickets whose prefix it doesn't cache.
+const prefixMissShare = 0.25
 
-// checked returns the limits with defaults; it panics when one is out of range.
-func (limits Limits) checked() Limits {
+// validated returns the limits with defaults; it panics when one is out of range.
+func (limits Limits) validated() Limits {
 	if limits.Slots <= 0 || limits.QueueLength < 0 || limits.UrgentSlots >= limits.Slots {
-		panic(badLimits)
+		panic(invalidLimits)
 	}
 	return limits.withDefaults()
 }
@@ -72,46 +73,48 @@
 // held is below the bound, so a replica carries at most c times the mean and
 // the one ticket that crosses it.
 //
-// A mean that is unknown or too old sets no bound. Held to an old low mean, all
-// replicas would refuse while none is full; without it the slots and the queue
-// still cap each replica, and only the spread between replicas grows. A service
-// of one has no mean to compare with, so its caps alone hold.
+// A mean that is unknown or older than MaxMeanAge sets no bound: under an old
+// low mean all replicas would refuse while none is full. Without a bound the
+// slots and the queue still cap each replica, and only the spread between
+// replicas grows. A service of one replica has no mean to compare with, so it
+// has no bound either.
 //
-// A cold ticket is taken up to a quarter of the way from the mean to the bound
-// only. The harm is a returning chat that is sent away from its prefix because
-// work that could run anywhere came first; the rest of the way is for it.
+// A ticket whose prefix isn't cached here is taken only up to a quarter of the
+// way from the mean to the bound. The rest is kept for returning chats, which
+// would otherwise be sent away from their prefixes by work that could run on any
+// replica.
 func (limits Limits) Bound(mean Mean, held int64, ticket Ticket) int64 {
 	if limits.LoadFactor == 0 || mean.Replicas <= 1 || mean.Age > limits.MaxMeanAge {
 		return unbounded
 	}
-	// What is held here is known exactly, so it is the least that the total can be.
+	// The replica's own work is known exactly, so the total can't be lower.
 	total := max(mean.Total, held)
 	factor := limits.LoadFactor
 	if ticket.PrefixMiss {
-		factor = 1 + (factor-1)*coldShare
+		factor = 1 + (factor-1)*prefixMissShare
 	}
 	bound := math.Ceil(factor * float64(total+ticket.Work) / float64(mean.Replicas))
-	return max(minimumBound, int64(bound))
+	return max(minBound, int64(bound))
 }
 
-// Backoff chooses when a refused caller should come back.
+// Backoff chooses when a refused caller should retry.
 type Backoff struct {
 	// Draw returns a number in [0, 1) from a seeded source; nil means always 0.
 	Draw func() float64
 }
 
 const (
-	// leastRetry is the shortest span that Retry-After can tell, a whole second.
-	leastRetry = timekeeper.Second
-	// longestRetry keeps one bad estimate from sending a caller away for long.
-	longestRetry = 30 * timekeeper.Second
+	// minRetryAfter is the shortest span that Retry-After can express, one second.
+	minRetryAfter = timekeeper.Second
+	// maxRetryAfter limits the effect of one bad estimate on a caller.
+	maxRetryAfter = 30 * timekeeper.Second
 )
 
-// RetryAfter returns the expected wait, stretched at random to between one and
-// three times. The failure it prevents: all callers refused by one burst come
-// back in the same second and make the next burst.
+// RetryAfter returns the expected wait times a random factor between one and
+// three. Without the jitter all callers that were refused in one burst would
+// retry in the same second and cause the next burst.
 func (backoff Backoff) RetryAfter(estimate timekeeper.Span) timekeeper.Span {
-	base := min(max(estimate, leastRetry), longestRetry)
+	base := min(max(estimate, minRetryAfter), maxRetryAfter)
 	if backoff.Draw == nil {
 		return base
 	}
--- a/internal/admitter/mean.go
+++ b/internal/admitter/mean.go
@@ -2,13 +2,15 @@
 
 import "github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 
-// Mean is what an agent knows of the load of its whole service, itself
-// included. The zero value means that nothing is known.
+// Mean is an agent's estimate of the load of its whole service, its own replica
+// included, from which the mean load of a replica follows. The zero value means
+// that the load is unknown.
 type Mean struct {
-	// Total is the estimated work at all replicas, in tokens.
+	// Total is the estimated work of all replicas, in tokens.
 	Total int64
-	// Replicas is how many replicas share it.
+	// Replicas is the number of replicas that Total is spread over.
 	Replicas int
-	// Age is how old the knowledge is at most, but for its oldest tenth.
+	// Age is the age of the oldest report in the estimate, leaving out the oldest
+	// tenth of the reports.
 	Age timekeeper.Span
 }
