--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -1,34 +1,35 @@
 package placer
 
 // DirectorySize is how many chats an agent's directory holds. At 5.5 million
-// chats over 3,100 replicas a home has some 1,800 chats, so this leaves room
-// for small fleets with few and large replicas, in a few megabytes.
+// chats over 3,100 replicas a replica is home to some 1,800 chats; the rest is
+// for small fleets with few large replicas. The memory is a few megabytes.
 const DirectorySize = 1 << 15
 
-// Directory is what a replica knows of where chats last ran: its own, and
-// those whose home it is and that spilled elsewhere. It is soft state: a lost
-// or wrong pointer costs one hop or one cold prefix and nothing else.
+// Directory records where chats last ran: the replica's own chats, and those
+// whose home it is and that ran on another replica. It is soft state: a lost or
+// wrong pointer costs one hop or one prefill of a prompt.
 //
-// Its memory is bounded: past its size the chat longest unheard of is
-// forgotten. Of the replica's own chats it keeps no more than the engine's
-// cache holds, so a chat whose prefix was evicted is not led back to it.
-// Engines publish their evictions late and with gaps, so the directory goes by
-// what it has seen run. Its caller holds a lock around it.
+// Its memory is bounded: beyond its size it evicts the least recently used chat.
+// It keeps no more of the replica's own chats than fit into the engine's cache,
+// so a chat whose prefix was evicted isn't routed back to it. Engines publish
+// their evictions late and incompletely, so the directory relies on the calls
+// that ran. Its caller must hold a lock around it.
 type Directory struct {
 	settings DirectorySettings
-	// own are the chats whose prefix is here, and away those known elsewhere. A
-	// busy chat may be in both.
-	own, away pointerCache
-	tokens    int64
+	// local are the chats whose prefix is cached here, and remote those that last
+	// ran on another replica. A busy chat may be in both.
+	local, remote pointerCache
+	// tokens is the length of all local prefixes.
+	tokens int64
 }
 
-// DirectorySettings set up a directory.
+// DirectorySettings configures a directory.
 type DirectorySettings struct {
 	// Self is the name of the replica.
 	Self string
-	// Size is how many chats are known at most; zero means DirectorySize.
+	// Size is the maximum number of chats; zero means DirectorySize.
 	Size int
-	// CacheTokens is the memory of the engine's cache; zero means unknown.
+	// CacheTokens is the size of the engine's cache; zero means unknown.
 	CacheTokens int64
 }
 
@@ -37,189 +38,197 @@
 	if settings.Size == 0 {
 		settings.Size = DirectorySize
 	}
-	return &Directory{settings: settings, own: newPointerCache(), away: newPointerCache()}
+	return &Directory{settings: settings, local: newPointerCache(), remote: newPointerCache()}
 }
 
-// Record remembers that the chat ran at a replica and left a prefix of so many
-// tokens there. Chat zero is no chat.
-func (directory *Directory) Record(chat uint64, where string, tokens int64) {
-	if chat == 0 || where == "" {
+// Record records that the chat ran on a replica and left a prefix of so many
+// tokens there. Chat zero and an empty replica name are ignored.
+func (directory *Directory) Record(chat uint64, replica string, tokens int64) {
+	if chat == 0 || replica == "" {
 		return
 	}
-	noted := pointer{chat: chat, where: where, tokens: tokens}
-	if where != directory.settings.Self {
-		directory.away.put(noted, directory.settings.Size/2)
+	recorded := pointer{chat: chat, replica: replica, tokens: tokens}
+	if replica != directory.settings.Self {
+		directory.remote.put(recorded, directory.settings.Size/2)
 		return
 	}
-	directory.tokens -= directory.own.drop(chat).tokens
-	directory.tokens += tokens - directory.own.put(noted, directory.settings.Size/2).tokens
-	directory.shrink()
+	directory.tokens -= directory.local.remove(chat).tokens
+	directory.tokens += tokens - directory.local.put(recorded, directory.settings.Size/2).tokens
+	directory.evict()
 }
 
-// shrink forgets the own chats that the cache can't hold, oldest first.
-func (directory *Directory) shrink() {
+// evict removes the oldest local chats until the rest fits into the engine's cache.
+func (directory *Directory) evict() {
 	for directory.settings.CacheTokens > 0 && directory.tokens > directory.settings.CacheTokens {
-		directory.tokens -= directory.own.drop(directory.own.oldest()).tokens
+		directory.tokens -= directory.local.remove(directory.local.oldest()).tokens
 	}
 }
 
-// Resize takes another size of the engine's cache into force; zero means unknown.
+// Resize sets the size of the engine's cache; zero means unknown.
 func (directory *Directory) Resize(cacheTokens int64) {
 	directory.settings.CacheTokens = cacheTokens
-	directory.shrink()
+	directory.evict()
 }
 
-// Locate returns a replica that has the chat's prefix, or "". The directory's
-// own replica comes first: a busy chat has copies at several, and the one that
-// is asked already costs no hop.
+// Locate returns a replica that caches the chat's prefix, or "". It prefers the
+// directory's own replica: a busy chat is cached by several, and the own replica
+// costs no hop.
 func (directory *Directory) Locate(chat uint64) string {
-	if _, ok := directory.own.get(chat); ok {
+	if _, ok := directory.local.get(chat); ok {
 		return directory.settings.Self
 	}
-	found, _ := directory.away.get(chat)
-	return found.where
+	found, _ := directory.remote.get(chat)
+	return found.replica
 }
 
-// PrefixMiss reports whether an offer has no prefix here and may still go elsewhere.
+// PrefixMiss reports whether an offer has no prefix here and may still go to
+// another replica.
 func (directory *Directory) PrefixMiss(chat uint64, attempt int) bool {
 	return attempt < MaxOffers-1 && directory.Locate(chat) != directory.settings.Self
 }
 
-// Len returns how many chats the directory knows.
+// Len returns the number of chats in the directory.
 func (directory *Directory) Len() int {
-	return len(directory.own.byChat) + len(directory.away.byChat)
+	return len(directory.local.byChat) + len(directory.remote.byChat)
 }
 
-// ChatOffer is a chat's offer at a replica, as far as the directory decides it.
+// ChatOffer holds the fields of an offer that the directory's decisions depend on.
 type ChatOffer struct {
 	Chat uint64
 	// Attempt is 0 for the first candidate of the offer.
 	Attempt int
 	// Ranked are the candidates as the entry ranks them; the first is the home.
 	Ranked []string
-	// OnlyIfCached says that the offer came for the chat's prefix alone.
+	// OnlyIfCached is true if the replica should take the offer only when it caches
+	// the chat's prefix.
 	OnlyIfCached bool
-	// RecentlyStarted says that the replica started lately, so chats that it doesn't
-	// know may have run at the runner-up before.
+	// RecentlyStarted is true if the replica started a short time ago, so that chats
+	// missing from its directory may have run on the runner-up before.
 	RecentlyStarted bool
-	// CanFetch says that the replica can fetch a prefix from another.
+	// CanFetch is true if the replica can fetch a prefix from another one.
 	CanFetch bool
 }
 
-// ShouldRedirect decides whether the offer is better sent on to where its prefix is.
+// ShouldRedirect reports whether the offer should go to the replica that caches
+// its prefix instead.
 //
-// It is made for a fleet in which replicas come and go while chats return: the
-// harm is a long prompt that is read again though its prefix lies cached one
-// hop away. Three rules, each bounded:
+// It avoids the prefill of a long prompt whose prefix is cached one hop away, in
+// a fleet whose replicas come and go while chats return. Each of the three rules
+// is bounded:
 //
-//   - A chat known to have run elsewhere goes there, on the first attempt only.
-//     When that replica is gone or full, the second visit finds it accepted.
-//   - A replica that has just become home doesn't know its chats. The runner-up
-//     was their home before, so the offer goes there, while it settles. One that
-//     can fetch the prefix takes the offer instead (see Source).
-//   - A runner-up that is asked so and doesn't know the chat either sends it
-//     back, so that new chats start at their new home.
+//   - A chat that last ran on another replica goes there, on the first attempt
+//     only. If that replica is gone or full, this one takes the chat when it is
+//     offered again.
+//   - A replica that has just become the home doesn't know its chats. The
+//     runner-up was their home before, so the offer goes there while
+//     RecentlyStarted is set. If the home can fetch the prefix it takes the offer
+//     instead (see FetchSource).
+//   - A runner-up that gets such an offer and doesn't know the chat redirects it
+//     to the home, so that new chats start there.
 //
-// After two refusals the third candidate takes the chat, so no offer is sent
-// around in circles by replicas that disagree.
-func (directory *Directory) ShouldRedirect(visit ChatOffer) bool {
-	if visit.Chat == 0 || len(visit.Ranked) < 2 {
+// After two refusals the third candidate takes the chat, so that an offer can't
+// circle between replicas with different directories.
+func (directory *Directory) ShouldRedirect(offer ChatOffer) bool {
+	if offer.Chat == 0 || len(offer.Ranked) < 2 {
 		return false
 	}
-	where := directory.Locate(visit.Chat)
-	home := visit.Ranked[0] == directory.settings.Self
+	holder := directory.Locate(offer.Chat)
+	home := offer.Ranked[0] == directory.settings.Self
 	switch {
-	case visit.OnlyIfCached:
-		return where != directory.settings.Self
-	case visit.Attempt > 0:
+	case offer.OnlyIfCached:
+		return holder != directory.settings.Self
+	case offer.Attempt > 0:
 		return false
-	case where != "":
-		return where != directory.settings.Self && home
+	case holder != "":
+		return holder != directory.settings.Self && home
 	}
-	return home && visit.RecentlyStarted && !visit.CanFetch
+	return home && offer.RecentlyStarted && !offer.CanFetch
 }
 
-// FetchSource returns the replica that a taken offer's prefix is best fetched from,
-// or "" when there is none to ask.
+// FetchSource returns the replica from which to fetch the prefix of an accepted
+// offer, or "" if there is none.
 //
-// It is made for two loads. A replica that joins stays empty while the former
-// home keeps its chats and evicts others for want of memory; so it asks the
-// runner-up. And a chat that spilled at the bound reads a long prompt anew
-// though its home has it; so it asks the home. One replica is asked, once, and
-// its word costs a message where it knows nothing.
-func (directory *Directory) FetchSource(visit ChatOffer) string {
-	const needed = 2
-	if !visit.CanFetch || visit.Chat == 0 || len(visit.Ranked) < needed {
+// It covers two cases. A replica that joins would stay empty while the former
+// home keeps its chats and evicts others for lack of memory, so it asks the
+// runner-up. And a chat whose home refused it at its bound would prefill a long
+// prompt on another replica though the home caches it, so that replica asks the
+// home. Only one replica is asked, once; if it doesn't have the prefix, the cost
+// is one message.
+func (directory *Directory) FetchSource(offer ChatOffer) string {
+	const minRanked = 2
+	if !offer.CanFetch || offer.Chat == 0 || len(offer.Ranked) < minRanked {
 		return ""
 	}
-	where := directory.Locate(visit.Chat)
-	home := visit.Ranked[0] == directory.settings.Self
+	holder := directory.Locate(offer.Chat)
+	home := offer.Ranked[0] == directory.settings.Self
 	switch {
-	case where == directory.settings.Self:
+	case holder == directory.settings.Self:
 		return ""
-	case where != "":
-		return where
+	case holder != "":
+		return holder
 	case !home:
-		return visit.Ranked[0]
-	case visit.RecentlyStarted:
-		return visit.Ranked[1]
+		return offer.Ranked[0]
+	case offer.RecentlyStarted:
+		return offer.Ranked[1]
 	}
 	return ""
 }
 
-// Fits reports whether the replica's cache takes so many tokens more without
-// losing another chat.
+// Fits reports whether the replica's cache has room for so many more tokens
+// without evicting another chat.
 func (directory *Directory) Fits(tokens int64) bool {
 	return directory.settings.CacheTokens == 0 || directory.tokens+tokens <= directory.settings.CacheTokens
 }
 
-// PrefixTokens returns how long the prefix is that the replica has of the chat.
+// PrefixTokens returns the length of the chat's prefix on this replica.
 func (directory *Directory) PrefixTokens(chat uint64) int64 {
-	found, _ := directory.own.get(chat)
+	found, _ := directory.local.get(chat)
 	return found.tokens
 }
 
-// Forget forgets a prefix that the engine turned out not to have. Engines tell of
-// evictions late and with gaps; what they answer when asked is what repairs.
+// Forget removes a chat whose prefix the engine doesn't have. Engines publish
+// evictions late and incompletely, so the directory is corrected when a request
+// to the engine shows that a prefix is missing.
 func (directory *Directory) Forget(chat uint64) {
-	directory.tokens -= directory.own.drop(chat).tokens
+	directory.tokens -= directory.local.remove(chat).tokens
 }
 
-// RecordTransfer forgets that the chat's prefix is here: it went to the replica that
-// fetched it, and the copy here is the next to be evicted.
-func (directory *Directory) RecordTransfer(chat uint64, where string) {
+// RecordTransfer records that another replica fetched the chat's prefix. The copy
+// here is the next to be evicted.
+func (directory *Directory) RecordTransfer(chat uint64, replica string) {
 	directory.Forget(chat)
-	directory.Record(chat, where, 0)
+	directory.Record(chat, replica, 0)
 }
 
-// Move says what a leaving replica gives away of a chat.
+// Move is a chat that a leaving replica hands over.
 type Move struct {
 	Chat   uint64
 	Tokens int64
-	// To are the chat's home among the rest and the runners-up, which take the
-	// prefix when the home has no room for it.
+	// To are the chat's home among the remaining replicas and its runners-up, which
+	// take the prefix if the home has no room for it.
 	To []Replica
-	// Holder is the replica that has the prefix; "" means the leaving one, so
-	// that the prefix itself goes along.
+	// Holder is the replica that caches the prefix; "" means the leaving one, so
+	// that the prefix itself is handed over and not a pointer.
 	Holder string
 }
 
-// Handover decides what a leaving replica gives away: the chats that ran here,
-// latest first, and then its pointers, each to the chat's home among the rest.
-// The limit bounds what a drain adds to the network and to the caches that take
-// it; the chats used last are the likeliest to return soon.
+// Handover returns what a leaving replica hands over: the chats that ran here,
+// most recent first, and then its pointers, each to the chat's home among the
+// remaining replicas. The limit bounds the load that a drain puts on the network
+// and on the caches of the receivers; recent chats are the likeliest to return
+// soon.
 func (directory *Directory) Handover(rest Roster, limit int) []Move {
 	var moves []Move
-	for _, kept := range []pointerCache{directory.own, directory.away} {
-		for element := kept.byUsage.Front(); element != nil && len(moves) < limit; element = element.Next() {
+	for _, cache := range []pointerCache{directory.local, directory.remote} {
+		for element := cache.byUse.Front(); element != nil && len(moves) < limit; element = element.Next() {
 			pointer := element.Value.(pointer)
 			ranked := rest.Rank(pointer.chat, MaxOffers)
 			if len(ranked) == 0 {
 				return nil
 			}
 			move := Move{Chat: pointer.chat, Tokens: pointer.tokens, To: ranked}
-			if pointer.where != directory.settings.Self {
-				move.Holder = pointer.where
+			if pointer.replica != directory.settings.Self {
+				move.Holder = pointer.replica
 			}
 			moves = append(moves, move)
 		}
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -2,61 +2,63 @@
 
 import "slices"
 
-// MaxOffers is how many offers one call makes at most. It bounds what a
-// saturated service costs, however many replicas it has.
+// MaxOffers is how many offers one call makes at most. It bounds the cost of a
+// call to a saturated service, regardless of the number of replicas.
 const MaxOffers = 3
 
-// Attempt is a replica that an offer goes to.
+// Attempt is one offer of a call to a replica.
 type Attempt struct {
 	Replica Replica
-	// OnlyIfCached says that the offer goes there for the chat's prefix alone: a replica
-	// that doesn't know the chat sends it back.
+	// OnlyIfCached is true if the replica should take the call only when it caches
+	// the chat's prefix.
 	OnlyIfCached bool
-	// BudgetExempt says that the stop follows a hint and is no retry after a failure.
+	// BudgetExempt is true if the attempt isn't charged to the retry budget, since it
+	// follows a hint in a refusal or a refusal at the bound.
 	BudgetExempt bool
 }
 
-// Refusal is what an plan reads in a refusal.
+// Refusal holds the fields of a refusal that a plan depends on.
 type Refusal struct {
-	// Moved says that the chat is elsewhere, and that the replica would take it
-	// if it came again.
+	// Moved is true if the replica redirected the call. It will take the call if it
+	// is offered again.
 	Moved bool
-	// AtBound says that the replica carries its share, so others carry less. What
-	// follows is a part of placing the call, which can't add to a saturation, and
-	// no charge on the retry budget.
+	// AtBound is true if the replica is at its bound, so that others carry less.
+	// The next attempt still belongs to the placement of the call: it can't add to
+	// a saturation, and it isn't charged to the retry budget.
 	AtBound bool
-	// LastReplica is the replica that the chat last ran at, or "".
+	// LastReplica is the replica that the chat last ran on, or "".
 	LastReplica string
-	// Alternative is a replica with room, or "".
+	// Alternative is a replica with free capacity, or "".
 	Alternative string
 }
 
-// AttemptPlan leads one call's offers: to the chat's home, then where a hint
-// says, then along the ranking.
+// AttemptPlan orders the attempts of one call: first the chat's home, then the
+// replicas that refusals name, then the rest of the ranking.
 type AttemptPlan struct {
-	roster  Roster
-	away    []string
-	ranked  []Replica
-	visited []string
-	// home is set when the home sent the offer on and is to be asked again.
-	home bool
-	hint Refusal
-	// bounded is the replica that refused at its bound last.
-	bounded string
+	roster      Roster
+	unreachable []string
+	ranked      []Replica
+	attempted   []string
+	// retryHome is true if the home redirected the call and will take it if it is
+	// offered again.
+	retryHome   bool
+	lastRefusal Refusal
+	// atBound is the replica that refused at its bound most recently.
+	atBound string
 }
 
-// NewAttemptPlan returns the plan of a chat. It passes by the replicas that
-// were lately out of reach, unless there are no others.
-func NewAttemptPlan(roster Roster, chat uint64, away []string) *AttemptPlan {
-	all := roster.Rank(chat, MaxOffers+len(away))
-	ranked := slices.DeleteFunc(slices.Clone(all), func(replica Replica) bool { return slices.Contains(away, replica.Name) })
+// NewAttemptPlan returns the plan of a chat. It skips the replicas that were
+// recently unreachable, unless there are no others.
+func NewAttemptPlan(roster Roster, chat uint64, unreachable []string) *AttemptPlan {
+	all := roster.Rank(chat, MaxOffers+len(unreachable))
+	ranked := slices.DeleteFunc(slices.Clone(all), func(replica Replica) bool { return slices.Contains(unreachable, replica.Name) })
 	if len(ranked) == 0 {
-		ranked, away = all, nil
+		ranked, unreachable = all, nil
 	}
-	return &AttemptPlan{roster: roster, away: away, ranked: ranked[:min(MaxOffers, len(ranked))]}
+	return &AttemptPlan{roster: roster, unreachable: unreachable, ranked: ranked[:min(MaxOffers, len(ranked))]}
 }
 
-// Ranked returns the names of the replicas as they rank for the chat.
+// Ranked returns the names of the replicas in the order of the chat's ranking.
 func (plan *AttemptPlan) Ranked() []string {
 	names := make([]string, len(plan.ranked))
 	for i, replica := range plan.ranked {
@@ -65,92 +67,94 @@
 	return names
 }
 
-// PointerHolders returns the replicas that are to know where the chat ran: its home,
-// and the runner-up, which is the home should the home fail.
+// PointerHolders returns the replicas that should record where the chat ran: its
+// home, and the runner-up, which becomes the home if the home fails.
 func (plan *AttemptPlan) PointerHolders(served Replica) []Replica {
 	if plan.ranked[0].Name == served.Name {
 		return nil
 	}
 	holders := slices.Clone(plan.ranked[:min(2, len(plan.ranked))])
-	return slices.DeleteFunc(holders, func(keeper Replica) bool { return keeper.Name == served.Name })
+	return slices.DeleteFunc(holders, func(holder Replica) bool { return holder.Name == served.Name })
 }
 
-// Attempted reports whether a replica was a stop already.
+// Attempted reports whether the call was offered to the replica.
 func (plan *AttemptPlan) Attempted(name string) bool {
-	return slices.Contains(plan.visited, name)
+	return slices.Contains(plan.attempted, name)
 }
 
-// RecordRefusal takes in the refusal of the last stop.
+// RecordRefusal records the refusal of the latest attempt.
 func (plan *AttemptPlan) RecordRefusal(refusal Refusal) {
-	plan.hint = refusal
-	if refusal.AtBound && len(plan.visited) > 0 {
-		plan.bounded = plan.visited[len(plan.visited)-1]
+	plan.lastRefusal = refusal
+	if refusal.AtBound && len(plan.attempted) > 0 {
+		plan.atBound = plan.attempted[len(plan.attempted)-1]
 	}
-	if refusal.Moved && len(plan.visited) == 1 {
-		plan.home = true
+	if refusal.Moved && len(plan.attempted) == 1 {
+		plan.retryHome = true
 	}
 }
 
-// Next returns the next stop; it returns false when there is none left.
+// Next returns the next attempt; it returns false when there is none left.
 func (plan *AttemptPlan) Next() (Attempt, bool) {
-	if len(plan.visited) >= MaxOffers || len(plan.ranked) == 0 {
+	if len(plan.attempted) >= MaxOffers || len(plan.ranked) == 0 {
 		return Attempt{}, false
 	}
-	stop, ok := plan.choose()
-	stop.BudgetExempt = stop.BudgetExempt || plan.hint.AtBound
+	attempt, ok := plan.choose()
+	attempt.BudgetExempt = attempt.BudgetExempt || plan.lastRefusal.AtBound
 	if ok {
-		plan.visited = append(plan.visited, stop.Replica.Name)
+		plan.attempted = append(plan.attempted, attempt.Replica.Name)
 	}
-	return stop, ok
+	return attempt, ok
 }
 
-// RetryAtBound returns the replica that refused at its bound once more, as the last
-// stop, when no other is left before the plan is at its full length.
+// RetryAtBound returns, as the last attempt, the replica that refused at its
+// bound, if the plan runs out of replicas before MaxOffers attempts.
 //
-// The failure: a service of three has one replica stopped and one not yet known,
-// and the mean still counts all three. The symptom: the one that is left is over
-// its share of nothing, and callers are refused while its slots are free. Offered
-// as the last stop it gives a free slot, as it does to a call that three refused.
+// It covers a service of three replicas of which one has stopped and one isn't
+// known to the entry yet, while the mean still counts all three. The remaining
+// replica then exceeds its share and would refuse callers while its slots are
+// free. On the last attempt it gives a free slot, as it does to a call that three
+// replicas refused.
 func (plan *AttemptPlan) RetryAtBound() (Attempt, bool) {
-	if plan.bounded == "" || len(plan.visited) >= MaxOffers {
+	if plan.atBound == "" || len(plan.attempted) >= MaxOffers {
 		return Attempt{}, false
 	}
-	replica, ok := plan.roster.Find(plan.bounded)
-	for len(plan.visited) < MaxOffers {
-		plan.visited = append(plan.visited, replica.Name)
+	replica, ok := plan.roster.Find(plan.atBound)
+	for len(plan.attempted) < MaxOffers {
+		plan.attempted = append(plan.attempted, replica.Name)
 	}
 	return Attempt{Replica: replica, BudgetExempt: true}, ok
 }
 
 func (plan *AttemptPlan) choose() (Attempt, bool) {
-	first := len(plan.visited) == 0
+	first := len(plan.attempted) == 0
 	if !first {
-		if replica, ok := plan.fresh(plan.hint.LastReplica); ok {
-			return Attempt{Replica: replica, BudgetExempt: plan.hint.Moved}, true
+		if replica, ok := plan.findNew(plan.lastRefusal.LastReplica); ok {
+			return Attempt{Replica: replica, BudgetExempt: plan.lastRefusal.Moved}, true
 		}
 	}
-	// The home asked to look at the runner-up, without knowing more.
-	if plan.home && len(plan.visited) == 1 && plan.hint.LastReplica == "" && len(plan.ranked) > 1 {
+	// The home redirected the call without naming a replica: try the runner-up.
+	if plan.retryHome && len(plan.attempted) == 1 && plan.lastRefusal.LastReplica == "" && len(plan.ranked) > 1 {
 		return Attempt{Replica: plan.ranked[1], OnlyIfCached: true, BudgetExempt: true}, true
 	}
-	if replica, ok := plan.fresh(plan.hint.Alternative); ok && len(plan.visited) == MaxOffers-1 {
+	if replica, ok := plan.findNew(plan.lastRefusal.Alternative); ok && len(plan.attempted) == MaxOffers-1 {
 		return Attempt{Replica: replica, BudgetExempt: true}, true
 	}
-	if plan.home && !first {
-		plan.home = false
+	if plan.retryHome && !first {
+		plan.retryHome = false
 		return Attempt{Replica: plan.ranked[0], BudgetExempt: true}, true
 	}
 	for _, replica := range plan.ranked {
-		if !slices.Contains(plan.visited, replica.Name) {
+		if !slices.Contains(plan.attempted, replica.Name) {
 			return Attempt{Replica: replica}, true
 		}
 	}
 	return Attempt{}, false
 }
 
-// fresh returns the named replica when the roster has it and it was not visited.
-func (plan *AttemptPlan) fresh(name string) (Replica, bool) {
-	if name == "" || slices.Contains(plan.visited, name) || slices.Contains(plan.away, name) {
+// findNew returns the named replica if it is in the roster, reachable and not
+// yet attempted.
+func (plan *AttemptPlan) findNew(name string) (Replica, bool) {
+	if name == "" || slices.Contains(plan.attempted, name) || slices.Contains(plan.unreachable, name) {
 		return Replica{}, false
 	}
 	return plan.roster.Find(name)
--- a/internal/placer/pointer_cache.go
+++ b/internal/placer/pointer_cache.go
@@ -2,21 +2,21 @@
 
 import "container/list"
 
-// pointer says where a chat last ran.
+// pointer records which replica a chat last ran on.
 type pointer struct {
-	chat   uint64
-	where  string
-	tokens int64
+	chat    uint64
+	replica string
+	tokens  int64
 }
 
 // pointerCache holds pointers in the order of their last use.
 type pointerCache struct {
-	byChat  map[uint64]*list.Element
-	byUsage *list.List
+	byChat map[uint64]*list.Element
+	byUse  *list.List
 }
 
 func newPointerCache() pointerCache {
-	return pointerCache{byChat: map[uint64]*list.Element{}, byUsage: list.New()}
+	return pointerCache{byChat: map[uint64]*list.Element{}, byUse: list.New()}
 }
 
 func (cache pointerCache) get(chat uint64) (pointer, bool) {
@@ -27,28 +27,28 @@
 	return element.Value.(pointer), true
 }
 
-// put adds a pointer in place of the chat's earlier one, and returns what it
-// dropped to stay within limit.
-func (cache pointerCache) put(noted pointer, limit int) pointer {
-	cache.drop(noted.chat)
-	cache.byChat[noted.chat] = cache.byUsage.PushFront(noted)
+// put replaces the chat's pointer, and returns the pointer that it evicted to
+// stay within limit.
+func (cache pointerCache) put(added pointer, limit int) pointer {
+	cache.remove(added.chat)
+	cache.byChat[added.chat] = cache.byUse.PushFront(added)
 	if len(cache.byChat) > limit {
-		return cache.drop(cache.oldest())
+		return cache.remove(cache.oldest())
 	}
 	return pointer{}
 }
 
-// drop takes out a chat's pointer and returns it.
-func (cache pointerCache) drop(chat uint64) pointer {
-	gone, ok := cache.get(chat)
+// remove removes a chat's pointer and returns it.
+func (cache pointerCache) remove(chat uint64) pointer {
+	removed, ok := cache.get(chat)
 	if ok {
-		cache.byUsage.Remove(cache.byChat[chat])
+		cache.byUse.Remove(cache.byChat[chat])
 		delete(cache.byChat, chat)
 	}
-	return gone
+	return removed
 }
 
-// oldest returns the chat that was used longest ago; the cache must not be empty.
+// oldest returns the least recently used chat; the cache must not be empty.
 func (cache pointerCache) oldest() uint64 {
-	return cache.byUsage.Back().Value.(pointer).chat
+	return cache.byUse.Back().Value.(pointer).chat
 }
--- a/internal/placer/retry_at_bound_test.go
+++ b/internal/placer/retry_at_bound_test.go
@@ -6,31 +6,31 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestTheOnlyReplicaLeftIsOfferedOnceMore(t *testing.T) {
-	// Of a service's replicas one is known to the entry. It refuses at its bound,
-	// since the mean still counts the others; no other stop is left.
+func TestTheOnlyKnownReplicaIsRetriedAtItsBound(t *testing.T) {
+	// The entry knows one replica of the service. That replica refuses at its
+	// bound, since the mean still counts the others, and no other is left to try.
 	tests := []struct {
 		name    string
 		refusal Refusal
-		again   bool
+		retried bool
 	}{
 		{"refused at its bound", Refusal{AtBound: true}, true},
 		{"refused for another reason", Refusal{}, false},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			route := NewAttemptPlan(NewRoster([]Replica{{Name: "orders-1"}}), 7, nil)
-			first, ok := route.Next()
+			plan := NewAttemptPlan(NewRoster([]Replica{{Name: "orders-1"}}), 7, nil)
+			first, ok := plan.Next()
 			So(ok, ShouldBeTrue)
-			route.RecordRefusal(test.refusal)
-			_, ok = route.Next()
+			plan.RecordRefusal(test.refusal)
+			_, ok = plan.Next()
 			So(ok, ShouldBeFalse)
-			last, ok := route.RetryAtBound()
-			So(ok, ShouldEqual, test.again)
+			last, ok := plan.RetryAtBound()
+			So(ok, ShouldEqual, test.retried)
 			if ok {
 				So(last.Replica.Name, ShouldEqual, first.Replica.Name)
 			}
-			_, ok = route.RetryAtBound()
+			_, ok = plan.RetryAtBound()
 			So(ok, ShouldBeFalse)
 		})
 	}
--- a/internal/placer/roster.go
+++ b/internal/placer/roster.go
@@ -11,12 +11,12 @@
 const (
 	// pointsPerWeight is how many points a replica of weight 1 has on the ring.
 	pointsPerWeight = 16
-	// probes is how many points of the ring are looked up for a chat.
-	probes = 12
+	// probesPerChat is how many points of the ring are looked up for a chat.
+	probesPerChat = 12
 	// WholeShare is the Share of a replica that has all of its weight.
 	WholeShare = 16
-	// heaviestWeight bounds the memory that one replica takes on the ring.
-	heaviestWeight = 16
+	// maxWeight bounds the memory that one replica takes on the ring.
+	maxWeight = 16
 )
 
 // Replica is one upstream instance of a service, as an entry knows it.
@@ -24,14 +24,15 @@
 	Name    string
 	Address string
 	Site    string
-	// Weight is the replica's share of the chats; zero means 1.
+	// Weight sets the replica's part of the chats in proportion to the other
+	// replicas; zero means 1.
 	Weight int
-	// Share is the part of its weight that the replica has now, up to 1, in
+	// Share is the fraction of its weight, up to 1, that the replica has now, in
 	// sixteenths; zero means all of it.
 	Share int
 }
 
-// point is a place on the ring that belongs to a replica.
+// point is a position on the ring that belongs to a replica.
 type point struct {
 	at      uint64
 	replica int32
@@ -41,10 +42,11 @@
 type Roster struct {
 	replicas []Replica
 	ring     []point
-	// starts holds, for each of an even cut of the ring, the first point in or
-	// after it, so that a look-up needs no search.
+	// starts cuts the ring into equal sectors and holds the index of the first point
+	// in or after each sector, so that a lookup needs no search.
 	starts []int32
-	shift  uint
+	// shift turns a hash into the number of its sector.
+	shift uint
 }
 
 // NewRoster returns a roster of the replicas.
@@ -62,16 +64,17 @@
 }
 
 // points returns how many points the replica has on the ring. A replica with a
-// part of its share has the first of its points only, so that each chat it
+// reduced Share has only the first of its points, so that each chat that it
 // keeps stays where it was.
 func (replica Replica) points() int {
-	points := pointsPerWeight * min(max(1, replica.Weight), heaviestWeight)
+	points := pointsPerWeight * min(max(1, replica.Weight), maxWeight)
 	if replica.Share > 0 {
 		points = max(1, points*min(replica.Share, WholeShare)/WholeShare)
 	}
 	return points
 }
 
+// index fills starts from the sorted ring.
 func (roster *Roster) index() {
 	if len(roster.ring) == 0 {
 		return
@@ -80,11 +83,11 @@
 	roster.shift = uint(64 - digits)
 	roster.starts = make([]int32, 1<<digits)
 	next := 0
-	for cut := range roster.starts {
-		for next < len(roster.ring) && roster.ring[next].at < uint64(cut)<<roster.shift {
+	for sector := range roster.starts {
+		for next < len(roster.ring) && roster.ring[next].at < uint64(sector)<<roster.shift {
 			next++
 		}
-		roster.starts[cut] = int32(next)
+		roster.starts[sector] = int32(next)
 	}
 }
 
@@ -116,28 +119,28 @@
 	if limit <= 0 {
 		return nil
 	}
-	var room [8]nearby
-	near := room[:0]
-	for probe := range uint64(probes) {
-		near = roster.walk(mix(chat, probe), near, limit)
+	var buffer [8]neighbour
+	nearest := buffer[:0]
+	for probe := range uint64(probesPerChat) {
+		nearest = roster.walk(mix(chat, probe), nearest, limit)
 	}
-	ranked := make([]Replica, len(near))
-	for i, found := range near {
+	ranked := make([]Replica, len(nearest))
+	for i, found := range nearest {
 		ranked[i] = roster.replicas[found.replica]
 	}
 	return ranked
 }
 
-// nearby is a replica with its distance to a chat.
-type nearby struct {
+// neighbour is a replica with its distance to a chat.
+type neighbour struct {
 	distance uint64
 	replica  int32
 }
 
-// walk goes along the ring from a probe and puts the replicas it meets into
-// near, the limit nearest of all probes so far. It ends at the first point that
-// is farther than all of them.
-func (roster Roster) walk(probe uint64, near []nearby, limit int) []nearby {
+// walk follows the ring from a probe and merges the replicas that it meets into
+// nearest, the limit nearest of all probes so far. It stops at the first point
+// that is farther than all of them.
+func (roster Roster) walk(probe uint64, nearest []neighbour, limit int) []neighbour {
 	at := int(roster.starts[probe>>roster.shift])
 	for at < len(roster.ring) && roster.ring[at].at < probe {
 		at++
@@ -146,33 +149,34 @@
 		if at >= len(roster.ring) {
 			at = 0
 		}
-		here := roster.ring[at]
-		found := nearby{distance: here.at - probe, replica: here.replica}
-		if len(near) == limit && found.distance >= near[limit-1].distance {
-			return near
+		current := roster.ring[at]
+		found := neighbour{distance: current.at - probe, replica: current.replica}
+		if len(nearest) == limit && found.distance >= nearest[limit-1].distance {
+			return nearest
 		}
-		near = insert(near, found, limit)
+		nearest = insert(nearest, found, limit)
 		at++
 	}
-	return near
+	return nearest
 }
 
-// insert puts a replica at its place in near, once.
-func insert(near []nearby, found nearby, limit int) []nearby {
-	known := slices.IndexFunc(near, func(other nearby) bool { return other.replica == found.replica })
+// insert adds a replica to nearest in the order of distance. A replica stands
+// there once, with its shortest distance.
+func insert(nearest []neighbour, found neighbour, limit int) []neighbour {
+	present := slices.IndexFunc(nearest, func(other neighbour) bool { return other.replica == found.replica })
 	switch {
-	case known >= 0 && near[known].distance <= found.distance:
-		return near
-	case known >= 0:
-		near = slices.Delete(near, known, known+1)
-	case len(near) == limit:
-		near = near[:limit-1]
+	case present >= 0 && nearest[present].distance <= found.distance:
+		return nearest
+	case present >= 0:
+		nearest = slices.Delete(nearest, present, present+1)
+	case len(nearest) == limit:
+		nearest = nearest[:limit-1]
 	}
 	at := 0
-	for at < len(near) && near[at].distance < found.distance {
+	for at < len(nearest) && nearest[at].distance < found.distance {
 		at++
 	}
-	return slices.Insert(near, at, found)
+	return slices.Insert(nearest, at, found)
 }
 
 // mix hashes two numbers with the finalizer of SplitMix64 (Steele, Lea and
--- a/internal/placer/roster_test.go
+++ b/internal/placer/roster_test.go
@@ -26,9 +26,9 @@
 	return out
 }
 
-// TestRankingThroughChange checks the two properties that reuse depends on: a
-// leave makes the runner-up the home, and a join makes the previous home the
-// runner-up, whatever the order in which a process learned of the replicas.
+// TestRankingThroughChange checks the two properties that prefix reuse depends
+// on, for any order of the replicas: when a replica leaves, the runner-up becomes
+// the home, and when one joins, the previous home becomes the runner-up.
 func TestRankingThroughChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 40).Draw(t, "count")
@@ -53,8 +53,9 @@
 	})
 }
 
-// shares returns the least and the greatest share of chats by weight, over the mean.
-func shares(list []Replica, chats uint64) (least, most float64) {
+// shares returns the smallest and the largest share of chats of a replica
+// relative to its weight, as multiples of the mean.
+func shares(list []Replica, chats uint64) (smallest, largest float64) {
 	roster := NewRoster(list)
 	counts := map[string]float64{}
 	for chat := range chats {
@@ -64,32 +65,32 @@
 	for _, replica := range list {
 		weights += float64(max(1, replica.Weight))
 	}
-	least = math.Inf(1)
+	smallest = math.Inf(1)
 	for _, replica := range list {
 		share := counts[replica.Name] * weights / float64(chats) / float64(max(1, replica.Weight))
-		least, most = min(least, share), max(most, share)
+		smallest, largest = min(smallest, share), max(largest, share)
 	}
-	return least, most
+	return smallest, largest
 }
 
 func TestSharesFollowWeights(t *testing.T) {
 	weighted := replicas(12)
 	weighted[3].Weight, weighted[7].Weight = 2, 4
 	tests := []struct {
-		name        string
-		list        []Replica
-		least, most float64
+		name              string
+		list              []Replica
+		smallest, largest float64
 	}{
-		{"nine", replicas(9), 0.8, 1.2},
-		{"a dozen of three weights", weighted, 0.8, 1.25},
-		{"a middle service", replicas(182), 0.6, 1.35},
+		{"nine replicas", replicas(9), 0.8, 1.2},
+		{"twelve replicas of three weights", weighted, 0.8, 1.25},
+		{"a medium service", replicas(182), 0.6, 1.35},
 	}
-	Convey("no replica is far from its share of the chats", t, func() {
+	Convey("each replica's part of the chats is close to its weight", t, func() {
 		for _, test := range tests {
-			least, most := shares(test.list, 200_000)
-			t.Logf("%s: least %.3f, most %.3f of the mean", test.name, least, most)
-			So(least, ShouldBeGreaterThan, test.least)
-			So(most, ShouldBeLessThan, test.most)
+			smallest, largest := shares(test.list, 200_000)
+			t.Logf("%s: smallest %.3f, largest %.3f of the mean", test.name, smallest, largest)
+			So(smallest, ShouldBeGreaterThan, test.smallest)
+			So(largest, ShouldBeLessThan, test.largest)
 		}
 	})
 	Convey("an empty roster ranks nothing", t, func() {
@@ -98,8 +99,9 @@
 	})
 }
 
-// BenchmarkRank is the cost of one placement. The bound is on growth: from 12
-// to 3,100 replicas, 258 times as many, a decision may cost eight times as much.
+// BenchmarkRank measures the cost of one ranking and fails when the cost grows
+// too fast: at 3,100 replicas, 258 times as many as 12, a ranking may cost at most
+// eight times as much as at 12.
 func BenchmarkRank(b *testing.B) {
 	const growth, decisions = 8, 50_000
 	var first float64
@@ -130,7 +132,7 @@
 	}
 }
 
-// BenchmarkNewRoster is the cost of one change of a roster.
+// BenchmarkNewRoster measures the cost of one change of a roster.
 func BenchmarkNewRoster(b *testing.B) {
 	list := replicas(3100)
 	for b.Loop() {
