--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -1,13 +1,14 @@
 package retrier
 
-// Settings set up a budget. The zero value of a field means its default.
+// Settings configures a Budget. A zero field means its default.
 type Settings struct {
-	// Ratio is how many retries each call earns; zero means a half. At a half
-	// the agents of a saturated service see at most 1.5 offers a call, while a
-	// service in which every third call spills is still served whole.
+	// Ratio is how many retries each call adds to the budget; zero means a half. At
+	// a half the agents of a saturated service see at most 1.5 offers per call,
+	// while a service in which every third call has to be offered again is still
+	// served in full.
 	Ratio float64
-	// Reserve is how many retries are there at the start, and the most that
-	// quiet times save up; zero means 20.
+	// Reserve is the budget at the start, and the most that it grows to while
+	// retries are few; zero means 20.
 	Reserve float64
 }
 
@@ -21,29 +22,29 @@
 	return settings
 }
 
-// Budget is what an entry may still spend on retries for one service. Its
-// caller holds a lock around it.
+// Budget limits the retries of an entry for one service. Its caller must hold a
+// lock around it.
 type Budget struct {
-	settings Settings
-	left     float64
+	settings  Settings
+	remaining float64
 }
 
 // NewBudget returns a full budget.
 func NewBudget(settings Settings) *Budget {
 	settings = settings.withDefaults()
-	return &Budget{settings: settings, left: settings.Reserve}
+	return &Budget{settings: settings, remaining: settings.Reserve}
 }
 
-// Earn notes a call.
+// Earn adds the retries that a new call allows to the budget.
 func (budget *Budget) Earn() {
-	budget.left = min(budget.settings.Reserve, budget.left+budget.settings.Ratio)
+	budget.remaining = min(budget.settings.Reserve, budget.remaining+budget.settings.Ratio)
 }
 
-// Spend takes one retry out of the budget and reports whether there was one.
+// Spend takes one retry from the budget and reports whether there was one.
 func (budget *Budget) Spend() bool {
-	if budget.left < 1 {
+	if budget.remaining < 1 {
 		return false
 	}
-	budget.left--
+	budget.remaining--
 	return true
 }
--- a/internal/retrier/budget_test.go
+++ b/internal/retrier/budget_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestRetriesStayWithinTheirShare checks what a saturated service relies on:
-// over any stretch of calls the retries are at most the reserve and the calls'
-// share, whatever came before. So what quiet times save up is bounded too.
-func TestRetriesStayWithinTheirShare(t *testing.T) {
+// TestRetriesStayWithinTheirRatio checks the limit that protects a saturated
+// service: over any sequence of calls the retries are at most the reserve plus
+// the ratio of the calls, however many calls without retries came before.
+func TestRetriesStayWithinTheirRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{
 			Ratio:   rapid.Float64Range(0.01, 2).Draw(t, "share"),
@@ -30,17 +30,16 @@
 			case budget.Spend():
 				retries++
 			}
-			if most := settings.Reserve + calls*settings.Ratio; retries > most+1e-9 {
-				t.Fatalf("%v retries after %v calls and %d quiet ones; the most is %v", retries, calls, quiet, most)
+			if limit := settings.Reserve + calls*settings.Ratio; retries > limit+1e-9 {
+				t.Fatalf("%v retries after %v calls and %d earlier ones without retries; the limit is %v", retries, calls, quiet, limit)
 			}
 		}
 	})
 }
 
 func TestABudgetAtFullSaturation(t *testing.T) {
-	// At full saturation every call would be tried twice more; the agents then
-	// see at most one and a half offers a call, and once a service recovers its
-	// callers have their retries back.
+	// At full saturation every call would be retried twice. The budget limits this
+	// to about 1.5 offers per call, and grows again once the service has recovered.
 	const calls = 1000
 	tests := []struct {
 		name     string
@@ -48,7 +47,7 @@
 		retries  int
 	}{
 		{"defaults", Settings{}, 519},
-		{"a tenth", Settings{Ratio: 0.1, Reserve: 10}, 109},
+		{"a ratio of a tenth", Settings{Ratio: 0.1, Reserve: 10}, 109},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/internal/retrier/doc.go
+++ b/internal/retrier/doc.go
@@ -1,10 +1,10 @@
-// Package retrier bounds how much an entry tries again.
+// Package retrier limits the retries of an entry.
 //
 // A retry helps while some replicas are full and others are not. At full
 // saturation it only adds offers that will be refused: with two retries a call
 // the agents would see three times the load that callers send. A retry budget
-// (Beyer et al., "Site Reliability Engineering", 2016, chapter 21) lets a set
-// part of the calls be tried again, so the amplification has a ceiling however
+// (Beyer et al., "Site Reliability Engineering", 2016, chapter 21) lets only a
+// set part of the calls be retried, so that the amplification is bounded however
 // many calls fail.
 //
 // The package is decision logic: no I/O, no goroutines, no clock.
--- a/internal/retrier/window.go
+++ b/internal/retrier/window.go
@@ -3,39 +3,41 @@
 import "github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 
 const (
-	// windowSlices is how many slices a window has: the sums move on by a tenth.
+	// windowSlices is the number of slices of a window, which moves by one slice, a
+	// tenth of its length, at a time.
 	windowSlices = 10
-	// keptSlices is how many are kept. Retries count for one slice longer than
-	// requests, so that those at the begin of a window still count at its end.
+	// keptSlices is the number of slices that are kept. Retries count for one slice
+	// longer than requests, so that those at the start of a window still count at
+	// its end.
 	keptSlices = windowSlices + 1
 )
 
-// WindowSettings set up a Window.
+// WindowSettings configures a Window.
 type WindowSettings struct {
 	// Span is the window's length. It must be positive.
 	Span timekeeper.Span
 	// Ratio is how many retries each request of the window allows.
 	Ratio float64
-	// Extra is how many retries the whole fleet may make beyond that.
+	// Extra is how many further retries all entries together may make in a window.
 	Extra float64
 }
 
-// Window is what one entry may still send again to one service, when the fleet
-// as a whole must stay within a ratio of its requests plus an allowance over
-// every window of a length.
+// Window limits the retries of one entry to one service, so that the retries of
+// all entries together stay within a ratio of their requests plus an allowance,
+// over every window of the length.
 //
-// The load: replicas that fail in numbers, while requests come by many entries.
-// The harm: retries multiply the load on what is left. Each entry takes the
-// ratio of its own requests, and its part of the allowance, so that no message
-// is needed for a decision and the sum holds whoever comes and goes: an entry
-// that restarts has spent its part at most twice, which the caller's choice of
-// parts has to allow for.
+// It keeps retries from multiplying the load on the remaining replicas when many
+// replicas fail while requests arrive through many entries. Each entry uses the
+// ratio of its own requests and its part of the allowance, so that a decision
+// needs no message and the total holds while entries come and go. An entry that
+// restarts spends its part at most twice; the caller must choose the number of
+// parts to allow for that.
 type Window struct {
 	settings WindowSettings
-	slots    [keptSlices]windowSlot
+	slices   [keptSlices]windowSlice
 }
 
-type windowSlot struct {
+type windowSlice struct {
 	number   int64
 	requests float64
 	retries  float64
@@ -46,42 +48,43 @@
 	return &Window{settings: settings}
 }
 
-func (window *Window) slot(now timekeeper.Instant) *windowSlot {
+// slice returns the current slice, cleared if it held an earlier one.
+func (window *Window) slice(now timekeeper.Instant) *windowSlice {
 	length := max(1, int64(window.settings.Span)/windowSlices)
 	number := int64(now) / length
-	slot := &window.slots[number%keptSlices]
-	if slot.number != number {
-		*slot = windowSlot{number: number}
+	slice := &window.slices[number%keptSlices]
+	if slice.number != number {
+		*slice = windowSlice{number: number}
 	}
-	return slot
+	return slice
 }
 
-// Earn notes a request.
+// Earn counts a request.
 func (window *Window) Earn(now timekeeper.Instant) {
-	window.slot(now).requests++
+	window.slice(now).requests++
 }
 
-// Spend takes one retry and reports whether there was one. parts is among how
-// many entries the allowance is shared.
+// Spend takes one retry and reports whether there was one. The allowance is
+// divided into so many parts, one for each entry.
 func (window *Window) Spend(parts int, now timekeeper.Instant) bool {
 	if window.Remaining(parts, now) < 1 {
 		return false
 	}
-	window.slot(now).retries++
+	window.slice(now).retries++
 	return true
 }
 
-// Remaining returns how many retries there are: less than one means none.
+// Remaining returns the number of retries that remain; below 1 Spend takes none.
 func (window *Window) Remaining(parts int, now timekeeper.Instant) float64 {
-	current := window.slot(now).number
+	current := window.slice(now).number
 	requests, retries := 0.0, 0.0
-	for _, slot := range window.slots {
-		age := current - slot.number
+	for _, slice := range window.slices {
+		age := current - slice.number
 		if age < windowSlices {
-			requests += slot.requests
+			requests += slice.requests
 		}
 		if age < keptSlices {
-			retries += slot.retries
+			retries += slice.retries
 		}
 	}
 	return window.settings.Ratio*requests + window.settings.Extra/float64(max(1, parts)) - retries
