--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -30,16 +30,16 @@
 		call.left = deadline.Since(entry.settings.Clock.Now())
 		stop, ok := route.Next()
 		if !ok {
-			stop, ok = route.Again()
+			stop, ok = route.RetryAtBound()
 			i = placer.MaxOffers - 1
 		}
-		if !ok || call.left <= 0 || (i > 0 && !stop.Free && !entry.budgets.spend(call.service)) {
+		if !ok || call.left <= 0 || (i > 0 && !stop.BudgetExempt && !entry.budgets.spend(call.service)) {
 			break
 		}
-		call.seek, call.ranked = stop.Seek, route.Ranked()
+		call.seek, call.ranked = stop.OnlyIfCached, route.Ranked()
 		failure, done := entry.attempt(ctx, w, call, stop.Replica, i)
 		if done {
-			go entry.tellHolders(context.WithoutCancel(ctx), call, route.Holders(stop.Replica), stop.Replica)
+			go entry.tellHolders(context.WithoutCancel(ctx), call, route.PointerHolders(stop.Replica), stop.Replica)
 			return nil
 		}
 		entry.logAttempt(call, stop.Replica, failure)
@@ -56,7 +56,7 @@
 		if !attempts.add(call, failure) {
 			break
 		}
-		route.Refused(entry.refusalOf(call, route, failure))
+		route.RecordRefusal(entry.refusalOf(call, route, failure))
 	}
 	return giveUp(attempts.failure())
 }
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -14,21 +14,21 @@
 	if agent.service.Kind != resolver.KindModel {
 		return classifier.Failure{}, false
 	}
-	if !agent.places.Moved(agent.visit(offer, now)) {
+	if !agent.places.ShouldRedirect(agent.visit(offer, now)) {
 		return classifier.Failure{}, false
 	}
 	return classifier.New(classifier.Moved, "the chat last ran at another replica"), true
 }
 
 // visit returns an offer as the directory sees it; the lock must be held.
-func (agent *Agent) visit(offer *encoder.Offer, now timekeeper.Instant) placer.Visit {
-	return placer.Visit{
-		Chat:     offer.GetChat(),
-		Attempt:  int(offer.GetAttempt()),
-		Ranked:   offer.GetCandidates(),
-		Seek:     offer.GetSeek(),
-		Settling: now.Since(agent.born) < *agent.service.SettleTime,
-		Fetches:  agent.fetches(),
+func (agent *Agent) visit(offer *encoder.Offer, now timekeeper.Instant) placer.ChatOffer {
+	return placer.ChatOffer{
+		Chat:            offer.GetChat(),
+		Attempt:         int(offer.GetAttempt()),
+		Ranked:          offer.GetCandidates(),
+		OnlyIfCached:    offer.GetSeek(),
+		RecentlyStarted: now.Since(agent.born) < *agent.service.SettleTime,
+		CanFetch:        agent.fetches(),
 	}
 }
 
@@ -39,7 +39,7 @@
 		return "", ""
 	}
 	agent.mu.Lock()
-	where = agent.places.Where(offer.GetChat())
+	where = agent.places.Locate(offer.GetChat())
 	agent.mu.Unlock()
 	if where == agent.settings.Name {
 		where = ""
@@ -56,12 +56,12 @@
 func (agent *Agent) noteChat(chat uint64, tokens int64) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	agent.places.Note(chat, agent.settings.Name, tokens)
+	agent.places.Record(chat, agent.settings.Name, tokens)
 }
 
 // notePointer remembers that a chat whose home is here ran elsewhere.
 func (agent *Agent) notePointer(put *encoder.PointerPut) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	agent.places.Note(put.GetChat(), put.GetInstance(), put.GetTokens())
+	agent.places.Record(put.GetChat(), put.GetInstance(), put.GetTokens())
 }
--- a/internal/runner/prefix.go
+++ b/internal/runner/prefix.go
@@ -113,7 +113,7 @@
 // givePrefix answers a replica that asks for the prefix of a chat.
 func (agent *Agent) givePrefix(ctx context.Context, ask *encoder.PrefixAsk) *encoder.PrefixBody {
 	agent.mu.Lock()
-	where, tokens := agent.places.Where(ask.GetChat()), agent.places.Tokens(ask.GetChat())
+	where, tokens := agent.places.Locate(ask.GetChat()), agent.places.PrefixTokens(ask.GetChat())
 	longest, able := agent.service.LongestFetch, agent.upstream.service.CachePath != ""
 	agent.mu.Unlock()
 	none := &encoder.PrefixBody{Chat: ask.GetChat(), Kind: classifier.NotFound.String()}
@@ -134,13 +134,13 @@
 	switch {
 	case eris.Is(err, errNoPrefix):
 		if !agent.busy(ask.GetChat()) {
-			agent.places.Gone(ask.GetChat())
+			agent.places.Forget(ask.GetChat())
 		}
 		return none
 	case err != nil:
 		return none
 	case ask.GetRelease():
-		agent.places.Left(ask.GetChat(), ask.GetAsker())
+		agent.places.RecordTransfer(ask.GetChat(), ask.GetAsker())
 	}
 	return &encoder.PrefixBody{Chat: ask.GetChat(), Body: body, Tokens: tokens}
 }
@@ -152,12 +152,12 @@
 	answer := &encoder.PointerAnswer{Chat: body.GetChat()}
 	agent.mu.Lock()
 	able := agent.upstream.service.CachePath != "" && !agent.draining && agent.places.Fits(body.GetTokens())
-	known := agent.places.Where(body.GetChat()) == agent.settings.Name
+	known := agent.places.Locate(body.GetChat()) == agent.settings.Name
 	longest := agent.service.LongestFetch
 	if able {
 		// Noted before the import, so that hand-overs side by side don't all
 		// see the same room.
-		agent.places.Note(body.GetChat(), agent.settings.Name, body.GetTokens())
+		agent.places.Record(body.GetChat(), agent.settings.Name, body.GetTokens())
 	}
 	agent.mu.Unlock()
 	if !able {
@@ -169,7 +169,7 @@
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
 		if !known {
-			agent.places.Gone(body.GetChat())
+			agent.places.Forget(body.GetChat())
 		}
 		return answer
 	}
--- a/internal/runner/slot.go
+++ b/internal/runner/slot.go
@@ -25,7 +25,7 @@
 		UrgentSlots: *service.UrgentSlots,
 		LoadFactor:  service.LoadFactor,
 		FreeCalls:   service.FreeCalls,
-		OldestMean:  service.OldestMean,
+		MaxMeanAge:  service.OldestMean,
 		Ageing:      service.Ageing,
 		Backoff:     admitter.Backoff{Draw: draw},
 	}
@@ -37,7 +37,7 @@
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	agent.adopt()
-	agent.demand.Note(offer.GetEntry(), offer.GetUnderWay(), arrived)
+	agent.demand.Record(offer.GetEntry(), offer.GetUnderWay(), arrived)
 	mean = agent.demand.Raise(mean, arrived)
 	if failure, ok := agent.bound(offer); ok {
 		return admitter.Decision{Outcome: admitter.Refused, Failure: failure}, nil
@@ -52,7 +52,7 @@
 	agent.noteLoad(offer, decision)
 	agent.noteAdapter(offer, decision)
 	for _, ticket := range decision.Displaced {
-		agent.tell(ticket.ID, verdict{failure: agent.controller.PushedOut()})
+		agent.tell(ticket.ID, verdict{failure: agent.controller.DisplacedFailure()})
 	}
 	slot := make(chan verdict, 1)
 	switch decision.Outcome {
@@ -67,14 +67,14 @@
 func (agent *Agent) ticket(offer *encoder.Offer, arrived timekeeper.Instant) admitter.Ticket {
 	const lastClass = 7
 	ticket := admitter.Ticket{
-		ID:      offer.GetRequestId(),
-		Team:    offer.GetTeam(),
-		Weight:  agent.settings.Config().Teams[offer.GetTeam()].Weight,
-		Class:   uint8(min(offer.GetClass(), lastClass)),
-		Work:    offer.GetWork(),
-		Last:    offer.GetAttempt() >= placer.MaxOffers-1,
-		Cold:    agent.places.Cold(offer.GetChat(), int(offer.GetAttempt())),
-		Arrived: arrived,
+		ID:          offer.GetRequestId(),
+		Team:        offer.GetTeam(),
+		Weight:      agent.settings.Config().Teams[offer.GetTeam()].Weight,
+		Class:       uint8(min(offer.GetClass(), lastClass)),
+		Work:        offer.GetWork(),
+		LastAttempt: offer.GetAttempt() >= placer.MaxOffers-1,
+		PrefixMiss:  agent.places.PrefixMiss(offer.GetChat(), int(offer.GetAttempt())),
+		Arrived:     arrived,
 	}
 	if offer.GetDeadline() > 0 {
 		ticket.Deadline = arrived.Add(timekeeper.Span(offer.GetDeadline()))
@@ -144,7 +144,7 @@
 	now := agent.settings.Clock.Now()
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	agent.controller.Opened(id, now)
+	agent.controller.RecordFirstByte(id, now)
 }
 
 // hold keeps the slot of a cancelled run for a while.
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -185,8 +185,8 @@
 	}
 	for _, move := range gone.known.Handover(fleet.roster, placer.DirectorySize) {
 		home := fleet.members[move.To[0].Name]
-		if move.Where != "" {
-			home.known.Note(move.Chat, move.Where, 0)
+		if move.Holder != "" {
+			home.known.Record(move.Chat, move.Holder, 0)
 			continue
 		}
 		tokens := gone.cache.tokens(move.Chat)
@@ -194,8 +194,8 @@
 			to := fleet.members[replica.Name]
 			if tokens > 0 && to.cache.used+tokens <= to.cache.room {
 				to.cache.put(move.Chat, tokens)
-				to.known.Note(move.Chat, to.name, tokens)
-				home.known.Note(move.Chat, to.name, tokens)
+				to.known.Record(move.Chat, to.name, tokens)
+				home.known.Record(move.Chat, to.name, tokens)
 				break
 			}
 		}
@@ -239,7 +239,7 @@
 	fleet.results[request.id] = &result{request: request, wait: request.deadline}
 	if fleet.policy.order != nil {
 		for i, name := range fleet.policy.order(fleet, request) {
-			if i == placer.MaxOffers || fleet.offer(request, name, placer.Visit{Attempt: i}).Outcome != admitter.Refused {
+			if i == placer.MaxOffers || fleet.offer(request, name, placer.ChatOffer{Attempt: i}).Outcome != admitter.Refused {
 				return
 			}
 		}
@@ -249,36 +249,36 @@
 	plan := placer.NewAttemptPlan(fleet.entry(), cmp.Or(request.chat, request.body), nil)
 	for attempt := 0; ; attempt++ {
 		stop, ok := plan.Next()
-		if !ok || attempt > 0 && !stop.Free && !fleet.budget.Spend() {
+		if !ok || attempt > 0 && !stop.BudgetExempt && !fleet.budget.Spend() {
 			return
 		}
-		visit := placer.Visit{
-			Chat: request.chat, Attempt: attempt, Ranked: plan.Ranked(), Seek: stop.Seek,
+		visit := placer.ChatOffer{
+			Chat: request.chat, Attempt: attempt, Ranked: plan.Ranked(), OnlyIfCached: stop.OnlyIfCached,
 		}
 		refusal, taken := fleet.visit(request, stop.Replica.Name, visit)
 		if taken {
-			for _, keeper := range plan.Holders(stop.Replica) {
+			for _, keeper := range plan.PointerHolders(stop.Replica) {
 				if member := fleet.members[keeper.Name]; member != nil {
-					member.known.Note(request.chat, stop.Replica.Name, request.work())
+					member.known.Record(request.chat, stop.Replica.Name, request.work())
 				}
 			}
 			return
 		}
-		plan.Refused(refusal)
+		plan.RecordRefusal(refusal)
 	}
 }
 
-func (fleet *fleet) visit(request request, name string, visit placer.Visit) (placer.Refusal, bool) {
+func (fleet *fleet) visit(request request, name string, visit placer.ChatOffer) (placer.Refusal, bool) {
 	member := fleet.members[name]
 	if member == nil {
 		return placer.Refusal{}, false
 	}
 	refusal := placer.Refusal{}
-	if where := member.known.Where(visit.Chat); where != name {
-		refusal.Where = where
+	if where := member.known.Locate(visit.Chat); where != name {
+		refusal.LastReplica = where
 	}
-	visit.Settling, visit.Fetches = fleet.now.Since(member.born) < fleet.settle, fleet.policy.fetch
-	if member.known.Moved(visit) {
+	visit.RecentlyStarted, visit.CanFetch = fleet.now.Since(member.born) < fleet.settle, fleet.policy.fetch
+	if member.known.ShouldRedirect(visit) {
 		fleet.results[request.id].offers++
 		refusal.Moved = true
 		return refusal, false
@@ -286,20 +286,20 @@
 	decision := fleet.offer(request, name, visit)
 	if decision.Failure.Kind == classifier.AtBound {
 		refusal.AtBound = true
-		refusal.Room = fleet.least()
+		refusal.Alternative = fleet.least()
 	}
 	return refusal, decision.Outcome != admitter.Refused
 }
 
 // fetch brings the prefix of a request that was taken from where it is.
-func (fleet *fleet) fetch(member *member, visit placer.Visit) int64 {
-	from := fleet.members[member.known.Source(visit)]
+func (fleet *fleet) fetch(member *member, visit placer.ChatOffer) int64 {
+	from := fleet.members[member.known.FetchSource(visit)]
 	if from != nil && from.cache.tokens(visit.Chat) == 0 {
 		if from.busy[visit.Chat] == 0 {
-			from.known.Gone(visit.Chat)
+			from.known.Forget(visit.Chat)
 		}
 		// The pointer is followed once.
-		from = fleet.members[from.known.Where(visit.Chat)]
+		from = fleet.members[from.known.Locate(visit.Chat)]
 	}
 	if from == nil || from == member || from.cache.tokens(visit.Chat) == 0 {
 		return 0
@@ -307,7 +307,7 @@
 	tokens := from.cache.tokens(visit.Chat)
 	if visit.Ranked[0] == member.name {
 		from.cache.demote(visit.Chat)
-		from.known.Left(visit.Chat, member.name)
+		from.known.RecordTransfer(visit.Chat, member.name)
 	}
 	member.cache.put(visit.Chat, tokens)
 	fleet.fetched += tokens
@@ -315,7 +315,7 @@
 }
 
 // offer brings a request to a replica's controller.
-func (fleet *fleet) offer(request request, name string, visit placer.Visit) admitter.Decision {
+func (fleet *fleet) offer(request request, name string, visit placer.ChatOffer) admitter.Decision {
 	member := fleet.members[name]
 	if member == nil {
 		return admitter.Decision{Outcome: admitter.Refused}
@@ -325,8 +325,8 @@
 		ID: request.id, Team: request.team, Weight: request.weight, Class: request.class, Work: request.work(),
 		Arrived: fleet.now, Deadline: fleet.now.Add(request.deadline),
 	}
-	ticket.Last = visit.Attempt >= placer.MaxOffers-1
-	ticket.Cold = member.known.Cold(request.chat, visit.Attempt)
+	ticket.LastAttempt = visit.Attempt >= placer.MaxOffers-1
+	ticket.PrefixMiss = member.known.PrefixMiss(request.chat, visit.Attempt)
 	if fleet.policy.plain {
 		ticket.Team, ticket.Class, ticket.Deadline = "", 3, 0
 	}
@@ -340,7 +340,7 @@
 		share := float64(total+request.work()) / float64(len(fleet.members))
 		fleet.worst = max(fleet.worst, float64(held)/share)
 		request.fetched = fleet.fetch(member, visit)
-		member.known.Note(request.chat, name, request.work())
+		member.known.Record(request.chat, name, request.work())
 		fleet.waiting[request.id] = request
 		member.busy[request.chat]++
 	}
@@ -368,7 +368,7 @@
 	done := fleet.results[id]
 	done.wait = fleet.now.Since(request.arrived) + prefill
 	life := member.life
-	fleet.at(fleet.now.Add(prefill), func() { member.controller.Opened(id, fleet.now) })
+	fleet.at(fleet.now.Add(prefill), func() { member.controller.RecordFirstByte(id, fleet.now) })
 	fleet.at(fleet.now.Add(took), func() {
 		if fleet.members[member.name] == nil || fleet.members[member.name].life != life {
 			return
