--- a/internal/forwarder/route.go
+++ b/internal/forwarder/route.go
@@ -36,7 +36,7 @@
 // refusalOf returns what the plan reads in a failure.
 func (entry *Entry) refusalOf(call call, route *placer.AttemptPlan, failure classifier.Failure) placer.Refusal {
 	refusal := placer.Refusal{
-		Moved:       failure.Kind == classifier.Moved,
+		Redirected:  failure.Kind == classifier.Moved,
 		AtBound:     failure.Kind == classifier.AtBound,
 		LastReplica: failure.Where,
 		Alternative: failure.Room,
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -19,9 +19,9 @@
 
 // Refusal holds the fields of a refusal that a plan depends on.
 type Refusal struct {
-	// Moved is true if the replica redirected the call. It will take the call if it
+	// Redirected is true if the replica redirected the call. It will take the call if it
 	// is offered again.
-	Moved bool
+	Redirected bool
 	// AtBound is true if the replica is at its bound, so that others carry less.
 	// The next attempt still belongs to the placement of the call: it can't add to
 	// a saturation, and it isn't charged to the retry budget.
@@ -88,7 +88,7 @@
 	if refusal.AtBound && len(plan.attempted) > 0 {
 		plan.atBound = plan.attempted[len(plan.attempted)-1]
 	}
-	if refusal.Moved && len(plan.attempted) == 1 {
+	if refusal.Redirected && len(plan.attempted) == 1 {
 		plan.retryHome = true
 	}
 }
@@ -129,7 +129,7 @@
 	first := len(plan.attempted) == 0
 	if !first {
 		if replica, ok := plan.findNew(plan.lastRefusal.LastReplica); ok {
-			return Attempt{Replica: replica, BudgetExempt: plan.lastRefusal.Moved}, true
+			return Attempt{Replica: replica, BudgetExempt: plan.lastRefusal.Redirected}, true
 		}
 	}
 	// The home redirected the call without naming a replica: try the runner-up.
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -280,7 +280,7 @@
 	visit.RecentlyStarted, visit.CanFetch = fleet.now.Since(member.born) < fleet.settle, fleet.policy.fetch
 	if member.known.ShouldRedirect(visit) {
 		fleet.results[request.id].offers++
-		refusal.Moved = true
+		refusal.Redirected = true
 		return refusal, false
 	}
 	decision := fleet.offer(request, name, visit)
