--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -186,17 +186,17 @@
 	return found.tokens
 }
 
-// Forget removes a chat whose prefix the engine doesn't have. Engines publish
+// ForgetLocal removes a chat whose prefix the engine doesn't have. Engines publish
 // evictions late and incompletely, so the directory is corrected when a request
 // to the engine shows that a prefix is missing.
-func (directory *Directory) Forget(chat uint64) {
+func (directory *Directory) ForgetLocal(chat uint64) {
 	directory.tokens -= directory.local.remove(chat).tokens
 }
 
 // RecordTransfer records that another replica fetched the chat's prefix. The copy
 // here is the next to be evicted.
 func (directory *Directory) RecordTransfer(chat uint64, replica string) {
-	directory.Forget(chat)
+	directory.ForgetLocal(chat)
 	directory.Record(chat, replica, 0)
 }
 
--- a/internal/runner/prefix.go
+++ b/internal/runner/prefix.go
@@ -134,7 +134,7 @@
 	switch {
 	case eris.Is(err, errNoPrefix):
 		if !agent.busy(ask.GetChat()) {
-			agent.places.Forget(ask.GetChat())
+			agent.places.ForgetLocal(ask.GetChat())
 		}
 		return none
 	case err != nil:
@@ -169,7 +169,7 @@
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
 		if !known {
-			agent.places.Forget(body.GetChat())
+			agent.places.ForgetLocal(body.GetChat())
 		}
 		return answer
 	}
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -296,7 +296,7 @@
 	from := fleet.members[member.known.FetchSource(visit)]
 	if from != nil && from.cache.tokens(visit.Chat) == 0 {
 		if from.busy[visit.Chat] == 0 {
-			from.known.Forget(visit.Chat)
+			from.known.ForgetLocal(visit.Chat)
 		}
 		// The pointer is followed once.
 		from = fleet.members[from.known.Locate(visit.Chat)]
