--- a/internal/admitter/controller.go
+++ b/internal/admitter/controller.go
@@ -51,8 +51,9 @@
 	// Displaced are tickets that were removed from the queue in favour of this
 	// one. They have not run; the caller must refuse them at once.
 	Displaced []Ticket
-	// Load is the work held, the ticket included, and Bound the limit that the
-	// mean set for the work held before it; zero means that there was no bound.
+	// Load is the work held, the ticket included. Bound is the limit that the mean
+	// set for the work held before the ticket; a Bound of zero means that there was
+	// none.
 	Load  int64
 	Bound int64
 }
@@ -94,10 +95,10 @@
 const (
 	invalidLimits   = "admitter: Slots must be positive and exceed UrgentSlots, and QueueLength must not be negative"
 	duplicateTicket = "admitter: the controller already holds a ticket with this ID"
-	detailBound     = "the replica's load has reached its bound relative to the service's mean"
+	detailBound     = "the replica is at its share of the service's load"
 	detailQueue     = "the queue is full"
 	detailWait      = "the wait would pass the deadline"
-	detailDisplaced = "a call of a team below its share took the place in the queue"
+	detailDisplaced = "a team under its share took the place in the queue"
 )
 
 // Offer decides about a ticket at the instant of its arrival. It panics when the
@@ -186,9 +187,9 @@
 }
 
 // refuse returns a refusal whose retry delay grows with the expected wait.
-func (controller *Controller) refuse(kind classifier.Kind, detail string, estimate timekeeper.Span) Decision {
-	failure := classifier.New(kind, detail).WithRetryAfter(controller.limits.Backoff.RetryAfter(estimate))
-	return Decision{Outcome: Refused, Failure: failure, EstimatedWait: estimate}
+func (controller *Controller) refuse(kind classifier.Kind, detail string, expectedWait timekeeper.Span) Decision {
+	failure := classifier.New(kind, detail).WithRetryAfter(controller.limits.Backoff.RetryAfter(expectedWait))
+	return Decision{Outcome: Refused, Failure: failure, EstimatedWait: expectedWait}
 }
 
 // enqueue puts the ticket into the queue. If the queue is full, the ticket
@@ -212,11 +213,11 @@
 // findVictim returns the position of the waiting ticket that the newcomer may
 // displace, or -1.
 //
-// Otherwise the surge of one team would fill the queue, and every other team
-// would be refused. The team with the most waiting tickets relative to its weight
-// loses its newest one of the least urgent class, but only while it holds more
-// relative to its weight than the newcomer's team would. Within one team the
-// more urgent ticket wins.
+// Without displacement the surge of one team would fill the queue, and every
+// other team would be refused. The team with the most waiting tickets relative to
+// its weight loses its newest one of the least urgent class, but only while it
+// holds more relative to its weight than the newcomer's team would. Within one
+// team the more urgent ticket wins.
 func (controller *Controller) findVictim(newcomer Ticket, now timekeeper.Instant) int {
 	victim := controller.largestHolder()
 	withNewcomer := controller.waitingOf(newcomer.Team) + 1
@@ -293,8 +294,8 @@
 }
 
 // Resize changes the limits and returns the waiting tickets that then got a
-// slot. Tickets that run or wait in excess of a lower limit stay; it applies to
-// new offers.
+// slot. Tickets that run or wait in excess of a lower limit stay; the new limits
+// apply to new offers.
 func (controller *Controller) Resize(limits Limits, now timekeeper.Instant) []Ticket {
 	controller.limits = limits.validated()
 	return controller.grantWaiting(now)
--- a/internal/admitter/demand.go
+++ b/internal/admitter/demand.go
@@ -15,7 +15,7 @@
 	maxEntries = 1024
 )
 
-// Demand sums the work that entries report with each offer as in flight at a
+// Demand sums the in-flight work that entries report with their offers to a
 // service.
 //
 // It corrects the mean in the first second of a burst. Digests between agents
@@ -36,7 +36,8 @@
 	at    timekeeper.Instant
 }
 
-// Record replaces the entry's report. The work includes the offered call.
+// Record stores the entry's report in place of its previous one; beyond maxEntries
+// it ignores new entries. The work includes the offered call.
 func (demand *Demand) Record(entry string, work int64, now timekeeper.Instant) {
 	demand.dropExpired(now)
 	at := slices.IndexFunc(demand.latest, func(latest demandReport) bool { return latest.entry == entry })
--- a/internal/admitter/demand_test.go
+++ b/internal/admitter/demand_test.go
@@ -41,9 +41,9 @@
 	// replicas of eight slots, while all digests still show an idle service. Each
 	// call is offered to its home and to two more replicas. By the outdated mean
 	// nearly all candidates refuse; when each offer reports the entry's work in
-	// flight, every caller gets a slot, and no replica holds more than its share
+	// flight, every caller gets a slot, and no replica holds more than its bound
 	// and one call.
-	const replicas, callers, work, maxShare = 9, 40, 25, 139 // 139 is 1.25 of the mean at the end, rounded up.
+	const replicas, callers, work, bound = 9, 40, 25, 139 // 139 is 1.25 of the mean at the end, rounded up.
 	for _, reported := range []bool{false, true} {
 		controllers := make([]*Controller, replicas)
 		demands := make([]Demand, replicas)
@@ -63,7 +63,7 @@
 			}
 			So(refused, ShouldEqual, 0)
 			for _, controller := range controllers {
-				So(controller.Load().Work, ShouldBeLessThanOrEqualTo, maxShare+work)
+				So(controller.Load().Work, ShouldBeLessThanOrEqualTo, bound+work)
 			}
 		})
 	}
--- a/internal/admitter/limits.go
+++ b/internal/admitter/limits.go
@@ -68,10 +68,11 @@
 const unbounded = math.MaxInt64
 
 // Bound returns the work at which the replica takes no further ticket:
-// ceil(c * (total + own) / n), as in consistent hashing with bounded loads
-// (Mirrokni, Thorup and Zadimoghaddam, 2018). A ticket is taken while the work
-// held is below the bound, so a replica carries at most c times the mean and
-// the one ticket that crosses it.
+// ceil(c * (total + ticket.Work) / n), with c the LoadFactor and n the number of
+// replicas, as in consistent hashing with bounded loads (Mirrokni, Thorup and
+// Zadimoghaddam, 2018). A ticket is taken while the work held is below the bound,
+// so a replica carries at most c times the mean and the one ticket that crosses
+// it.
 //
 // A mean that is unknown or older than MaxMeanAge sets no bound: under an old
 // low mean all replicas would refuse while none is full. Without a bound the
@@ -87,7 +88,7 @@
 	if limits.LoadFactor == 0 || mean.Replicas <= 1 || mean.Age > limits.MaxMeanAge {
 		return unbounded
 	}
-	// The replica's own work is known exactly, so the total can't be lower.
+	// The work held here is known exactly, so the total can't be lower.
 	total := max(mean.Total, held)
 	factor := limits.LoadFactor
 	if ticket.PrefixMiss {
@@ -104,17 +105,20 @@
 }
 
 const (
-	// minRetryAfter is the shortest span that Retry-After can express, one second.
-	minRetryAfter = timekeeper.Second
-	// maxRetryAfter limits the effect of one bad estimate on a caller.
-	maxRetryAfter = 30 * timekeeper.Second
+	// minBaseRetryAfter is the shortest span that Retry-After can express, one
+	// second; the expected wait is raised to it before the random factor.
+	minBaseRetryAfter = timekeeper.Second
+	// maxBaseRetryAfter limits the expected wait before the random factor, so that
+	// one bad estimate doesn't send a caller away for long.
+	maxBaseRetryAfter = 30 * timekeeper.Second
 )
 
-// RetryAfter returns the expected wait times a random factor between one and
-// three. Without the jitter all callers that were refused in one burst would
-// retry in the same second and cause the next burst.
+// RetryAfter returns the expected wait, limited to between 1 and 30 seconds,
+// times a random factor between one and three. Without the jitter all callers
+// that were refused in one burst would retry in the same second and cause the
+// next burst.
 func (backoff Backoff) RetryAfter(estimate timekeeper.Span) timekeeper.Span {
-	base := min(max(estimate, minRetryAfter), maxRetryAfter)
+	base := min(max(estimate, minBaseRetryAfter), maxBaseRetryAfter)
 	if backoff.Draw == nil {
 		return base
 	}
--- a/internal/admitter/mean.go
+++ b/internal/admitter/mean.go
@@ -10,7 +10,7 @@
 	Total int64
 	// Replicas is the number of replicas that Total is spread over.
 	Replicas int
-	// Age is the age of the oldest report in the estimate, leaving out the oldest
-	// tenth of the reports.
+	// Age is the maximum age of the reports in the estimate, leaving out the oldest
+	// tenth of them.
 	Age timekeeper.Span
 }
--- a/internal/admitter/queue.go
+++ b/internal/admitter/queue.go
@@ -166,11 +166,12 @@
 
 // expectedWait returns the expected time in the queue of a ticket that joins it.
 //
-// Within its class a ticket waits for at most all the work ahead of it, and by
-// the round robin for at most its own team's work divided by the team's share of
-// the weights. The lesser of the two counts, so that another team's surge doesn't
-// get a small team refused. Ageing raises the ticket's class while it waits; the
-// class that it has halfway to its deadline is used for the whole wait.
+// A ticket waits for all work of more urgent classes. Within its class it waits
+// for at most all the work ahead of it, and by the round robin for at most its
+// own team's work divided by the team's share of the weights. The lesser of the
+// two counts, so that another team's surge doesn't get a small team refused.
+// Ageing raises the ticket's class while it waits; the class that it has halfway
+// to its deadline is used for the whole wait.
 func (controller *Controller) expectedWait(ticket Ticket, now timekeeper.Instant) timekeeper.Span {
 	var before, same, own int64
 	reached := ticket.Class
@@ -199,7 +200,8 @@
 	return controller.timing.timeFor(before+min(same, fair), controller.limits.Slots) + controller.timing.untilFreeSlot(len(controller.running))
 }
 
-// timing holds moving averages of the replica's call times, in milliseconds.
+// timing holds exponentially weighted moving averages of the replica's times, in
+// milliseconds.
 type timing struct {
 	// perToken is the time that a slot takes for one token of work.
 	perToken float64
@@ -210,7 +212,8 @@
 }
 
 // smoothing is the reciprocal of the weight of a new sample in the moving
-// averages. They follow an engine that slows down within about a dozen calls.
+// averages. Within about a dozen calls the averages follow an engine that has
+// become slower.
 const smoothing = 8
 
 // recordFirstByte adds the time from a grant to the first byte.
@@ -241,9 +244,9 @@
 	return timekeeper.Span(timing.perToken * float64(work) / float64(slots))
 }
 
-// untilFreeSlot returns the expected time until the first running call ends: of
-// n calls in flight, each at a random point, the first ends after 1/(n+1) of the
-// average call time.
+// untilFreeSlot returns the expected time until one of the n running calls ends:
+// each is at a random point, so the earliest ends after 1/(n+1) of the average
+// call time.
 func (timing *timing) untilFreeSlot(running int) timekeeper.Span {
 	return timekeeper.Span(timing.callTime / float64(running+1))
 }
