--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -9,15 +9,16 @@
 // whose home it is and that ran on another replica. It is soft state: a lost or
 // wrong pointer costs one hop or one prefill of a prompt.
 //
-// Its memory is bounded: beyond its size it evicts the least recently used chat.
-// It keeps no more of the replica's own chats than fit into the engine's cache,
-// so a chat whose prefix was evicted isn't routed back to it. Engines publish
-// their evictions late and incompletely, so the directory relies on the calls
-// that ran. Its caller must hold a lock around it.
+// Its memory is bounded: local and remote chats have half of Size each, and
+// beyond that the chat that was recorded longest ago is evicted. It keeps no more
+// of the replica's own chats than fit into the engine's cache, so a chat whose
+// prefix was evicted isn't routed back to it. Engines publish their evictions
+// late and incompletely, so the directory relies on the calls that ran. Its
+// caller must hold a lock around it.
 type Directory struct {
 	settings DirectorySettings
-	// local are the chats whose prefix is cached here, and remote those that last
-	// ran on another replica. A busy chat may be in both.
+	// local are the chats whose prefix is cached here, and remote those whose prefix
+	// another replica is known to cache. A busy chat may be in both.
 	local, remote pointerCache
 	// tokens is the length of all local prefixes.
 	tokens int64
@@ -42,7 +43,8 @@
 }
 
 // Record records that the chat ran on a replica and left a prefix of so many
-// tokens there. Chat zero and an empty replica name are ignored.
+// tokens there. A chat of zero means that the call belongs to no chat; it and an
+// empty replica name are ignored.
 func (directory *Directory) Record(chat uint64, replica string, tokens int64) {
 	if chat == 0 || replica == "" {
 		return
@@ -109,8 +111,8 @@
 	CanFetch bool
 }
 
-// ShouldRedirect reports whether the offer should go to the replica that caches
-// its prefix instead.
+// ShouldRedirect reports whether this replica should refuse the offer so that the
+// entry sends it to another one, which probably caches its prefix or is its home.
 //
 // It avoids the prefill of a long prompt whose prefix is cached one hop away, in
 // a fleet whose replicas come and go while chats return. Each of the three rules
@@ -123,8 +125,9 @@
 //     runner-up was their home before, so the offer goes there while
 //     RecentlyStarted is set. If the home can fetch the prefix it takes the offer
 //     instead (see FetchSource).
-//   - A runner-up that gets such an offer and doesn't know the chat redirects it
-//     to the home, so that new chats start there.
+//   - A runner-up that gets an offer with OnlyIfCached and doesn't cache the prefix
+//     redirects it: to the replica that the chat last ran on if it knows one, and
+//     otherwise to the home, so that new chats start there.
 //
 // After two refusals the third candidate takes the chat, so that an offer can't
 // circle between replicas with different directories.
@@ -148,12 +151,12 @@
 // FetchSource returns the replica from which to fetch the prefix of an accepted
 // offer, or "" if there is none.
 //
-// It covers two cases. A replica that joins would stay empty while the former
-// home keeps its chats and evicts others for lack of memory, so it asks the
-// runner-up. And a chat whose home refused it at its bound would prefill a long
-// prompt on another replica though the home caches it, so that replica asks the
-// home. Only one replica is asked, once; if it doesn't have the prefix, the cost
-// is one message.
+// The replica asks the known holder first. Without one there are two cases. A
+// replica that joins would stay empty while the former home keeps its chats and
+// evicts others for lack of memory, so it asks the runner-up. And a chat that its
+// home refused at the bound would prefill a long prompt on the replica that takes
+// it, though the home caches the prefix, so that replica asks the home. Only one
+// replica is asked, once; if it doesn't have the prefix, the cost is one message.
 func (directory *Directory) FetchSource(offer ChatOffer) string {
 	const minRanked = 2
 	if !offer.CanFetch || offer.Chat == 0 || len(offer.Ranked) < minRanked {
@@ -186,15 +189,15 @@
 	return found.tokens
 }
 
-// ForgetLocal removes a chat whose prefix the engine doesn't have. Engines publish
-// evictions late and incompletely, so the directory is corrected when a request
-// to the engine shows that a prefix is missing.
+// ForgetLocal removes the chat's local pointer, since the engine doesn't have the
+// prefix. Engines publish evictions late and incompletely, so the directory is
+// corrected when a request to the engine shows that a prefix is missing.
 func (directory *Directory) ForgetLocal(chat uint64) {
 	directory.tokens -= directory.local.remove(chat).tokens
 }
 
-// RecordTransfer records that another replica fetched the chat's prefix. The copy
-// here is the next to be evicted.
+// RecordTransfer replaces the chat's local pointer by one to the replica that
+// fetched its prefix, since the copy here is the next to be evicted.
 func (directory *Directory) RecordTransfer(chat uint64, replica string) {
 	directory.ForgetLocal(chat)
 	directory.Record(chat, replica, 0)
@@ -220,7 +223,7 @@
 func (directory *Directory) Handover(rest Roster, limit int) []Move {
 	var moves []Move
 	for _, cache := range []pointerCache{directory.local, directory.remote} {
-		for element := cache.byUse.Front(); element != nil && len(moves) < limit; element = element.Next() {
+		for element := cache.byAge.Front(); element != nil && len(moves) < limit; element = element.Next() {
 			pointer := element.Value.(pointer)
 			ranked := rest.Rank(pointer.chat, MaxOffers)
 			if len(ranked) == 0 {
--- a/internal/placer/doc.go
+++ b/internal/placer/doc.go
@@ -13,9 +13,9 @@
 // rendezvous hashing (Thaler and Ravishankar, 1998), so the two properties of
 // rendezvous hashing hold exactly: when a replica leaves, only its own chats
 // move, each to its runner-up; and when one joins, the previous home of each chat
-// that moves becomes its runner-up. Unlike rendezvous hashing, which scores every
-// replica, the nearest replicas are found by looking up the probes, at a cost
-// that doesn't grow with the number of replicas.
+// that moves becomes its runner-up. Rendezvous hashing scores every replica; here
+// looking up the probes finds the nearest ones, at a cost that doesn't grow with
+// the number of replicas.
 //
 // # Locating
 //
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -13,14 +13,15 @@
 	// the chat's prefix.
 	OnlyIfCached bool
 	// BudgetExempt is true if the attempt isn't charged to the retry budget, since it
-	// follows a hint in a refusal or a refusal at the bound.
+	// is part of placing the call and no retry after a failure: it follows a redirect
+	// or a refusal at the bound, or goes to an alternative with free capacity.
 	BudgetExempt bool
 }
 
 // Refusal holds the fields of a refusal that a plan depends on.
 type Refusal struct {
-	// Redirected is true if the replica redirected the call. It will take the call if it
-	// is offered again.
+	// Redirected is true if the replica redirected the call and will take the call on
+	// a second offer.
 	Redirected bool
 	// AtBound is true if the replica is at its bound, so that others carry less.
 	// The next attempt still belongs to the placement of the call: it can't add to
@@ -32,15 +33,18 @@
 	Alternative string
 }
 
-// AttemptPlan orders the attempts of one call: first the chat's home, then the
-// replicas that refusals name, then the rest of the ranking.
+// AttemptPlan orders the attempts of one call: first the chat's home; then the
+// replica that the latest refusal names as the chat's last one, or the runner-up if
+// the home redirected the call without naming one; then the home again if it
+// redirected the call; then the rest of the ranking. On the last attempt an
+// alternative with free capacity comes before the home and the ranking.
 type AttemptPlan struct {
 	roster      Roster
 	unreachable []string
 	ranked      []Replica
 	attempted   []string
-	// retryHome is true if the home redirected the call and will take it if it is
-	// offered again.
+	// retryHome is true if the home redirected the call and will take the call on a
+	// second offer.
 	retryHome   bool
 	lastRefusal Refusal
 	// atBound is the replica that refused at its bound most recently.
@@ -112,13 +116,15 @@
 // It covers a service of three replicas of which one has stopped and one isn't
 // known to the entry yet, while the mean still counts all three. The remaining
 // replica then exceeds its share and would refuse callers while its slots are
-// free. On the last attempt it gives a free slot, as it does to a call that three
-// replicas refused.
+// free. On the last attempt it gives a free slot, as any replica does on the third
+// attempt of a call.
 func (plan *AttemptPlan) RetryAtBound() (Attempt, bool) {
 	if plan.atBound == "" || len(plan.attempted) >= MaxOffers {
 		return Attempt{}, false
 	}
 	replica, ok := plan.roster.Find(plan.atBound)
+	// Use up the remaining attempts: a replica at its bound gives a free slot only on
+	// the last attempt.
 	for len(plan.attempted) < MaxOffers {
 		plan.attempted = append(plan.attempted, replica.Name)
 	}
--- a/internal/placer/pointer_cache.go
+++ b/internal/placer/pointer_cache.go
@@ -9,14 +9,14 @@
 	tokens  int64
 }
 
-// pointerCache holds pointers in the order of their last use.
+// pointerCache holds pointers in the order in which they were stored, newest first.
 type pointerCache struct {
 	byChat map[uint64]*list.Element
-	byUse  *list.List
+	byAge  *list.List
 }
 
 func newPointerCache() pointerCache {
-	return pointerCache{byChat: map[uint64]*list.Element{}, byUse: list.New()}
+	return pointerCache{byChat: map[uint64]*list.Element{}, byAge: list.New()}
 }
 
 func (cache pointerCache) get(chat uint64) (pointer, bool) {
@@ -27,11 +27,11 @@
 	return element.Value.(pointer), true
 }
 
-// put replaces the chat's pointer, and returns the pointer that it evicted to
-// stay within limit.
+// put stores the pointer in place of the chat's earlier one, if any, and returns
+// the pointer that it evicted to stay within limit.
 func (cache pointerCache) put(added pointer, limit int) pointer {
 	cache.remove(added.chat)
-	cache.byChat[added.chat] = cache.byUse.PushFront(added)
+	cache.byChat[added.chat] = cache.byAge.PushFront(added)
 	if len(cache.byChat) > limit {
 		return cache.remove(cache.oldest())
 	}
@@ -42,13 +42,13 @@
 func (cache pointerCache) remove(chat uint64) pointer {
 	removed, ok := cache.get(chat)
 	if ok {
-		cache.byUse.Remove(cache.byChat[chat])
+		cache.byAge.Remove(cache.byChat[chat])
 		delete(cache.byChat, chat)
 	}
 	return removed
 }
 
-// oldest returns the least recently used chat; the cache must not be empty.
+// oldest returns the chat whose pointer was stored longest ago; the cache must not be empty.
 func (cache pointerCache) oldest() uint64 {
-	return cache.byUse.Back().Value.(pointer).chat
+	return cache.byAge.Back().Value.(pointer).chat
 }
--- a/internal/placer/roster.go
+++ b/internal/placer/roster.go
@@ -45,7 +45,7 @@
 	// starts cuts the ring into equal sectors and holds the index of the first point
 	// in or after each sector, so that a lookup needs no search.
 	starts []int32
-	// shift turns a hash into the number of its sector.
+	// shift is how far a hash is shifted right to give its sector.
 	shift uint
 }
 
--- a/internal/placer/roster_test.go
+++ b/internal/placer/roster_test.go
@@ -83,7 +83,7 @@
 	}{
 		{"nine replicas", replicas(9), 0.8, 1.2},
 		{"twelve replicas of three weights", weighted, 0.8, 1.25},
-		{"a medium service", replicas(182), 0.6, 1.35},
+		{"182 replicas", replicas(182), 0.6, 1.35},
 	}
 	Convey("each replica's part of the chats is close to its weight", t, func() {
 		for _, test := range tests {
