--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -7,8 +7,7 @@
 	// while a service in which every third call has to be offered again is still
 	// served in full.
 	Ratio float64
-	// Reserve is the budget at the start, and the most that it grows to while
-	// retries are few; zero means 20.
+	// Reserve is the budget at the start and its maximum; zero means 20.
 	Reserve float64
 }
 
--- a/internal/retrier/window.go
+++ b/internal/retrier/window.go
@@ -24,7 +24,7 @@
 
 // Window limits the retries of one entry to one service, so that the retries of
 // all entries together stay within a ratio of their requests plus an allowance,
-// over every window of the length.
+// over every window of length Span.
 //
 // It keeps retries from multiplying the load on the remaining replicas when many
 // replicas fail while requests arrive through many entries. Each entry uses the
@@ -64,8 +64,8 @@
 	window.slice(now).requests++
 }
 
-// Spend takes one retry and reports whether there was one. The allowance is
-// divided into so many parts, one for each entry.
+// Spend takes one retry and reports whether there was one. parts is the number of
+// parts into which the allowance is divided; each entry uses one.
 func (window *Window) Spend(parts int, now timekeeper.Instant) bool {
 	if window.Remaining(parts, now) < 1 {
 		return false
