--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -280,7 +280,7 @@
 	visit.RecentlyStarted, visit.CanFetch = fleet.now.Since(member.born) < fleet.settle, fleet.policy.fetch
 	if member.known.ShouldRedirect(visit) {
 		fleet.results[request.id].offers++
-		refusal.Moved = true
+		refusal.Redirected = true
 		return refusal, false
 	}
 	decision := fleet.offer(request, name, visit)
@@ -296,7 +296,7 @@
 	from := fleet.members[member.known.FetchSource(visit)]
 	if from != nil && from.cache.tokens(visit.Chat) == 0 {
 		if from.busy[visit.Chat] == 0 {
-			from.known.Forget(visit.Chat)
+			from.known.ForgetLocal(visit.Chat)
 		}
 		// The pointer is followed once.
 		from = fleet.members[from.known.Locate(visit.Chat)]
