--- a/internal/follower/copy.go
+++ b/internal/follower/copy.go
@@ -21,7 +21,7 @@
 	}
 	follower.confirmedAt, follower.behindSince = now, 0
 	if answer.whole {
-		follower.resolveMismatch(now)
+		follower.recordReread(now)
 	}
 	follower.mu.Lock()
 	follower.lastAnswer, follower.synced = now, true
@@ -44,8 +44,8 @@
 	}
 }
 
-// dropOutdated returns the changes of an answer without those of rows for which a newer
-// update arrived during the read; copyLock must be held.
+// dropOutdated forgets the updates up to an answer's version, and returns the changes of
+// the answer without those of rows that a newer update has changed; copyLock must be held.
 func (follower *Follower[T]) dropOutdated(answer answer[T]) []Change[T] {
 	maps.DeleteFunc(follower.updateVersions, func(_ string, version Version) bool { return version <= answer.version })
 	return slices.DeleteFunc(follower.changesOf(answer), func(change Change[T]) bool {
@@ -73,7 +73,8 @@
 	return changes
 }
 
-// applyChanges applies the changes up to a version and reports whether there were any.
+// applyChanges applies the changes up to a version and reports whether it wrote or removed
+// a row; copyLock must be held.
 func (follower *Follower[T]) applyChanges(changes []Change[T], version Version, now timekeeper.Instant) bool {
 	changed := false
 	for _, change := range changes {
@@ -126,8 +127,8 @@
 // removeExpired removes lapsed rows that were not written again in time.
 func (follower *Follower[T]) removeExpired(now timekeeper.Instant) bool {
 	changed := false
-	for key, due := range follower.lapsing {
-		if now < due {
+	for key, expiresAt := range follower.lapsing {
+		if now < expiresAt {
 			continue
 		}
 		delete(follower.lapsing, key)
--- a/internal/follower/fetch.go
+++ b/internal/follower/fetch.go
@@ -8,8 +8,8 @@
 )
 
 // minFetchInterval is the minimum time between two copies that a process with a copy
-// fetches while the store fails. Peers report at once which replicas leave, replicas that
-// join may wait, and a copy of thousands of rows takes hundreds of kilobytes.
+// fetches while the store fails. Peers report at once which replicas leave; replicas that
+// join may wait; and a copy of thousands of rows takes hundreds of kilobytes.
 const minFetchInterval = 5 * timekeeper.Second
 
 // fetchIfDue fetches another process's copy of the table, so that a process that the store
@@ -46,8 +46,8 @@
 	return true
 }
 
-// notify passes on a copy of a newer version, or the version alone if no row of the copy
-// has changed; copyLock must be held.
+// notify calls Settings.Apply with a copy of a newer version, or Settings.Confirm with the
+// version alone if no row has changed; copyLock must be held.
 func (follower *Follower[T]) notify(changed bool) {
 	if changed {
 		follower.apply()
@@ -56,7 +56,7 @@
 	follower.settings.Confirm(follower.version)
 }
 
-// apply passes on the copy; copyLock must be held.
+// apply calls Settings.Apply with a clone of the copy; copyLock must be held.
 func (follower *Follower[T]) apply() {
 	follower.settings.Apply(maps.Clone(follower.rows), follower.version)
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -28,13 +28,13 @@
 	LapsesIn timekeeper.Span
 }
 
-// Source reads one table. Both fields must be set. Each call must end within the time for
-// which an unresponsive connection is acceptable.
+// Source reads one table. Both fields must be set. Each call must end soon enough that an
+// unresponsive connection does no harm.
 type Source[T any] struct {
 	// Snapshot returns all rows and the newest version.
 	Snapshot func(ctx context.Context) ([]Change[T], Version, error)
 	// Changes returns the changes after a version, and the version to continue from. It
-	// waits for a change for up to the wait.
+	// returns as soon as there is a change, or after wait.
 	Changes func(ctx context.Context, after Version, wait timekeeper.Span) ([]Change[T], Version, error)
 }
 
@@ -53,21 +53,23 @@
 	// lastFetch is when another process's copy was last fetched while the store failed.
 	lastFetch timekeeper.Instant
 
-	copyLock     sync.Mutex
-	rows         map[string]T
+	copyLock sync.Mutex
+	rows     map[string]T
+	// lapsing is when each lapsed row is removed, by key, unless it is written again.
 	lapsing      map[string]timekeeper.Instant
 	version      Version
 	hasCopy      bool
 	failingSince timekeeper.Instant
-	// failingElsewhere is when another process last found the store failing.
-	failingElsewhere timekeeper.Instant
+	// failedElsewhereAt is when this process last saw that another one found the store
+	// failing.
+	failedElsewhereAt timekeeper.Instant
 	// keepUntil is when missing rows are no longer kept, fillingUntil when the table counts
 	// as filled.
 	keepUntil, fillingUntil timekeeper.Instant
 	// sum is the checksum of all rows.
 	sum uint64
-	// updateVersions are the rows that updates of other processes changed, by the version
-	// of the update.
+	// updateVersions holds, by key, the version of the newest update of another process
+	// that changed the row, until the copy reaches that version.
 	updateVersions map[string]Version
 	// confirmedAt is when the copy last matched the table, by a read of this process or of
 	// another one; behindSince is when another process first had a newer copy, zero if none
@@ -113,7 +115,8 @@
 	}
 }
 
-// Step reads once and returns how long to wait before the next step.
+// Step reads once, fetches another process's copy if the store fails, and returns how long
+// to wait before the next step.
 func (follower *Follower[T]) Step(ctx context.Context) timekeeper.Span {
 	answer, err := follower.read(ctx)
 	now := follower.settings.Clock.Now()
@@ -131,14 +134,14 @@
 }
 
 // limitWait returns how long the store may hold a read until there is a change: no longer
-// than until the next lapsed row expires. Only an answer of the store removes a row, since
-// the read that brings it back may be in flight.
+// than until the next lapsed row expires. A lapsed row expires only with an answer of the
+// store, since that answer may bring the row back.
 func (follower *Follower[T]) limitWait(wait timekeeper.Span) timekeeper.Span {
 	now := follower.settings.Clock.Now()
 	follower.copyLock.Lock()
 	defer follower.copyLock.Unlock()
-	for _, due := range follower.lapsing {
-		wait = min(wait, max(minWait, due.Since(now)))
+	for _, expiresAt := range follower.lapsing {
+		wait = min(wait, max(minWait, expiresAt.Since(now)))
 	}
 	return wait
 }
@@ -189,7 +192,7 @@
 }
 
 // errStale reports a read that is older than the copy.
-var errStale = eris.New("the store's answer is older than the known version")
+var errStale = eris.New("the store's answer is older than the copy")
 
 func (follower *Follower[T]) log(text string, version Version) {
 	follower.settings.Log.WithFields(logrus.Fields{
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -227,12 +227,12 @@
 	// hundred milliseconds after a few reads.
 	const readers, fleetGap = 30, 450
 	interval := Interval{Min: fleetGap, Max: 4000, MaxUnshared: 4}
-	draws := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	var reads []timekeeper.Span
 	for range readers {
 		at := timekeeper.Span(0)
 		for at < timekeeper.Minute {
-			at += interval.jitter(interval.For(readers), draws.Float64())
+			at += interval.jitter(interval.For(readers), random.Float64())
 			reads = append(reads, at)
 		}
 	}
--- a/internal/follower/interval.go
+++ b/internal/follower/interval.go
@@ -13,10 +13,10 @@
 	MaxUnshared int
 }
 
-// minSpread and maxSpread bound the factor by which jitter changes a shared span.
+// minJitter and maxJitter bound the factor by which jitter multiplies a shared span.
 const (
-	minSpread = 0.5
-	maxSpread = 1.5
+	minJitter = 0.5
+	maxJitter = 1.5
 )
 
 // jitter returns a shared span with jitter, for a factor that is drawn from [0, 1), so that
@@ -25,7 +25,7 @@
 	if span <= interval.Min {
 		return span
 	}
-	return max(interval.Min, timekeeper.Span(float64(span)*(minSpread+(maxSpread-minSpread)*factor)))
+	return max(interval.Min, timekeeper.Span(float64(span)*(minJitter+(maxJitter-minJitter)*factor)))
 }
 
 // FixedInterval returns an interval that does not depend on the number of readers.
--- a/internal/follower/lapse_test.go
+++ b/internal/follower/lapse_test.go
@@ -23,10 +23,10 @@
 
 func TestRowsThatAllLapseInAnOutage(t *testing.T) {
 	// The store is unavailable for six seconds and all rows lapse. When it returns, half of
-	// the processes restart, and each live replica writes its row within two seconds. Half
-	// of the replicas, and a quarter of those of a small service, got no work until the
-	// day's end, while the others got all of it and exceeded their share. Each process must
-	// keep all live replicas and remove those that died.
+	// the processes restart, and each live replica writes its row within two seconds. Each
+	// process must keep all live replicas and remove those that died. Guards against live
+	// replicas, half of all and a quarter of a small service's, that got no work until the
+	// day's end, while the others got all of it and exceeded their share.
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { runLapse(t, seed) })
@@ -93,8 +93,9 @@
 
 func TestARowThatComesBackAtTheLastMoment(t *testing.T) {
 	// After an outage a replica's row is missing. It is written again in time, but after
-	// the last read before its lapse ends; the next read starts after that. The row was
-	// removed without this read, and each process learnt that the replica leaves.
+	// the last read before its lapse ends; the next read starts after that. Guards against
+	// a row that was removed without this read, so that each process learnt that the
+	// replica leaves.
 	for late := timekeeper.Span(0); late < lapseReadInterval; late += 50 {
 		t.Run(fmt.Sprint(late), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { runLastMoment(t, late) })
--- a/internal/follower/mismatch.go
+++ b/internal/follower/mismatch.go
@@ -38,9 +38,9 @@
 	return follower.lastMismatch.Since(follower.mismatchSince) >= span && now.Since(follower.lastMismatch) <= maxMismatchGap
 }
 
-// resolveMismatch records that the whole table has been read for a mismatch; copyLock must
-// be held.
-func (follower *Follower[T]) resolveMismatch(now timekeeper.Instant) {
+// recordReread records a read of the whole table, which ends a mismatch; copyLock must be
+// held.
+func (follower *Follower[T]) recordReread(now timekeeper.Instant) {
 	if follower.lastMismatch != 0 {
 		follower.mismatchSince, follower.lastMismatch, follower.lastReread = 0, 0, now
 	}
--- a/internal/follower/mismatch_test.go
+++ b/internal/follower/mismatch_test.go
@@ -14,21 +14,22 @@
 	// adds the row: five entries ran with 26 to 31 of 48 replicas until the version moved,
 	// a second to twenty seconds later. Summaries of other processes differ. A reader must
 	// read the whole table after three seconds of this, any other process after six, and
-	// none for a short mismatch or while updates are in flight.
+	// none for a short mismatch or while the copy holds an update newer than its version.
 	const second = timekeeper.Second
 	tests := []struct {
 		name     string
 		isReader bool
-		// wrong reports whether this copy is the wrong one, lasts for how long summaries
-		// that differ arrive, every at what interval.
-		wrong   bool
-		lasts   timekeeper.Span
-		every   timekeeper.Span
+		// wrong reports whether this copy is the wrong one.
+		wrong bool
+		// lasts is how long summaries that differ arrive, every the interval between them.
+		lasts timekeeper.Span
+		every timekeeper.Span
+		// updated reports whether the copy holds an update newer than its version.
 		updated bool
-		// wantFullReads is how often the whole table must be read, right whether the copy
-		// must match the table at the end.
+		// wantFullReads is how often the whole table must be read.
 		wantFullReads int
-		right         bool
+		// right reports whether the copy must match the table at the end.
+		right bool
 	}{
 		{"reader with a wrong copy", true, true, 4 * second, second, false, 1, true},
 		{"reader with a correct copy", true, false, 4 * second, second, false, 1, true},
--- a/internal/follower/outage.go
+++ b/internal/follower/outage.go
@@ -19,6 +19,7 @@
 	minSharedOutage = 2 * timekeeper.Second
 )
 
+// recordFailure records a failed call to the store and returns the backoff, with jitter.
 func (follower *Follower[T]) recordFailure(err error, now timekeeper.Instant) timekeeper.Span {
 	follower.copyLock.Lock()
 	defer follower.copyLock.Unlock()
@@ -57,18 +58,18 @@
 // extendLapsing keeps rows that are missing already until keepUntil too, since the store
 // may have been back for only a moment; copyLock must be held.
 func (follower *Follower[T]) extendLapsing() {
-	for key, due := range follower.lapsing {
-		follower.lapsing[key] = max(due, follower.keepUntil)
+	for key, expiresAt := range follower.lapsing {
+		follower.lapsing[key] = max(expiresAt, follower.keepUntil)
 	}
 }
 
 // outageStart returns since when the store may have been unavailable for all processes, and
 // whether that is long enough for rows to have lapsed; copyLock must be held. A process
 // that is not a reader may never have seen a failure itself, so a failure of any process
-// since the copy was last confirmed counts. ServingOthersSince tells whether the store was
+// since the copy was last confirmed counts. ServingOthersSince shows whether the store was
 // unavailable for all.
 func (follower *Follower[T]) outageStart(failingElsewhere bool, now timekeeper.Instant) (timekeeper.Instant, bool) {
-	if follower.hasCopy && (failingElsewhere || follower.failingElsewhere > follower.confirmedAt) {
+	if follower.hasCopy && (failingElsewhere || follower.failedElsewhereAt > follower.confirmedAt) {
 		return max(follower.confirmedAt, follower.failingSince), now.Since(follower.confirmedAt) >= minSharedOutage
 	}
 	if follower.failingSince == 0 {
--- a/internal/follower/outage_test.go
+++ b/internal/follower/outage_test.go
@@ -61,9 +61,9 @@
 	// left. If the store does not answer, that says nothing, and the row must stay until it
 	// does.
 	tests := []struct {
-		name   string
-		silent bool
-		want   map[string]int
+		name         string
+		unresponsive bool
+		want         map[string]int
 	}{{"the store answers", false, map[string]int{}}, {"the store does not answer", true, map[string]int{"died": 1}}}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -86,7 +86,7 @@
 						defer release()
 						waiting <- struct{}{}
 						<-fired
-						if test.silent {
+						if test.unresponsive {
 							return nil, 0, eris.New("no answer")
 						}
 						return nil, table.version, nil
@@ -109,7 +109,7 @@
 			clock.Advance(2200)
 			<-done
 			So(copied, ShouldResemble, test.want)
-			So(follower.Failing(), ShouldEqual, test.silent)
+			So(follower.Failing(), ShouldEqual, test.unresponsive)
 		})
 	}
 }
@@ -117,8 +117,8 @@
 func TestACopyThatKeepsMissingRows(t *testing.T) {
 	// After an outage the store serves one process, which keeps lapsed rows, and rejects
 	// another one, which fetches that copy. One replica writes its row again, the other
-	// died. The process that fetched the copy kept the dead replica for good, sent requests
-	// to it, and published it as a row of the table.
+	// died. Guards against a process that fetched the copy and kept the dead replica for
+	// good, sent requests to it, and published it as a row of the table.
 	table, clock := newTable(), newClock()
 	table.put("lives", 1)
 	table.put("died", 1)
@@ -174,8 +174,8 @@
 
 func TestLapsedRowsAreNotPublished(t *testing.T) {
 	// A replica begins to leave, and its row lapses in the outage that follows; a reader
-	// gets both in one answer. It published the last state of the row, other processes took
-	// this for a row of the table and kept the replica for good.
+	// gets both in one answer. Guards against a reader that published the last state of the
+	// row: other processes took this for a row of the table and kept the replica for good.
 	table, clock := newTable(), newClock()
 	table.put("stays", 1)
 	table.put("leaves", 1)
@@ -206,8 +206,8 @@
 func TestAnswersToOthersBeforeAnOutage(t *testing.T) {
 	// A process is not a reader, the store becomes unavailable, and all rows lapse. The
 	// store answered others a moment before the outage, but after the copy was last
-	// confirmed. This counted as the store's return, so all replicas were removed as soon
-	// as it was back.
+	// confirmed. Guards against counting that answer as the store's return, so that all
+	// replicas were removed as soon as it was back.
 	tests := []struct {
 		name string
 		// fails reports whether the process itself calls the store in the outage, notices
@@ -252,8 +252,9 @@
 
 func TestAnOutageThatOnlyOthersNoticed(t *testing.T) {
 	// The store is unavailable for seconds, and rows lapse. This process is not a reader
-	// and did not call the store; when it reads, all others have found the store back. It
-	// took the rows for removed and published that, and callers lost live replicas.
+	// and did not call the store; when it reads, all others have found the store back.
+	// Guards against a process that took the rows for removed and published that, so that
+	// callers lost live replicas.
 	tests := []struct {
 		name string
 		// confirmed reports that a reader has sent a summary after the outage.
@@ -296,8 +297,8 @@
 func TestLapsedRowsConfirmedByAPeer(t *testing.T) {
 	// Rows lapse in an outage, and a process keeps them for a while. They are written
 	// again; before the process reads that, it receives the summary of a copy that is the
-	// same and newer, so it never reads the changes up to that version. The rows were
-	// removed when their lapse ended, and callers lost live replicas.
+	// same and newer, so it never reads the changes up to that version. Guards against
+	// rows that were removed when their lapse ended, so that callers lost live replicas.
 	tests := []struct {
 		name string
 		// newer is by how many versions the other process's copy is newer, other are its
--- a/internal/follower/partial_outage_test.go
+++ b/internal/follower/partial_outage_test.go
@@ -15,9 +15,9 @@
 func TestAReplicaGoesWhileTheStoreTurnsOthersAway(t *testing.T) {
 	// The store rejects a third of the processes for seconds and serves the others. One of
 	// these reads rarely, and while copies differ for a moment nothing confirms its copy
-	// for two seconds. A replica is removed without having announced that it leaves; its
-	// row was taken for one that lapsed in an outage and kept for two seconds too long:
-	// callers were sent to it 4.1 s after it had left.
+	// for two seconds. A replica is removed without having announced that it leaves. Guards
+	// against a row that was taken for one that lapsed in an outage and kept for two
+	// seconds too long: callers were sent to the replica 4.1 s after it had left.
 	tests := []struct {
 		name string
 		// served is since when others are served without a gap, counted from the last
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -23,7 +23,7 @@
 	summary    follower.Summary
 	hasSummary bool
 	served     timekeeper.Instant
-	pending    []follower.Update[string]
+	updates    []follower.Update[string]
 	leaves     []leave
 }
 
@@ -64,10 +64,10 @@
 	stop context.CancelFunc
 
 	mu         sync.Mutex
-	received   map[string]elector.Member
+	lastMember map[string]elector.Member
 	receivedAt map[string]timekeeper.Instant
 	served     []timekeeper.Instant
-	pending    []follower.Update[string]
+	updates    []follower.Update[string]
 	leaves     []leave
 	knownAt    map[string]timekeeper.Instant
 	rows       map[string]string
@@ -86,21 +86,21 @@
 	centres int
 	log     logrus.FieldLogger
 	mu      sync.Mutex
-	draws   *rand.Rand
+	random  *rand.Rand
 	loss    float64
 }
 
 func (fleet *processes) lost() bool {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	return fleet.draws.Float64() < fleet.loss
+	return fleet.random.Float64() < fleet.loss
 }
 
 // jitter returns by how much a digest is early.
 func (fleet *processes) jitter() timekeeper.Span {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	return timekeeper.Span(fleet.draws.Int64N(50))
+	return timekeeper.Span(fleet.random.Int64N(50))
 }
 
 func startProcesses(ctx context.Context, table *sharedTable, count, centres int, loss float64, seed uint64) *processes {
@@ -108,7 +108,7 @@
 	log.SetOutput(io.Discard)
 	fleet := &processes{
 		clock: timekeeper.Steady(), table: table, centres: centres, loss: loss, log: log, all: make([]*process, count),
-		draws: rand.New(rand.NewPCG(seed, 5)),
+		random: rand.New(rand.NewPCG(seed, 5)),
 	}
 	for number := range fleet.all {
 		fleet.all[number] = fleet.make(number, seed)
@@ -122,7 +122,7 @@
 // make returns a process that has not started.
 func (fleet *processes) make(number int, seed uint64) *process {
 	node := &process{
-		fleet: fleet, clock: fleet.clock, received: map[string]elector.Member{}, receivedAt: map[string]timekeeper.Instant{},
+		fleet: fleet, clock: fleet.clock, lastMember: map[string]elector.Member{}, receivedAt: map[string]timekeeper.Instant{},
 		knownAt: map[string]timekeeper.Instant{}, balancer: balancer.New(balancer.Settings{Seed: seed}),
 		own: elector.Member{Address: fmt.Sprintf("10.0.0.%d:7", number), DataCentre: uint32(number % fleet.centres)},
 	}
@@ -209,7 +209,7 @@
 	members := []elector.Member{own}
 	for address, receivedAt := range node.receivedAt {
 		if now.Since(receivedAt) <= memberTimeout {
-			members = append(members, node.received[address])
+			members = append(members, node.lastMember[address])
 		}
 	}
 	return members
@@ -236,18 +236,18 @@
 	return false
 }
 
-// maxPublished is the longest update that is sent, as with entries.
+// maxPublished is the maximum number of changes in an update that is sent, as in entries.
 const maxPublished = 32
 
-func (node *process) publish(pending follower.Update[string]) {
+func (node *process) publish(update follower.Update[string]) {
 	node.mu.Lock()
-	for _, change := range pending.Changes {
+	for _, change := range update.Changes {
 		if change.Removed || change.Value == "leaving" {
-			node.leaves = append(node.leaves, leave{replica: change.Key, version: pending.Version})
+			node.leaves = append(node.leaves, leave{replica: change.Key, version: update.Version})
 		}
 	}
-	if len(pending.Changes) <= maxPublished {
-		node.pending = append(node.pending, pending)
+	if len(update.Changes) <= maxPublished {
+		node.updates = append(node.updates, update)
 	}
 	node.mu.Unlock()
 	// copyLock of the follower is held, so the digest is sent by another goroutine.
@@ -292,8 +292,8 @@
 	out.summary, out.hasSummary = node.follower.Summary()
 	out.served = node.follower.LastAnswered()
 	node.mu.Lock()
-	out.pending, out.leaves = node.pending, node.leaves
-	node.pending, node.leaves = nil, nil
+	out.updates, out.leaves = node.updates, node.leaves
+	node.updates, node.leaves = nil, nil
 	node.mu.Unlock()
 	for _, other := range node.fleet.running() {
 		if other != node && !other.unreachable() && !node.fleet.lost() {
@@ -304,15 +304,15 @@
 
 func (node *process) receive(in digest) {
 	node.mu.Lock()
-	node.received[in.member.Address], node.receivedAt[in.member.Address] = in.member, node.clock.Now()
+	node.lastMember[in.member.Address], node.receivedAt[in.member.Address] = in.member, node.clock.Now()
 	node.served = append(node.served, in.served)
 	for _, leave := range in.leaves {
 		node.balancer.MarkLeaving(leave.replica, uint64(leave.version))
 	}
 	node.minEligible = min(node.minEligible, node.balancer.Count("planner"))
 	node.mu.Unlock()
-	for _, pending := range in.pending {
-		node.follower.ApplyUpdate(pending)
+	for _, update := range in.updates {
+		node.follower.ApplyUpdate(update)
 	}
 	if in.hasSummary {
 		node.follower.Compare(in.summary)
--- a/internal/follower/schedule.go
+++ b/internal/follower/schedule.go
@@ -29,13 +29,13 @@
 	if !follower.Failing() {
 		return follower.settings.ReadInterval.jitter(follower.readInterval(), factor)
 	}
-	probeInterval := probeInterval(follower.backoff)
-	return probeInterval.jitter(probeInterval.For(follower.settings.Processes()), factor)
+	interval := probeInterval(follower.backoff)
+	return interval.jitter(interval.For(follower.settings.Processes()), factor)
 }
 
 // probeInterval returns the interval of calls to a failing store from the backoff of a
-// single process. Each call has its cost, and a process that finds the store back reports
-// that to the others, so together they call as often as a few would.
+// single process. Each call to the store is paid for, and a process that finds the store
+// back reports that to the others, so together they call as often as a few would.
 func probeInterval(backoff timekeeper.Span) Interval {
 	return Interval{Min: backoff, Max: maxProbeInterval, MaxUnshared: maxUnsharedProbers}
 }
@@ -50,8 +50,9 @@
 )
 
 // readInterval returns the time from one read to the next. It is zero if another process
-// has a newer copy, and the minimum while lapsed rows may expire, since their return must
-// be read from the store in time. While the table may still be filling it is short.
+// has a newer copy, and the minimum while lapsed rows may expire, since a row that was
+// written again must be read before its lapse ends. While the table may still be filling it
+// is short.
 func (follower *Follower[T]) readInterval() timekeeper.Span {
 	interval, now := follower.settings.ReadInterval, follower.settings.Clock.Now()
 	shared := interval.For(follower.settings.Readers())
--- a/internal/follower/served.go
+++ b/internal/follower/served.go
@@ -14,7 +14,7 @@
 // ServedSince returns since when the store has served other processes without a gap up to
 // now, counting answers after an instant at which it stopped answering this process; zero
 // means that it does not serve them. served are the instants of its answers to others, in
-// order. The result tells how long a replica whose row is missing has had time to write it
+// order. The result shows how long a replica whose row is missing has had time to write it
 // again; if the store was back for a moment and unavailable again, the second return
 // counts.
 func ServedSince(served []timekeeper.Instant, from, now timekeeper.Instant) timekeeper.Instant {
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -42,7 +42,7 @@
 	// updates and summaries of other processes to have an effect.
 	Sum func(key string, value T) uint64
 	// Publish sends the changes that a read of this process found to other processes. It
-	// must not call the follower. Nil means that there are none.
+	// must not call the follower. Nil means that nothing is published.
 	Publish func(update Update[T])
 	// FailingElsewhere reports whether another process finds the store failing. Then a lack
 	// of summaries is no reason to read, and rows that are missing afterwards may have
@@ -57,8 +57,8 @@
 	// unavailable for this process. Nil means that nothing is known of other processes.
 	ServingOthersSince func(from timekeeper.Instant) timekeeper.Instant
 	// FetchCopy returns another process's copy of the table and its version. It is called
-	// while the store fails or other processes have a newer copy. Nil means that there are
-	// no other processes.
+	// while the store fails or other processes have a newer copy. Nil means that copies
+	// cannot be fetched.
 	FetchCopy func(ctx context.Context) ([]Change[T], Version, error)
 	Seed      uint64
 }
--- a/internal/follower/update.go
+++ b/internal/follower/update.go
@@ -49,10 +49,11 @@
 // action decides whether the process reads the table, fetches another process's copy, or
 // leaves the work to the readers.
 //
-// One call of each process for each change is too expensive among hundreds of processes. A
-// process reads if it is a reader, has no copy, finds the store failing itself, has not had
-// its copy confirmed for seconds, or still differs from readers that have read the table
-// again.
+// If each of hundreds of processes called the store for each change, that would be too
+// expensive. A process reads if it is a reader, has no copy, finds the store failing itself,
+// holds lapsed rows, or still differs from readers that have read the table again. It also
+// reads if its copy has not been confirmed for seconds although no other process finds the
+// store failing.
 func (follower *Follower[T]) action() action {
 	isReader := follower.settings.IsReader()
 	failingElsewhere := follower.settings.FailingElsewhere()
@@ -60,7 +61,7 @@
 	follower.copyLock.Lock()
 	defer follower.copyLock.Unlock()
 	if failingElsewhere {
-		follower.failingElsewhere = now
+		follower.failedElsewhereAt = now
 	}
 	switch {
 	case isReader || !follower.hasCopy || follower.failingSince != 0 || len(follower.lapsing) > 0:
@@ -108,8 +109,8 @@
 	defer follower.copyLock.Unlock()
 	for key, value := range follower.rows {
 		row := Change[T]{Key: key, Value: value}
-		if due, lapsing := follower.lapsing[key]; lapsing {
-			row.LapsesIn = max(1, due.Since(now))
+		if expiresAt, lapsing := follower.lapsing[key]; lapsing {
+			row.LapsesIn = max(1, expiresAt.Since(now))
 		}
 		rows = append(rows, row)
 	}
@@ -147,10 +148,10 @@
 	return true
 }
 
-// Compare evaluates the summary of another process's copy. If that is newer and the
-// checksums match, this copy is as new. If it is newer and they differ, the copy is fetched
-// unless the updates between them arrive first. If the versions are the same and the
-// checksums differ, one of the copies is wrong.
+// Compare evaluates the summary of another process's copy. A newer version with the same
+// checksum advances this copy to it. With a newer version and another checksum, this process
+// fetches that copy unless the missing updates arrive first. The same version with another
+// checksum is a mismatch: one of the copies is wrong.
 func (follower *Follower[T]) Compare(other Summary) {
 	now := follower.settings.Clock.Now()
 	follower.copyLock.Lock()
@@ -198,8 +199,9 @@
 	return follower.fetchCopy(ctx)
 }
 
-// publish publishes the changes since an earlier copy, without lapsed rows: other processes
-// would take these for rows of the table. copyLock must be held.
+// publish calls Settings.Publish with the changes since an earlier copy. It leaves out
+// lapsed rows, which other processes would take for rows of the table. copyLock must be
+// held.
 func (follower *Follower[T]) publish(before map[string]T) {
 	update := Update[T]{Version: follower.version}
 	for key, value := range follower.rows {
--- a/internal/follower/update_test.go
+++ b/internal/follower/update_test.go
@@ -121,7 +121,7 @@
 				value++
 				table.put(key, value)
 			case 1:
-				from := rapid.IntRange(0, len(table.log)).Draw(t, "told from")
+				from := rapid.IntRange(0, len(table.log)).Draw(t, "updates from")
 				for i, change := range table.log[from:] {
 					version := table.keptFrom + Version(from+i) + 1
 					if version > follower.version {
--- a/internal/gossiper/digest.go
+++ b/internal/gossiper/digest.go
@@ -9,7 +9,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Digest is a decoded digest of a peer.
+// Digest is the state that a peer has sent, decoded.
 type Digest struct {
 	// Address is the peer's address, for datagrams and for connections.
 	Address string
@@ -30,7 +30,8 @@
 	// SameDataCentre reports whether the peer runs in this entry's data centre.
 	SameDataCentre bool
 	// ListSummary is the result of the peer's last read of the list of replicas; nil if the
-	// peer is not a reader of the list.
+	// digest carries none: the peer has not read the list recently, or its copy holds
+	// lapsed rows.
 	ListSummary *follower.Summary
 	// ListChanges are changes of the list of replicas that the peer has read.
 	ListChanges []ReplicaUpdate
@@ -40,7 +41,7 @@
 	Evacuations *balancer.Evacuations
 }
 
-// ReplicaUpdate is a change of the list of replicas.
+// ReplicaUpdate holds changes of the list of replicas.
 type ReplicaUpdate = follower.Update[balancer.Replica]
 
 // Placement is a prompt that a peer has sent to a replica.
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -74,7 +74,7 @@
 	lastDigest *encoder.PeerDigest
 	lastSent   timekeeper.Instant
 	interval   timekeeper.Span
-	burst      burst
+	allowance  burstAllowance
 }
 
 // noEvacuations is the default of Settings.Evacuations.
@@ -109,9 +109,9 @@
 }
 
 // SendPlacement reports to peers that a prompt was sent to a replica. first says that the
-// replica processes parts for the first time that other requests share. Peers must know
-// these soon, so only the shared parts are sent as an update: the last part belongs to this
-// request alone.
+// replica prefills, for the first time, parts that other requests share. Peers must know
+// these parts soon, so they are sent as an update, without the last part, which no other
+// request shares.
 func (gossiper *Gossiper) SendPlacement(replica balancer.Key, parts []balancer.Part, first bool) {
 	placed := placement{replica: replica, parts: parts}
 	gossiper.mu.Lock()
@@ -124,34 +124,34 @@
 	gossiper.outbox.placements.add(placed)
 }
 
-// SendUnreachable reports at once to peers that a replica accepts no connections.
+// SendUnreachable reports to peers at once that a replica accepts no connections.
 func (gossiper *Gossiper) SendUnreachable(replica string) {
 	gossiper.enqueue(func(outbox *outbox) { outbox.unreachable.add(replica) })
 }
 
-// SendLeaveAnnounced reports at once to peers the incarnation of a replica that has
-// announced that it leaves.
+// SendLeaveAnnounced sends peers at once the incarnation of a replica that has announced
+// that it leaves.
 func (gossiper *Gossiper) SendLeaveAnnounced(incarnation string) {
 	gossiper.enqueue(func(outbox *outbox) { outbox.leaveAnnounced.add(incarnation) })
 }
 
-// SendLeaving reports at once to peers a replica that the store lists as leaving, or no
-// longer lists.
+// SendLeaving reports to peers at once that the store lists a replica as leaving, or no
+// longer lists it.
 func (gossiper *Gossiper) SendLeaving(leave Leave) {
 	gossiper.enqueue(func(outbox *outbox) { outbox.leaves.add(leave) })
 }
 
-// SendListChange sends a change of the list of replicas to peers at once.
+// SendListChange sends an update of the list of replicas to peers at once.
 func (gossiper *Gossiper) SendListChange(update ReplicaUpdate) {
 	gossiper.enqueue(func(outbox *outbox) { outbox.changes.add(update) })
 }
 
-// SendCold reports at once to peers that a replica has turned cold.
+// SendCold reports to peers at once that a replica has turned cold.
 func (gossiper *Gossiper) SendCold(notice ColdNotice) {
 	gossiper.enqueue(func(outbox *outbox) { outbox.cold.add(notice) })
 }
 
-// SendStrike reports at once to peers a request that was in flight at a replica when it
+// SendStrike reports to peers at once that a request was in flight at a replica when it
 // crashed.
 func (gossiper *Gossiper) SendStrike(strike Strike) {
 	gossiper.enqueue(func(outbox *outbox) { outbox.strikes.add(strike) })
@@ -160,7 +160,7 @@
 // SendEvacuations sends the evacuations in force at this entry to peers at once.
 func (gossiper *Gossiper) SendEvacuations() { gossiper.wake() }
 
-// SendVersion reports at once to peers that the version of the configuration in force has
+// SendVersion reports to peers at once that the version of the configuration in force has
 // changed.
 func (gossiper *Gossiper) SendVersion() { gossiper.wake() }
 
@@ -172,7 +172,7 @@
 	gossiper.wake()
 }
 
-// enqueue adds an update to the next digest and sends that at once.
+// enqueue adds an update to the outbox and wakes Run.
 func (gossiper *Gossiper) enqueue(add func(outbox *outbox)) {
 	gossiper.mu.Lock()
 	add(gossiper.outbox)
@@ -343,7 +343,7 @@
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	steady := steadyInterval(size, peers, steadyShare*gossiper.settings.Budget)
-	gossiper.interval = gossiper.burst.shorten(steady, size*peers, gossiper.settings.Budget, now)
+	gossiper.interval = gossiper.allowance.shorten(steady, size*peers, gossiper.settings.Budget, now)
 }
 
 // Receive handles digests until the connection is closed.
@@ -355,7 +355,7 @@
 			return nil
 		}
 		if err != nil {
-			// The network reports that one peer is unreachable; others may still send.
+			// The network may report that one peer is unreachable; others can still send.
 			gossiper.settings.Scope.Counter("peer-receive-errors").Inc(1)
 			_ = gossiper.settings.Clock.Sleep(context.Background(), urgentInterval)
 			continue
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -215,8 +215,8 @@
 	})
 }
 
-// FuzzDecodeDigest decodes arbitrary bytes as a digest: decoding must not panic, and parallel lists
-// of different lengths must be cut.
+// FuzzDecodeDigest decodes arbitrary bytes as a digest: decoding must not panic, and
+// parallel lists of different lengths must be cut.
 func FuzzDecodeDigest(f *testing.F) {
 	datagram, _ := proto.Marshal(&encoder.PeerDigest{
 		Incarnation: 2, Sequence: 1, Placements: []*encoder.PeerPlacement{{Replica: 7, Parts: []uint64{1, 2}, Tokens: []uint32{3}}},
@@ -267,23 +267,23 @@
 
 func TestLongDigestsUseTheBurstAllowance(t *testing.T) {
 	// While many prompts are prefilled for the first time, digests are ten times as long.
-	// Without the burst allowance entries receive each other's requests up to a second late
-	// and overload engines that are already full.
+	// Without the burst allowance entries learn of each other's requests up to a second
+	// late and overload engines that are already full.
 	const budget = 7700.0
 	second := func(seconds int) timekeeper.Instant {
 		return timekeeper.Instant(timekeeper.Hour).Add(timekeeper.Span(seconds) * timekeeper.Second)
 	}
 	Convey("while the allowance lasts", t, func() {
-		var burst burst
-		So(burst.shorten(120, 1000, budget, second(0)), ShouldEqual, 120)
+		var allowance burstAllowance
+		So(allowance.shorten(120, 1000, budget, second(0)), ShouldEqual, 120)
 		rounds := 0
-		for burst.shorten(timekeeper.Second, 20000, budget, second(0)) == burstInterval {
+		for allowance.shorten(timekeeper.Second, 20000, budget, second(0)) == burstInterval {
 			rounds++
 		}
 		So(float64(rounds), ShouldBeBetween, burstSeconds*budget/15000-1, burstSeconds*budget/15000)
-		So(burst.shorten(timekeeper.Second, 20000, budget, second(1)), ShouldEqual, timekeeper.Second)
+		So(allowance.shorten(timekeeper.Second, 20000, budget, second(1)), ShouldEqual, timekeeper.Second)
 		Convey("and again once enough has been saved", func() {
-			So(burst.shorten(timekeeper.Second, 20000, budget, second(20)), ShouldEqual, burstInterval)
+			So(allowance.shorten(timekeeper.Second, 20000, budget, second(20)), ShouldEqual, burstInterval)
 		})
 	})
 	Convey("the gossiper uses it", t, func() {
@@ -293,15 +293,15 @@
 		So(entry.currentInterval(), ShouldEqual, burstInterval)
 	})
 	Convey("not if it would last for only a few digests", t, func() {
-		var burst burst
-		So(burst.shorten(timekeeper.Second, 60000, budget, second(0)), ShouldEqual, timekeeper.Second)
+		var allowance burstAllowance
+		So(allowance.shorten(timekeeper.Second, 60000, budget, second(0)), ShouldEqual, timekeeper.Second)
 	})
 	Convey("over minutes an entry stays within its budget", t, func() {
-		var burst burst
+		var allowance burstAllowance
 		const cost, seconds = 5000, 600
 		sent, now := 0.0, second(0)
 		for now < second(seconds) {
-			now = now.Add(burst.shorten(steadyInterval(cost, 1, steadyShare*budget), cost, budget, now))
+			now = now.Add(allowance.shorten(steadyInterval(cost, 1, steadyShare*budget), cost, budget, now))
 			sent += cost
 		}
 		So(sent, ShouldBeLessThan, budget*(seconds+burstSeconds)+cost)
--- a/internal/gossiper/outbox.go
+++ b/internal/gossiper/outbox.go
@@ -28,8 +28,8 @@
 	reminderInterval = 200 * timekeeper.Millisecond
 	// maxUpdates bounds each other list of a digest.
 	maxUpdates = 64
-	// maxListChanges bounds the reads of the list of replicas whose changes a digest
-	// carries, with some 60 bytes a replica.
+	// maxListChanges bounds the updates of the list of replicas in a digest. Each holds the
+	// changes that one read found, of some 60 bytes a replica.
 	maxListChanges = 4
 )
 
@@ -70,7 +70,8 @@
 	return message
 }
 
-// queue holds updates, each of which is sent a few times.
+// queue holds updates, each of which is sent in as many digests as repeats says. A full
+// queue drops its oldest update.
 type queue[T any] struct {
 	items     []T
 	remaining []int
@@ -100,9 +101,9 @@
 	return due
 }
 
-// outbox holds the content of the next digest. Only a prompt that a replica processes for
-// the first time is an update: with all prompts, digests would be ten times as long and as
-// rare. The others are reminders, for entries that have started since; they fill the
+// outbox holds the content of the next digest. Only a prompt that a replica prefills for
+// the first time is an update: if all prompts were, digests would be ten times as long and
+// as rare. The others are reminders, for entries that have started since; they fill the
 // remaining space.
 type outbox struct {
 	placements     queue[placement]
@@ -209,40 +210,40 @@
 
 const (
 	// steadyShare is the share of the budget that digests may always use; the rest is saved
-	// for bursts of long digests.
+	// as the allowance for bursts of long digests.
 	steadyShare = 0.8
-	// burstSeconds bounds the savings, in seconds of the budget.
+	// burstSeconds is the full allowance, in seconds of the budget.
 	burstSeconds = 30
-	// burstInterval is the time between two digests while the savings last.
+	// burstInterval is the time between two digests while the allowance lasts.
 	burstInterval = 250 * timekeeper.Millisecond
-	// minBurstDigests is for how many digests the savings must last to be used: among
-	// hundreds of peers one digest would use them up.
+	// minBurstDigests is the minimum number of digests that a full allowance must pay for
+	// to be used at all: with hundreds of peers one digest would use it up.
 	minBurstDigests = 10
 )
 
-// burst is an allowance in bytes, saved from the budget, for long digests: these occur when
-// many prompts are prefilled for the first time, which is when entries need them most. The
-// zero value is a full allowance.
-type burst struct {
-	spent float64
-	at    timekeeper.Instant
+// burstAllowance is an allowance in bytes, saved from the budget, for long digests: these
+// occur when many prompts are prefilled for the first time, which is when entries need them
+// most. The zero value is a full allowance.
+type burstAllowance struct {
+	spent     float64
+	updatedAt timekeeper.Instant
 }
 
 // shorten returns the time to the next digest: at most burstInterval if the allowance
 // covers the extra cost, otherwise steady. cost is that of sending one digest to all peers,
 // in bytes.
-func (burst *burst) shorten(
+func (allowance *burstAllowance) shorten(
 	steady timekeeper.Span, cost int, budget float64, now timekeeper.Instant,
 ) timekeeper.Span {
-	earned := (1 - steadyShare) * budget * float64(now.Since(burst.at)) / float64(timekeeper.Second)
-	burst.spent, burst.at = max(0, burst.spent-earned), now
+	earned := (1 - steadyShare) * budget * float64(now.Since(allowance.updatedAt)) / float64(timekeeper.Second)
+	allowance.spent, allowance.updatedAt = max(0, allowance.spent-earned), now
 	if steady <= burstInterval {
 		return steady
 	}
 	extra := float64(cost) * (1 - float64(burstInterval)/float64(steady))
-	if extra > burstSeconds*budget/minBurstDigests || burst.spent+extra > burstSeconds*budget {
+	if extra > burstSeconds*budget/minBurstDigests || allowance.spent+extra > burstSeconds*budget {
 		return steady
 	}
-	burst.spent += extra
+	allowance.spent += extra
 	return burstInterval
 }
--- a/internal/gossiper/peers.go
+++ b/internal/gossiper/peers.go
@@ -17,21 +17,21 @@
 	forgetAfter = 10 * timekeeper.Minute
 	// maxPeers bounds the peers; with that many, digests are a second apart.
 	maxPeers = 1024
-	// introduceEvery is the number of digests to each one that carries addresses of other
-	// peers. Peers that the store did not list are found within some seconds.
+	// introduceEvery is how many digests are sent for each one that carries addresses of
+	// live peers, so that peers which the store did not list are found within seconds.
 	introduceEvery = 16
-	// maxIntroduced bounds the addresses in a digest.
+	// maxIntroduced bounds the addresses of peers in a digest.
 	maxIntroduced = 16
 )
 
 // peer is another entry.
 type peer struct {
 	address string
-	// received is when its last digest arrived; zero means never.
-	received timekeeper.Instant
-	lastSent timekeeper.Instant
-	// known is when its address was added.
-	known timekeeper.Instant
+	// lastReceived is when its last digest arrived; zero means never.
+	lastReceived timekeeper.Instant
+	lastSent     timekeeper.Instant
+	// addedAt is when its address was added.
+	addedAt timekeeper.Instant
 	// incarnation and sequence are those of its last digest.
 	incarnation uint64
 	sequence    uint64
@@ -42,24 +42,24 @@
 // peers are the known entries, by address.
 type peers struct {
 	ownAddress string
-	known      map[string]*peer
+	byAddress  map[string]*peer
 }
 
 func newPeers(ownAddress string) *peers {
-	return &peers{ownAddress: ownAddress, known: map[string]*peer{}}
+	return &peers{ownAddress: ownAddress, byAddress: map[string]*peer{}}
 }
 
 // add adds an address, unless it is the entry's own or there are maxPeers already, and
 // returns its peer.
 func (peers *peers) add(address string, now timekeeper.Instant) *peer {
-	if found, ok := peers.known[address]; ok {
+	if found, ok := peers.byAddress[address]; ok {
 		return found
 	}
-	if address == peers.ownAddress || len(peers.known) >= maxPeers {
+	if address == peers.ownAddress || len(peers.byAddress) >= maxPeers {
 		return nil
 	}
-	added := &peer{address: address, known: now}
-	peers.known[address] = added
+	added := &peer{address: address, addedAt: now}
+	peers.byAddress[address] = added
 	return added
 }
 
@@ -72,14 +72,14 @@
 	if sender.incarnation == incarnation && sequence <= sender.sequence {
 		return false
 	}
-	sender.received, sender.incarnation, sender.sequence = now, incarnation, sequence
+	sender.lastReceived, sender.incarnation, sender.sequence = now, incarnation, sequence
 	return true
 }
 
 // setMember records the state of a peer that has sent a digest.
 func (peers *peers) setMember(member elector.Member) {
-	if known, found := peers.known[member.Address]; found {
-		known.member = member
+	if peer, found := peers.byAddress[member.Address]; found {
+		peer.member = member
 	}
 }
 
@@ -88,7 +88,7 @@
 	recent := peers.receivedWithin(span, now)
 	members := make([]elector.Member, 0, len(recent))
 	for _, address := range recent {
-		members = append(members, peers.known[address].member)
+		members = append(members, peers.byAddress[address].member)
 	}
 	return members
 }
@@ -97,14 +97,14 @@
 // have been silent for too long.
 func (peers *peers) recipients(now timekeeper.Instant) []string {
 	var recipients []string
-	for address, known := range peers.known {
-		if now.Since(max(known.received, known.known)) > forgetAfter {
-			delete(peers.known, address)
+	for address, peer := range peers.byAddress {
+		if now.Since(max(peer.lastReceived, peer.addedAt)) > forgetAfter {
+			delete(peers.byAddress, address)
 			continue
 		}
-		live := known.received != 0 && now.Since(known.received) <= liveTimeout
-		if live || now.Since(known.lastSent) >= probeInterval {
-			known.lastSent = now
+		live := peer.lastReceived != 0 && now.Since(peer.lastReceived) <= liveTimeout
+		if live || now.Since(peer.lastSent) >= probeInterval {
+			peer.lastSent = now
 			recipients = append(recipients, address)
 		}
 	}
@@ -123,8 +123,8 @@
 // span.
 func (peers *peers) knownWithin(span timekeeper.Span, now timekeeper.Instant) []string {
 	var within []string
-	for address, known := range peers.known {
-		if now.Since(max(known.received, known.known)) <= span {
+	for address, peer := range peers.byAddress {
+		if now.Since(max(peer.lastReceived, peer.addedAt)) <= span {
 			within = append(within, address)
 		}
 	}
@@ -134,8 +134,8 @@
 // receivedWithin returns the addresses of peers that have sent a digest within a span.
 func (peers *peers) receivedWithin(span timekeeper.Span, now timekeeper.Instant) []string {
 	var received []string
-	for address, known := range peers.known {
-		if known.received != 0 && now.Since(known.received) <= span {
+	for address, peer := range peers.byAddress {
+		if peer.lastReceived != 0 && now.Since(peer.lastReceived) <= span {
 			received = append(received, address)
 		}
 	}
--- a/internal/gossiper/replicas.go
+++ b/internal/gossiper/replicas.go
@@ -83,8 +83,8 @@
 	return xxhash.Sum64String(text)
 }
 
-// encodeUpdate encodes a change of the list, decodeUpdate decodes one. A row without ID or
-// address names no replica and is left out.
+// encodeUpdate encodes an update of the list, decodeUpdate decodes one. decodeUpdate leaves
+// out rows without ID or address, which name no replica.
 func encodeUpdate(update ReplicaUpdate, now timekeeper.Instant) *encoder.PeerListed {
 	message := &encoder.PeerListed{Version: uint64(update.Version)}
 	for _, change := range update.Changes {
