--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -22,9 +22,9 @@
 	// together may send in a second, and ColdSlack how many requests more. Zero means once the
 	// rate, and no slack.
 	ColdRateFactor, ColdSlack float64
-	// MovePrice is how many prefilled prompt tokens cost as much as the transfer of a gigabyte
+	// TransferPrice is how many prefilled prompt tokens cost as much as the transfer of a gigabyte
 	// between engines; zero means 2,300. See DefaultMovePrice.
-	MovePrice float64
+	TransferPrice float64
 	// PrefillRate is how many prompt tokens an engine prefills in a millisecond; zero means 40.
 	// See DefaultPrefillRate.
 	PrefillRate float64
@@ -71,8 +71,8 @@
 	if settings.ColdRateFactor == 0 {
 		settings.ColdRateFactor = 1
 	}
-	if settings.MovePrice == 0 {
-		settings.MovePrice = DefaultMovePrice
+	if settings.TransferPrice == 0 {
+		settings.TransferPrice = DefaultMovePrice
 	}
 	if settings.PrefillRate == 0 {
 		settings.PrefillRate = DefaultPrefillRate
--- a/internal/balancer/transfer.go
+++ b/internal/balancer/transfer.go
@@ -85,7 +85,7 @@
 // engine prefills tokens of the same price.
 func (fleet *Fleet) movePrice(engine Engine) float64 {
 	const gigabyte = 1e9
-	return priceWeight * fleet.settings.MovePrice * engine.TokenBytes / gigabyte / fleet.settings.PrefillRate
+	return priceWeight * fleet.settings.TransferPrice * engine.TokenBytes / gigabyte / fleet.settings.PrefillRate
 }
 
 // fetch is a planned transfer of cached prompt parts from another engine.
--- a/internal/simulator/entry.go
+++ b/internal/simulator/entry.go
@@ -26,7 +26,7 @@
 		KnownParts: run.settings.KnownParts,
 	}
 	if site.ReadPrice > 0 {
-		settings.MovePrice = thousand * site.MovePrice / site.ReadPrice
+		settings.TransferPrice = thousand * site.MovePrice / site.ReadPrice
 	}
 	fleet := balancer.New(settings)
 	fleet.SetEngine("planner", balancer.Engine{
