--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -72,7 +72,7 @@
 		settings.ColdRateFactor = 1
 	}
 	if settings.TransferPrice == 0 {
-		settings.TransferPrice = DefaultMovePrice
+		settings.TransferPrice = DefaultTransferPrice
 	}
 	if settings.PrefillRate == 0 {
 		settings.PrefillRate = DefaultPrefillRate
--- a/internal/balancer/transfer.go
+++ b/internal/balancer/transfer.go
@@ -10,10 +10,10 @@
 	// transferSetup is the fixed time of a transfer, in milliseconds: a round trip between
 	// engines, and making room for the data.
 	transferSetup = 2.0
-	// DefaultMovePrice is how many prefilled prompt tokens cost operators as much as the
+	// DefaultTransferPrice is how many prefilled prompt tokens cost operators as much as the
 	// transfer of a gigabyte between engines. With it prefill is cheaper above some 520 KB a
 	// token while engines have slack, and above 870 KB if they are full.
-	DefaultMovePrice = 2300.0
+	DefaultTransferPrice = 2300.0
 	// maxSourceExcess is the excess latency of transfers, in milliseconds, from which a source
 	// is left out as if it had failed.
 	maxSourceExcess = 300.0
--- a/internal/loader/direct.go
+++ b/internal/loader/direct.go
@@ -76,7 +76,7 @@
 	defaultStopDelay   = 2300 * timekeeper.Millisecond
 	defaultStopGrace   = 8 * timekeeper.Second
 	defaultBound       = 2
-	defaultMovePrice   = balancer.DefaultMovePrice
+	defaultMovePrice   = balancer.DefaultTransferPrice
 	defaultRetryWindow = 10 * timekeeper.Second
 	defaultRetryRatio  = 0.2
 	defaultRetryExtra  = 20
