--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -129,7 +129,7 @@
 	}
 	placement := &Placement{
 		Replica: chosen.Replica, Uncached: chosen.uncached, Expected: timekeeper.Span(chosen.expected),
-		Held: chosen.held, Candidates: count, Access: chosen.access, ListVersion: fleet.version,
+		Load: chosen.held, Candidates: count, Access: chosen.access, ListVersion: fleet.version,
 		FirstPrefill: firstPrefill, chosenAt: now, priority: request.Priority,
 	}
 	if guessed != nil {
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -231,9 +231,9 @@
 	// Expected is the expected time until the first part of the answer, without penalties for
 	// the replica's health.
 	Expected timekeeper.Span
-	// Held is the estimated load of the replica before the placement, and Candidates the number
+	// Load is the estimated load of the replica before the placement, and Candidates the number
 	// of replicas that were compared.
-	Held, Candidates int
+	Load, Candidates int
 	// Access is the replica's access level at the time of the choice, and ListVersion the
 	// version of the list that the choice was based on.
 	Access      Access
--- a/internal/relayer/task.go
+++ b/internal/relayer/task.go
@@ -355,7 +355,7 @@
 func (task *task) logPlacement(placement *balancer.Placement) {
 	fields := logrus.Fields{
 		"request-id": task.call.ID, labelReplica: placement.Replica.ID, labelService: task.service, "route": task.route.Name,
-		"version": task.config.Version(), "rank": int(task.rank()), "uncached": placement.Uncached, "held": placement.Held,
+		"version": task.config.Version(), "rank": int(task.rank()), "uncached": placement.Uncached, "held": placement.Load,
 		"candidates": placement.Candidates, "expected-ms": int64(placement.Expected),
 		"access": placement.Access.String(), "list-version": placement.ListVersion, "try": 1 + task.runs + task.refusals + task.unsent,
 		"waited-ms": int64(task.entry.settings.Clock.Now().Since(task.arrived)),
