--- a/internal/assembler/direct_survey.go
+++ b/internal/assembler/direct_survey.go
@@ -89,7 +89,7 @@
 		{"replicas-unreachable", float64(service.Unreachable)},
 		{"requests-running", float64(service.Running)},
 		{"requests-waiting", float64(service.Waiting)},
-		{"held-mean", service.Held},
+		{"held-mean", service.MeanLoad},
 		{"held-most", float64(service.MaxHeld)},
 		{"later-than-expected-ms", service.ExcessLatency},
 	}
--- a/internal/balancer/service_stats.go
+++ b/internal/balancer/service_stats.go
@@ -16,9 +16,9 @@
 	// Running is the number of this entry's requests, Waiting the number of requests that wait
 	// for a replica.
 	Running, Waiting int
-	// Held is the mean estimated load of the replicas, MaxHeld the highest.
-	Held    float64
-	MaxHeld int
+	// MeanLoad is the mean estimated load of the replicas, MaxHeld the highest.
+	MeanLoad float64
+	MaxHeld  int
 	// ExcessLatency is how much later than expected recent answers started, in milliseconds; a
 	// negative value means earlier. A value that stays away from zero means that the model of
 	// the engines no longer fits them.
@@ -52,7 +52,7 @@
 				stats.Cold++
 			}
 		}
-		stats.Held = float64(total) / float64(max(1, stats.Listed))
+		stats.MeanLoad = float64(total) / float64(max(1, stats.Listed))
 		out = append(out, stats)
 	}
 	return out
--- a/internal/balancer/service_stats_test.go
+++ b/internal/balancer/service_stats_test.go
@@ -26,7 +26,7 @@
 		So(survey[0].ExcessLatency, ShouldBeGreaterThan, 0)
 		survey[0].ExcessLatency = 0
 		So(survey[0], ShouldResemble, ServiceStats{
-			Service: "planner", Listed: 3, Leaving: 1, Unreachable: 1, Running: 1, Held: 2, MaxHeld: 6,
+			Service: "planner", Listed: 3, Leaving: 1, Unreachable: 1, Running: 1, MeanLoad: 2, MaxHeld: 6,
 		})
 	})
 }
