--- a/internal/assembler/direct_survey.go
+++ b/internal/assembler/direct_survey.go
@@ -90,7 +90,7 @@
 		{"requests-running", float64(service.Running)},
 		{"requests-waiting", float64(service.Waiting)},
 		{"held-mean", service.MeanLoad},
-		{"held-most", float64(service.MaxHeld)},
+		{"held-most", float64(service.MaxLoad)},
 		{"later-than-expected-ms", service.ExcessLatency},
 	}
 	for _, gauge := range gauges {
--- a/internal/balancer/backoff.go
+++ b/internal/balancer/backoff.go
@@ -47,12 +47,13 @@
 	return statements.backoff.until
 }
 
-// BackoffRemaining returns the time until the first replica of a service ends its backoff, if
-// all available replicas back off, and zero otherwise.
+// BackoffRemaining returns the time until the first replica of a service may get a request
+// again, if all that aren't leaving or evacuated are in a backoff or run the trial request
+// after it; zero otherwise.
 func (fleet *Fleet) BackoffRemaining(service string, now timekeeper.Instant) timekeeper.Span {
 	shortest := timekeeper.Span(0)
 	for _, member := range fleet.services[service] {
-		if _, closed := fleet.closed(member); closed {
+		if _, closed := fleet.closedUntilUpdate(member); closed {
 			continue
 		}
 		remaining := member.statements.backoff.retryAt().Since(now)
--- a/internal/balancer/breaker.go
+++ b/internal/balancer/breaker.go
@@ -6,7 +6,7 @@
 // admits one trial request at a time, so that waiting requests don't all hit a replica that is
 // still down. The zero value admits all requests.
 type breaker struct {
-	// until is when the first trial request may be sent.
+	// until is when the first trial request may be sent; zero if all requests are admitted.
 	until timekeeper.Instant
 	// trial is when the running trial request times out; zero if none is running.
 	trial timekeeper.Instant
@@ -16,7 +16,8 @@
 // which a connection opens.
 const trialTimeout = 400 * timekeeper.Millisecond
 
-// startTrial records that a request is sent to the replica.
+// startTrial records that a request is sent to the replica. While until is set, that is the
+// trial request.
 func (breaker *breaker) startTrial(now timekeeper.Instant) {
 	if breaker.until != 0 {
 		breaker.trial = now.Add(trialTimeout)
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -11,17 +11,17 @@
 type candidate struct {
 	*replica
 	access Access
-	// held is the estimated number of requests that the replica holds.
-	held     int
+	// load is the estimated number of requests that the replica holds.
+	load     int
 	uncached int
 	// engineWait is how long the prompt would wait at the engine before prefill, in
 	// milliseconds.
 	engineWait float64
 	// expected is the time until the answer starts if the replica is healthy, in milliseconds.
 	expected float64
-	// cost is what candidates are compared by, in milliseconds. prefill is the part of it for
-	// prefill and for fetching cached parts from another engine.
-	cost, prefill float64
+	// cost is what candidates are compared by, in milliseconds. promptCost is the part of it
+	// for prefill and for fetching cached parts from another engine.
+	cost, promptCost float64
 	// fetch describes the cached parts that the engine would fetch from another engine.
 	fetch fetch
 	// weight is the rendezvous weight of the replica for the prompt; see rendezvousWeight.
@@ -45,13 +45,13 @@
 }
 
 // estimateLoads fills in the peers' requests in flight, the load and the wait at each replica.
-func (fleet *Fleet) estimateLoads(request Request, held []estimate, now timekeeper.Instant) {
+func (fleet *Fleet) estimateLoads(request Request, estimates []estimate, now timekeeper.Instant) {
 	fleet.dropExpired(now)
-	for i := range held {
-		held[i].peers = fleet.inFlightOfPeers(held[i].key)
-		held[i].load = held[i].held(held[i].peers, now)
+	for i := range estimates {
+		estimates[i].peers = fleet.inFlightOfPeers(estimates[i].key)
+		estimates[i].load = estimates[i].estimatedLoad(estimates[i].peers, now)
 		if len(request.Parts) > 0 {
-			held[i].engineWait = held[i].tokensAhead(request.Priority, held[i].peers.PendingTokens) / fleet.settings.PrefillRate
+			estimates[i].engineWait = estimates[i].tokensAhead(request.Priority, estimates[i].peers.PendingTokens) / fleet.settings.PrefillRate
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	pool := pool{open: make([]candidate, 0, len(estimates))}
 	for _, member := range estimates {
 		eligibility := fleet.eligibility(member.replica, now)
-		pool.spread.add(eligibility, member.load)
+		pool.loadTotal.add(eligibility, member.load)
 		if !pool.admits(eligibility, slices.Contains(request.Excluded, member.ID)) {
 			continue
 		}
@@ -79,7 +79,7 @@
 	if reason := pool.reason(); reason != noReason {
 		return nil, reason
 	}
-	if open, reason := fleet.dropOverBound(fleet.dropUnsuitable(pool.open, request), request, pool.spread, now); reason == noReason {
+	if open, reason := fleet.dropOverBound(fleet.dropUnsuitable(pool.open, request), request, pool.loadTotal, now); reason == noReason {
 		return open, noReason
 	}
 	var limited []candidate
@@ -88,49 +88,49 @@
 			limited = append(limited, fleet.evaluate(member, Limited, request, sources, now))
 		}
 	}
-	return fleet.dropOverBound(fleet.dropUnsuitable(limited, request), request, pool.spread, now)
+	return fleet.dropOverBound(fleet.dropUnsuitable(limited, request), request, pool.loadTotal, now)
 }
 
 // pool counts and collects the replicas of a service by whether they may get a request.
 type pool struct {
 	open []candidate
-	// limited replicas have a rate limit and are used only if no open replica has room.
+	// limited replicas have a rate limit, and are candidates only if no open replica remains.
 	limited []estimate
-	// Each count includes only replicas that passed the checks before it: listed replicas
-	// aren't leaving, notEvacuated ones are in no evacuated data centre, untried ones haven't
-	// had the request, notBackingOff ones are in no backoff, and reachable ones accept
-	// connections.
-	listed, notEvacuated, untried, notBackingOff, reachable int
-	spread                                                  spread
+	// Each count includes only replicas that passed the checks before it: notEvacuated ones
+	// are in no evacuated data centre, untried ones haven't had the request, notBackingOff
+	// ones are in no backoff, and reachable ones accept connections.
+	notLeaving, notEvacuated, untried, notBackingOff, reachable int
+	loadTotal                                                   loadTotal
 }
 
-// spread is the load of all replicas of a service that may hold requests.
-type spread struct {
-	replicas, held int
+// loadTotal is the number of replicas of a service that may hold requests, and their total
+// load.
+type loadTotal struct {
+	replicas, load int
 	// restricted reports that some replicas get less work because they are evacuated, back off
 	// or are cold.
 	restricted bool
 }
 
-func (spread *spread) add(eligibility Eligibility, held int) {
+func (loadTotal *loadTotal) add(eligibility Eligibility, load int) {
 	switch eligibility.Cause {
 	case Leaving, LeaveAnnounced, NoConnection:
 		return
 	case Evacuated, BackingOff, Cold:
-		spread.restricted = true
+		loadTotal.restricted = true
 	}
-	spread.replicas++
-	spread.held += held
+	loadTotal.replicas++
+	loadTotal.load += load
 }
 
 // mean returns the mean load for the bound on a replica's share, given the mean of the open
 // replicas. Replicas that are evacuated, back off or are cold belong to the service though they
 // hold few requests, so the lower of the two means counts.
-func (spread spread) mean(open float64) float64 {
-	if !spread.restricted {
+func (loadTotal loadTotal) mean(open float64) float64 {
+	if !loadTotal.restricted {
 		return open
 	}
-	return min(open, float64(spread.held)/float64(spread.replicas))
+	return min(open, float64(loadTotal.load)/float64(loadTotal.replicas))
 }
 
 // admits counts a replica and reports whether it may get the request.
@@ -138,7 +138,7 @@
 	if eligibility.Cause == Leaving || eligibility.Cause == LeaveAnnounced {
 		return false
 	}
-	pool.listed++
+	pool.notLeaving++
 	if eligibility.Cause == Evacuated {
 		return false
 	}
@@ -161,7 +161,7 @@
 // reason returns why no replica may get the request.
 func (pool *pool) reason() Reason {
 	switch {
-	case pool.listed == 0:
+	case pool.notLeaving == 0:
 		return NoReplicas
 	case pool.notEvacuated == 0:
 		return AllEvacuated
@@ -193,58 +193,58 @@
 			return true
 		}
 		extra := float64(c.uncached-fewest) / fleet.settings.PrefillRate
-		return extra*float64(c.held) > maxPrefillDisturbance
+		return extra*float64(c.load) > maxPrefillDisturbance
 	})
 }
 
 // evaluate returns a replica as a candidate with its estimated cost.
 func (fleet *Fleet) evaluate(member estimate, access Access, request Request, sources sources, now timekeeper.Instant) candidate {
-	held := member.load
+	load := member.load
 	cost := member.health.penalty(now) + member.excessLatency.above(fleet.excessLatencyOf(member.Service), now)
 	cost += float64(member.overdue(now)) * float64(failurePenalty)
 	if member.DataCentre != fleet.settings.DataCentre {
 		cost += distanceCost
 	}
 	if len(request.Parts) == 0 {
-		expected := float64(max(0, held-member.Slots+1)) * plainWaitCost
+		expected := float64(max(0, load-member.Slots+1)) * plainWaitCost
 		return candidate{
-			replica: member.replica, access: access, held: held, expected: expected, cost: cost + expected + float64(held)*plainRequestCost,
+			replica: member.replica, access: access, load: load, expected: expected, cost: cost + expected + float64(load)*plainRequestCost,
 		}
 	}
-	fetch := sources.fetchFor(member.replica, member.shared, held, now)
+	fetch := sources.fetchFor(member.replica, member.shared, load, now)
 	uncached := member.uncached - fetch.tokens
 	engineWait := member.engineWait
 	prefill := float64(uncached) / fleet.settings.PrefillRate
 	expected := engineWait + fetch.time + prefill
 	weight := sources.weight.at(expected)
-	promptCost := prefillCost(prefill, held, weight) + fetch.price + weight*fetch.time
-	cost += weight*engineWait + concurrencyCost*float64(held) + promptCost
+	promptCost := prefillCost(prefill, load, weight) + fetch.price + weight*fetch.time
+	cost += weight*engineWait + concurrencyCost*float64(load) + promptCost
 	return candidate{
-		replica: member.replica, access: access, held: held, uncached: uncached, engineWait: engineWait, expected: expected, cost: cost,
-		prefill: promptCost, fetch: fetch,
+		replica: member.replica, access: access, load: load, uncached: uncached, engineWait: engineWait, expected: expected, cost: cost,
+		promptCost: promptCost, fetch: fetch,
 	}
 }
 
 // prefillCost returns the cost in milliseconds of a prefill at an engine with the given load.
 // It consists of what operators pay for the prefill, and of the time of the engine and of the
 // requests there, multiplied by weight.
-func prefillCost(prefill float64, held int, weight float64) float64 {
-	return (priceWeight + weight*(prefillWeight-priceWeight+prefillDisturbance*float64(held))) * prefill
+func prefillCost(prefill float64, load int, weight float64) float64 {
+	return (priceWeight + weight*(prefillWeight-priceWeight+prefillDisturbance*float64(load))) * prefill
 }
 
-// dropOverBound removes replicas that hold more than their share: a multiple of the service's
-// mean load, set by the operator, plus a slack for uneven small numbers. An even share is
-// always allowed. See spread for the mean.
-func (fleet *Fleet) dropOverBound(open []candidate, request Request, spread spread, now timekeeper.Instant) ([]candidate, Reason) {
+// dropOverBound removes replicas without a free place and replicas over their share: a
+// multiple of the service's mean load, set by the operator, plus a slack for uneven small
+// numbers. An even share is always allowed. See loadTotal.mean for the mean.
+func (fleet *Fleet) dropOverBound(open []candidate, request Request, loadTotal loadTotal, now timekeeper.Instant) ([]candidate, Reason) {
 	if len(open) == 0 {
 		return nil, AllFull
 	}
-	even := meanHeld(open)
-	share := max(even, boundMargin*fleet.settings.LoadFactor*spread.mean(even)) + boundSlack
+	even := meanLoad(open)
+	share := max(even, boundShare*fleet.settings.LoadFactor*loadTotal.mean(even)) + boundSlack
 	usable := 1 - reservedShare*fleet.queue(request.Service).moreUrgentShare(request.Priority, now)
 	free := slices.DeleteFunc(open, func(c candidate) bool {
-		held := float64(c.held)
-		return held > share || held >= usable*c.maxHeld()
+		load := float64(c.load)
+		return load > share || load >= usable*c.maxLoad()
 	})
 	if len(free) == 0 {
 		return nil, AllFull
@@ -252,33 +252,32 @@
 	return free, noReason
 }
 
-// meanHeld returns the mean number of requests that the candidates hold. There must be at least
-// one candidate.
-func meanHeld(candidates []candidate) float64 {
+// meanLoad returns the mean load of the candidates. There must be at least one candidate.
+func meanLoad(candidates []candidate) float64 {
 	total := 0
 	for _, c := range candidates {
-		total += c.held
+		total += c.load
 	}
 	return float64(total) / float64(len(candidates))
 }
 
-// held returns the estimated number of requests at a replica: those of this entry and its
-// peers, or the replica's own report if that is recent and higher.
-func (member *replica) held(peers InFlight, now timekeeper.Instant) int {
-	held := member.running + peers.Running
+// estimatedLoad returns the estimated number of requests at a replica: those of this entry and
+// its peers, or the replica's own report if that is recent and higher.
+func (member *replica) estimatedLoad(peers InFlight, now timekeeper.Instant) int {
+	load := member.running + peers.Running
 	if member.reportedAt != 0 && now.Since(member.reportedAt) <= reportLifetime {
-		held = max(held, member.report.Running+member.report.Waiting)
+		load = max(load, member.report.Running+member.report.Waiting)
 	}
-	return held
+	return load
 }
 
-// reservedShare is the share of its places that a replica reserves for more urgent requests, if
-// all other arrivals are more urgent. Otherwise long answers of the lowest priority would fill
-// all places.
+// reservedShare is the share of a replica's places that entries keep for more urgent requests,
+// if all other arrivals are more urgent. Otherwise long answers of the lowest priority would
+// fill all places.
 const reservedShare = 0.3
 
-// maxHeld returns how many requests a replica should hold at most.
-func (c candidate) maxHeld() float64 {
+// maxLoad returns how many requests a replica should hold at most.
+func (c candidate) maxLoad() float64 {
 	switch {
 	case c.Slots <= 0:
 		return math.Inf(1)
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -12,8 +12,8 @@
 
 const (
 	// DefaultPrefillRate is the assumed number of prompt tokens that an engine prefills in a
-	// millisecond. It only has to weigh prefill against waiting. It isn't derived from the time
-	// until answers start, since full engines spend that time waiting.
+	// millisecond. It only has to weigh prefill against waiting. It isn't derived from the
+	// time until answers start, since at full engines prompts spend most of that time waiting.
 	DefaultPrefillRate = 40.0
 	// prefillWeight multiplies the time of a prefill in the cost. A prefill delays all other
 	// requests at the engine, evicts cached prompts, and the operator pays for it.
@@ -41,9 +41,9 @@
 	// milliseconds. It covers the error of one or two requests in an entry's estimate of its
 	// peers' requests.
 	plainCostBand = 6.0
-	// preferenceCost is what each position in the preference order of a prompt adds to the cost
-	// of an engine, in milliseconds, while digests arrive at the baseDigestInterval. See
-	// preferenceStep.
+	// preferenceCost is what each position in the preference order of a prompt adds to the
+	// cost of an engine, in milliseconds, while digests arrive at least every
+	// baseDigestInterval. See preferenceStep.
 	preferenceCost = 40.0
 	// baseDigestInterval is the time between two digests of a peer if there are few entries.
 	baseDigestInterval = 100 * timekeeper.Millisecond
@@ -51,14 +51,15 @@
 	// a few requests at few replicas may be spread unevenly. The operators allow three;
 	// requests that peers have started since their last digest take the rest.
 	//
-	// An engine over its share sends prompts that it has cached to an engine that must prefill
-	// them, so a bound far below the allowed one costs prefill.
+	// If an engine is over its share, requests whose prompts it has cached go to an engine
+	// that must prefill them, so a bound far below the allowed one costs prefill.
 	boundSlack = 2.0
-	// boundMargin lowers the bound for the same reason: peers start requests between digests.
-	boundMargin = 0.95
+	// boundShare is the share of the operators' bound that entries use, because peers start
+	// requests between digests.
+	boundShare = 0.95
 	// maxPlainPerSlot is how many requests a plain replica may hold for each slot. Calls take
-	// tens of milliseconds, so a request that waits there starts in time, and no slot idles
-	// until an entry learns that it is free. Replicas refuse more than five for each slot.
+	// tens of milliseconds, so a request that waits there starts in time, and the slot doesn't
+	// idle while entries learn that it is free. Replicas refuse beyond five.
 	maxPlainPerSlot = 2
 	// maxEnginePerSlot is the same limit for engines. A request that waits at an engine waits
 	// behind less urgent ones, so it waits at the entry instead.
@@ -73,12 +74,12 @@
 	Service string
 	// Parts is the prompt, starting at the root; nil for plain services.
 	Parts []Part
-	// Excluded are the incarnations that have already had the request.
+	// Excluded are the IDs of the replicas that have already had the request.
 	Excluded []string
 	// MaxConnections is how many requests this entry may have in flight at one replica; zero
 	// means any number.
 	MaxConnections int
-	// Priority is the engines' priority for the prefill, from 0, the first, to Priorities-1.
+	// Priority is the order of prefill at engines: 0 is served first, Priorities-1 last.
 	Priority int
 	// MaxEngineWait is how long the prompt may wait at an engine before prefill; zero means any
 	// time.
@@ -105,14 +106,14 @@
 // the placement is nil and the reason says why. A request goes to an engine that has its prompt
 // cached, unless waiting there costs more than prefill elsewhere.
 func (fleet *Fleet) Choose(request Request, now timekeeper.Instant) (*Placement, Reason) {
-	held := fleet.estimateReplicas(request)
-	candidates, reason := fleet.candidates(request, held, now)
+	estimates := fleet.estimateReplicas(request)
+	candidates, reason := fleet.candidates(request, estimates, now)
 	if reason != noReason {
 		return nil, reason
 	}
 	count := len(candidates)
 	chosen := fleet.pick(candidates, request, now)
-	guessed := fleet.guessSource(request, chosen, held, now)
+	guessed := fleet.guessSource(request, chosen, estimates, now)
 	if guessed != nil {
 		chosen = fleet.withoutFetch(chosen)
 	}
@@ -129,7 +130,7 @@
 	}
 	placement := &Placement{
 		Replica: chosen.Replica, Uncached: chosen.uncached, Expected: timekeeper.Span(chosen.expected),
-		Load: chosen.held, Candidates: count, Access: chosen.access, ListVersion: fleet.version,
+		Load: chosen.load, Candidates: count, Access: chosen.access, ListVersion: fleet.version,
 		FirstPrefill: firstPrefill, chosenAt: now, priority: request.Priority,
 	}
 	if guessed != nil {
@@ -167,7 +168,7 @@
 	best := slices.MaxFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.weight, b.weight) })
 	lowest := best.cost
 	for _, c := range candidates {
-		stepCost := step.price(c, own)
+		stepCost := step.costFor(c, own)
 		if c.cost+stepCost >= lowest {
 			continue
 		}
@@ -204,9 +205,9 @@
 	return preferenceStep{cached: preferenceCost / (age * age), other: preferenceCost * age}
 }
 
-// price returns the cost of a position for an engine; own is the number of prompt tokens that
+// costFor returns the cost of a position for an engine; own is the number of prompt tokens that
 // no other request shares.
-func (step preferenceStep) price(c candidate, own int) float64 {
+func (step preferenceStep) costFor(c candidate, own int) float64 {
 	if c.uncached+c.fetch.tokens <= own {
 		return step.cached
 	}
--- a/internal/balancer/cold.go
+++ b/internal/balancer/cold.go
@@ -17,15 +17,16 @@
 }
 
 const (
-	// coldBurstShare is the share of the allowance beyond the tolerated rate that entries may
-	// use in bursts. The rest covers entries that disagree about which entries there are.
+	// coldBurstShare is the share of the requests that operators allow beyond the tolerated
+	// rate which entries may use for bursts. The rest covers entries that disagree about which
+	// entries there are.
 	coldBurstShare = 0.7
 	// coldBurst is how many requests an entry may send to a cold replica at once.
 	coldBurst = 1.0
 )
 
 // SetWarmUp sets how replicas of a service behave after a start.
-func (fleet *Fleet) SetWarmUp(service string, warmUp WarmUp) { fleet.warmUp[service] = warmUp }
+func (fleet *Fleet) SetWarmUp(service string, warmUp WarmUp) { fleet.warmUps[service] = warmUp }
 
 // entries is the set of entries that share the cold-start rate of replicas.
 type entries struct {
@@ -81,15 +82,15 @@
 	}
 }
 
-// spend takes a request to the replica out of the allowance.
+// spend takes one request out of the bucket while the replica is cold.
 func (cold *coldAllowance) spend(now timekeeper.Instant) {
 	if now < cold.until {
 		cold.level = max(0, cold.level-coldBurst)
 	}
 }
 
-// coldShare is how entries share the tolerated rate of a cold replica: each replica is used by
-// a few entries, each of which has a rate.
+// coldShare is how entries share the tolerated rate of a cold replica: users entries use the
+// replica, each at up to rate requests per second.
 type coldShare struct {
 	users int
 	// rate is in requests per second.
@@ -105,13 +106,13 @@
 }
 
 // admitsCold reports whether this entry may send one more request to a cold replica now.
-// Rendezvous hashing assigns a few entries to each replica, which bounds their sum without any
-// message between entries.
+// Rendezvous hashing assigns a few entries to each replica, which bounds the total of their
+// requests without any message between entries.
 func (fleet *Fleet) admitsCold(member *replica, now timekeeper.Instant) bool {
 	if fleet.entries.generation == 0 {
 		return false
 	}
-	share := fleet.settings.coldShareFor(fleet.warmUp[member.Service], 1+len(fleet.entries.peers))
+	share := fleet.settings.coldShareFor(fleet.warmUps[member.Service], 1+len(fleet.entries.peers))
 	cold := &member.cold
 	if cold.generation != fleet.entries.generation {
 		cold.assigned, cold.generation = fleet.entries.uses(member.key, share.users), fleet.entries.generation
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -231,7 +231,7 @@
 		entries[number] = New(settings)
 		entries[number].SetEngine("planner", Engine{Memory: 300000})
 		entries[number].SetWarmUp("planner", warmUp)
-		entries[number].SetReplicas(replicasInCentres("planner", count, 64), 1)
+		entries[number].SetReplicas(replicasInDataCentres("planner", count, 64), 1)
 		entries[number].Evacuate(NewEvacuations(3, []string{"kality"}), start)
 	}
 	site := &coldSite{entries: entries, sent: map[string][]timekeeper.Instant{}}
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -22,7 +22,7 @@
 // Cause is why a replica isn't open.
 type Cause string
 
-// The causes, in order of precedence. The zero value belongs to Open.
+// The causes, highest precedence first. The zero value belongs to Open.
 const (
 	// Leaving means that the list or a peer reports that the replica leaves.
 	Leaving Cause = "leaving"
@@ -42,7 +42,8 @@
 type Eligibility struct {
 	Access Access
 	Cause  Cause
-	// Version is the version of the update that decided; zero if it follows from time alone.
+	// Version is the version of the update that decided; zero if that update has none, or time
+	// decided.
 	Version uint64
 	// Since is when that update arrived; zero if that isn't recorded.
 	Since timekeeper.Instant
@@ -55,24 +56,24 @@
 // Each input is kept with its version or its end, and nothing is derived from an earlier
 // result. So the newest update decides, in whatever order updates arrive.
 func (fleet *Fleet) eligibility(member *replica, now timekeeper.Instant) Eligibility {
-	if closed, found := fleet.closed(member); found {
+	if closed, found := fleet.closedUntilUpdate(member); found {
 		return closed
 	}
 	if now < member.statements.backoff.retryAt() {
 		return member.backoffEligibility()
 	}
-	if !member.health.available(now) {
+	if !member.health.admits(now) {
 		return Eligibility{Access: Closed, Cause: NoConnection, Until: member.health.retryAt()}
 	}
-	if now < member.cold.until && fleet.warmUp[member.Service].Rate > 0 {
+	if now < member.cold.until && fleet.warmUps[member.Service].Rate > 0 {
 		return Eligibility{Access: Limited, Cause: Cold, Until: member.cold.until}
 	}
 	return Eligibility{Access: Open}
 }
 
-// closed returns why a replica gets no work until an update changes that; false means that no
-// such cause applies.
-func (fleet *Fleet) closed(member *replica) (Eligibility, bool) {
+// closedUntilUpdate returns the eligibility of a replica that gets no work until an update
+// changes that; false if it isn't leaving or evacuated.
+func (fleet *Fleet) closedUntilUpdate(member *replica) (Eligibility, bool) {
 	switch {
 	case fleet.isLeaving(member):
 		return Eligibility{Access: Closed, Cause: Leaving, Version: max(fleet.version, member.leaveVersion)}, true
--- a/internal/balancer/evacuation.go
+++ b/internal/balancer/evacuation.go
@@ -47,7 +47,7 @@
 	fleet.evacuationsChanged = now
 	for _, member := range fleet.replicas {
 		if before.Contains(member.DataCentre) && !evacuations.Contains(member.DataCentre) {
-			member.markCold(now.Add(fleet.warmUp[member.Service].Span))
+			member.markCold(now.Add(fleet.warmUps[member.Service].Span))
 		}
 	}
 	return true
--- a/internal/balancer/evacuation_test.go
+++ b/internal/balancer/evacuation_test.go
@@ -14,8 +14,8 @@
 // dataCentres are the data centres in these tests.
 var dataCentres = []string{"bole", "kality", "merkato", "piassa"}
 
-// replicasInCentres returns replicas that are spread evenly over the data centres.
-func replicasInCentres(service string, count, slots int) []Replica {
+// replicasInDataCentres returns replicas that are spread evenly over the data centres.
+func replicasInDataCentres(service string, count, slots int) []Replica {
 	list := replicasOf(service, count, slots)
 	for i := range list {
 		list[i].DataCentre = dataCentres[i%len(dataCentres)]
@@ -23,25 +23,25 @@
 	return list
 }
 
-// fleetInCentres returns a fleet of engines in four data centres.
-func fleetInCentres(count int) *Fleet {
+// fleetInDataCentres returns a fleet of engines in four data centres.
+func fleetInDataCentres(count int) *Fleet {
 	fleet := New(Settings{DataCentre: "bole", Seed: 1})
 	fleet.SetEngine("planner", Engine{Memory: 300000})
-	fleet.SetReplicas(replicasInCentres("planner", count, 64), 1)
+	fleet.SetReplicas(replicasInDataCentres("planner", count, 64), 1)
 	return fleet
 }
 
 func TestEvacuatedDataCentreGetsNoWork(t *testing.T) {
 	// Guards against work for an evacuated data centre: new requests, and requests that are
 	// retried after a failure.
-	fleet := fleetInCentres(8)
+	fleet := fleetInDataCentres(8)
 	now := start
 	fleet.Evacuate(NewEvacuations(5, []string{"kality"}), now)
 	Convey("no request is placed there, even if all other replicas have had it", t, func() {
 		for i := range 200 {
 			request := promptRequest(uint64(i), uint64(i))
 			if i%2 == 1 {
-				for _, row := range replicasInCentres("planner", 8, 64) {
+				for _, row := range replicasInDataCentres("planner", 8, 64) {
 					if row.DataCentre != "kality" {
 						request.Excluded = append(request.Excluded, row.ID)
 					}
@@ -61,7 +61,7 @@
 
 func TestAllReplicasEvacuated(t *testing.T) {
 	// Guards against callers who start or continue to wait for replicas that get no work.
-	fleet := fleetInCentres(4)
+	fleet := fleetInDataCentres(4)
 	now := start
 	for fleet.placeOne("planner", now) {
 		continue
@@ -79,7 +79,7 @@
 		So(late.Reason, ShouldEqual, AllEvacuated)
 	})
 	Convey("a waiter is placed when a data centre is no longer evacuated", t, func() {
-		fleet := fleetInCentres(4)
+		fleet := fleetInDataCentres(4)
 		fleet.Evacuate(NewEvacuations(5, []string{"bole", "kality", "merkato"}), now)
 		for fleet.placeOne("planner", now) {
 			continue
@@ -104,7 +104,7 @@
 	// Guards against an engine that holds more than twice the mean of its service because a
 	// quarter of the engines, which hold nothing, were left out of the mean.
 	const count, requests = 20, 300
-	fleet := fleetInCentres(count)
+	fleet := fleetInDataCentres(count)
 	fleet.Evacuate(NewEvacuations(5, []string{"kality"}), start)
 	held := map[string]int{}
 	for i := range requests {
@@ -118,11 +118,11 @@
 		held[placement.Replica.ID]++
 	}
 	Convey("the fullest engine holds at most twice the mean of all engines plus three", t, func() {
-		most := 0
+		maxLoad := 0
 		for _, count := range held {
-			most = max(most, count)
+			maxLoad = max(maxLoad, count)
 		}
-		So(float64(most), ShouldBeLessThanOrEqualTo, 2*float64(requests)/count+3)
+		So(float64(maxLoad), ShouldBeLessThanOrEqualTo, 2*float64(requests)/count+3)
 	})
 }
 
@@ -140,7 +140,7 @@
 			now := start.Add(timekeeper.Span(step))
 			version := rapid.IntRange(1, len(history)).Draw(t, "version")
 			if rapid.Bool().Draw(t, "list") {
-				fleet.SetReplicas(replicasInCentres("planner", count, 64), uint64(version))
+				fleet.SetReplicas(replicasInDataCentres("planner", count, 64), uint64(version))
 			} else {
 				fleet.Evacuate(NewEvacuations(uint64(version), history[version-1]), now)
 				newest = max(newest, version)
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -18,9 +18,9 @@
 	// LoadFactor is how many times the mean load of its service a replica may hold; zero means
 	// 2. See dropOverBound.
 	LoadFactor float64
-	// ColdRateFactor is how many times the tolerated rate of a cold replica all entries
-	// together may send in a second, and ColdSlack how many requests more. Zero means once the
-	// rate, and no slack.
+	// ColdRateFactor and ColdSlack limit the requests of all entries together to a cold
+	// replica in a second: ColdRateFactor times its tolerated rate, plus ColdSlack. Zero means
+	// 1 and 0.
 	ColdRateFactor, ColdSlack float64
 	// TransferPrice is how many prefilled prompt tokens cost as much as the transfer of a gigabyte
 	// between engines; zero means 2,300. See DefaultMovePrice.
@@ -39,14 +39,14 @@
 	random   *rand.Rand
 	replicas map[string]*replica
 	keys     map[Key]*replica
-	// leaveVersion holds the replicas that peers saw leave, with the version of the list at
+	// leaveVersions holds the replicas that peers saw leave, with the version of the list at
 	// which they left.
-	leaveVersion map[string]uint64
+	leaveVersions map[string]uint64
 	// unlisted holds the statements of incarnations that aren't in the list.
 	unlisted archive
 	services map[string][]*replica
 	engines  map[string]Engine
-	warmUp   map[string]WarmUp
+	warmUps  map[string]WarmUp
 	entries  entries
 	peers    map[string]peerDigest
 	// peersInFlight is what all peers together have in flight, by replica.
@@ -85,11 +85,11 @@
 		random:          rand.New(rand.NewPCG(settings.Seed, 11)),
 		replicas:        map[string]*replica{},
 		keys:            map[Key]*replica{},
-		leaveVersion:    map[string]uint64{},
+		leaveVersions:   map[string]uint64{},
 		unlisted:        archive{},
 		services:        map[string][]*replica{},
 		engines:         map[string]Engine{},
-		warmUp:          map[string]WarmUp{},
+		warmUps:         map[string]WarmUp{},
 		peers:           map[string]peerDigest{},
 		peersInFlight:   map[Key]InFlight{},
 		excessLatencies: map[string]*excessLatency{},
@@ -115,7 +115,7 @@
 // state of the earlier one, and a row of an earlier incarnation is ignored.
 func (fleet *Fleet) SetReplicas(list []Replica, version uint64) []Change {
 	fleet.version = version
-	maps.DeleteFunc(fleet.leaveVersion, func(_ string, seen uint64) bool { return seen <= version })
+	maps.DeleteFunc(fleet.leaveVersions, func(_ string, seen uint64) bool { return seen <= version })
 	var changes []Change
 	listed := make(map[string]bool, len(list))
 	for _, row := range list {
@@ -136,7 +136,7 @@
 			member.updateRow(row)
 			continue
 		}
-		added := newReplica(row, fleet.leaveVersion[row.ID])
+		added := newReplica(row, fleet.leaveVersions[row.ID])
 		added.statements = fleet.unlisted.take(row.Incarnation())
 		fleet.replicas[row.ID] = added
 	}
@@ -198,11 +198,12 @@
 	return member.Replica, true
 }
 
-// CountAvailable returns how many replicas of a service may get work.
+// CountAvailable returns how many replicas of a service are neither leaving nor evacuated,
+// including those that back off or are unreachable.
 func (fleet *Fleet) CountAvailable(service string) int {
 	count := 0
 	for _, member := range fleet.services[service] {
-		if _, closed := fleet.closed(member); !closed {
+		if _, closed := fleet.closedUntilUpdate(member); !closed {
 			count++
 		}
 	}
@@ -349,13 +350,14 @@
 const maxLeaves = 4096
 
 // MarkLeaving records that a peer saw a replica leave at a version of the list, and reports
-// whether that changed anything. It holds until this entry's list is as new.
+// whether a listed replica was not known to be leaving before. The record is in force until
+// this entry's list reaches that version.
 func (fleet *Fleet) MarkLeaving(id string, version uint64) bool {
 	if version <= fleet.version {
 		return false
 	}
-	if len(fleet.leaveVersion) < maxLeaves {
-		fleet.leaveVersion[id] = max(fleet.leaveVersion[id], version)
+	if len(fleet.leaveVersions) < maxLeaves {
+		fleet.leaveVersions[id] = max(fleet.leaveVersions[id], version)
 	}
 	member, found := fleet.replicas[id]
 	if !found {
@@ -369,18 +371,18 @@
 // ConfirmVersion records that the list that was applied last is also the list of a later
 // version. It returns the replicas that get work again: a peer saw them leave at that version
 // or an earlier one, and the list has them ready.
-func (fleet *Fleet) ConfirmVersion(version uint64) (back []string) {
+func (fleet *Fleet) ConfirmVersion(version uint64) (ready []string) {
 	fleet.version = version
-	for id, seen := range fleet.leaveVersion {
+	for id, seen := range fleet.leaveVersions {
 		if seen > version {
 			continue
 		}
-		delete(fleet.leaveVersion, id)
+		delete(fleet.leaveVersions, id)
 		if member, found := fleet.replicas[id]; found && !member.Leaving && member.statements.leaving == 0 {
-			back = append(back, id)
+			ready = append(ready, id)
 		}
 	}
-	return back
+	return ready
 }
 
 // RecordReport records the load that a replica reported with an answer.
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -14,14 +14,14 @@
 	// failurePenalty is what one recorded failure adds to the expected time. A failed request
 	// costs its caller about a second, because the caller retries once.
 	failurePenalty = 150 * timekeeper.Millisecond
-	// refusalWeight is the weight of a request that the replica refused to run. It costs a
-	// round trip and one of the retries.
+	// refusalWeight is the weight of a request that the replica refused to run. A refusal
+	// costs a round trip and one of the retries.
 	refusalWeight = 0.3
 	// maxFailures limits the recorded failures, so that a replica recovers eventually.
 	maxFailures = 12.0
 )
 
-// health holds what reduces or stops the work of a replica.
+// health is a replica's circuit breaker for failed connections, and its recent failures.
 type health struct {
 	// breaker blocks requests to an unreachable replica for a pause that grows.
 	breaker
@@ -50,8 +50,8 @@
 	health.breaker, health.pause = breaker{}, 0
 }
 
-// available reports whether the replica may get any request.
-func (health *health) available(now timekeeper.Instant) bool { return now >= health.retryAt() }
+// admits reports whether the breaker admits a request.
+func (health *health) admits(now timekeeper.Instant) bool { return now >= health.retryAt() }
 
 func (health *health) penalty(now timekeeper.Instant) float64 {
 	return health.failures.now(failureHalfLife, now) * float64(failurePenalty)
--- a/internal/balancer/hot_parts.go
+++ b/internal/balancer/hot_parts.go
@@ -24,9 +24,9 @@
 	// hotHoldTime is how long a request for a hot part occupies its engine when the prompt is
 	// cached.
 	hotHoldTime = 800 * timekeeper.Millisecond
-	// maxHoldIntervals limits that time to a number of digest intervals. Older requests are
-	// already known from digests and have their cost; counting them twice makes a few entries
-	// prefill hot prompts again.
+	// maxHoldIntervals limits hotHoldTime to a number of digest intervals. Older requests are
+	// in the digests and already add to the cost; if they counted twice, a fleet of few
+	// entries would prefill hot prompts at more engines.
 	maxHoldIntervals = 2
 	// minEngineShare is the least number of requests for a hot part that each engine should
 	// get, if the mean load of the service is lower.
@@ -50,28 +50,28 @@
 	return before
 }
 
-// enginesForPart returns how many engines should share the requests for a part. Each entry
-// assumes that the others get as many requests for it. So it can compute the number of engines
-// before any digest arrives.
+// enginesForPart counts a request for a part and returns how many engines should share the
+// part. Each entry assumes that its peers get as many requests for the part as it does, so it
+// knows the number before any digest arrives.
 func (fleet *Fleet) enginesForPart(part uint64, candidates []candidate, now timekeeper.Instant) int {
 	seen := max(0, fleet.partRates.count(part, now)-hotThreshold)
 	perMillisecond := seen * math.Ln2 / float64(partRateHalfLife) * float64(len(fleet.peers)+1)
 	span := min(hotHoldTime, maxHoldIntervals*fleet.digestInterval())
-	return 1 + int(perMillisecond*float64(span)/max(minEngineShare, meanHeld(candidates)))
+	return 1 + int(perMillisecond*float64(span)/max(minEngineShare, meanLoad(candidates)))
 }
 
-// pickForHotPart chooses at random among the engines that share a hot part. These are the first
-// in rendezvous order, so that all entries use the same ones. Engines with a high cost other
-// than prefill are left out.
+// pickForHotPart chooses at random among the engines that share a hot part. These are the
+// first in rendezvous order, so that all entries use the same ones. Engines whose cost is high
+// apart from promptCost are left out.
 func (fleet *Fleet) pickForHotPart(candidates []candidate, part uint64, count int) candidate {
-	costWithoutPrefill := func(c candidate) float64 { return c.cost - c.prefill }
-	best := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(costWithoutPrefill(a), costWithoutPrefill(b)) })
-	eligible := slices.DeleteFunc(candidates, func(c candidate) bool { return costWithoutPrefill(c) > costWithoutPrefill(best)+hotPartCostBand })
+	costWithoutPrompt := func(c candidate) float64 { return c.cost - c.promptCost }
+	best := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(costWithoutPrompt(a), costWithoutPrompt(b)) })
+	eligible := slices.DeleteFunc(candidates, func(c candidate) bool { return costWithoutPrompt(c) > costWithoutPrompt(best)+hotPartCostBand })
 	setWeights(eligible, part)
 	slices.SortFunc(eligible, func(a, b candidate) int { return cmp.Compare(b.weight, a.weight) })
 	return eligible[fleet.random.IntN(min(count, len(eligible)))]
 }
 
-// hotPartCostBand is how much more than the best an engine may cost, without prefill, to serve
-// a hot part, in milliseconds. It is less than the penalty of one failure.
+// hotPartCostBand is how much more than the best an engine may cost, apart from promptCost, to
+// serve a hot part, in milliseconds. It is less than the penalty of one failure.
 const hotPartCostBand = 100.0
--- a/internal/balancer/hot_parts_test.go
+++ b/internal/balancer/hot_parts_test.go
@@ -10,9 +10,9 @@
 )
 
 // withPeers gives a fleet peers that have nothing in flight and send digests at an interval.
-func withPeers(fleet *Fleet, count int, gap timekeeper.Span, now timekeeper.Instant) *Fleet {
+func withPeers(fleet *Fleet, count int, interval timekeeper.Span, now timekeeper.Instant) *Fleet {
 	for peer := range count {
-		fleet.SetPeerInFlight(fmt.Sprint(peer), nil, timekeeper.Minute, now.Add(-gap))
+		fleet.SetPeerInFlight(fmt.Sprint(peer), nil, timekeeper.Minute, now.Add(-interval))
 		fleet.SetPeerInFlight(fmt.Sprint(peer), nil, timekeeper.Minute, now)
 	}
 	return fleet
@@ -23,12 +23,12 @@
 	// several times, all entries together are asked for it thirty times as often; a single
 	// request shows nothing.
 	tests := []struct {
-		name  string
-		peers int
-		gap   timekeeper.Span
-		asked int
-		least int
-		most  int
+		name     string
+		peers    int
+		interval timekeeper.Span
+		asked    int
+		minCount int
+		maxCount int
 	}{
 		{"one request", 30, 600, 1, 1, 1},
 		{"several requests, many entries", 30, 600, 5, 4, 10},
@@ -38,14 +38,14 @@
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			fleet := withPeers(plannerFleet(40), test.peers, test.gap, start)
+			fleet := withPeers(plannerFleet(40), test.peers, test.interval, start)
 			for range test.asked {
 				fleet.partRates.count(101, start)
 			}
 			candidates, _ := fleet.candidates(promptRequest(1, 1), fleet.estimateReplicas(promptRequest(1, 1)), start)
 			count := fleet.enginesForPart(101, candidates, start)
-			So(count, ShouldBeGreaterThanOrEqualTo, test.least)
-			So(count, ShouldBeLessThanOrEqualTo, test.most)
+			So(count, ShouldBeGreaterThanOrEqualTo, test.minCount)
+			So(count, ShouldBeLessThanOrEqualTo, test.maxCount)
 			seen := map[string]bool{}
 			for range 200 {
 				open, _ := fleet.candidates(promptRequest(1, 1), fleet.estimateReplicas(promptRequest(1, 1)), start)
--- a/internal/balancer/peers.go
+++ b/internal/balancer/peers.go
@@ -10,7 +10,8 @@
 type InFlight struct {
 	// Running is the number of requests.
 	Running int
-	// PendingTokens is the number of prompt tokens that the engine has not processed yet.
+	// PendingTokens is the number of uncached prompt tokens of the requests whose answer has
+	// not started.
 	PendingTokens int
 }
 
@@ -19,8 +20,8 @@
 	inFlight map[Key]InFlight
 	// until is when the digest expires: the peer is then down, and so are its requests.
 	until timekeeper.Instant
-	// receivedAt is when the digest arrived, and interval the time since the one before it. For
-	// the first digest of a peer the interval is derived from the digest's lifetime.
+	// receivedAt is when the digest arrived, and interval the time since the peer's previous
+	// digest. For a peer's first digest, it is derived from the digest's lifetime.
 	receivedAt timekeeper.Instant
 	interval   timekeeper.Span
 }
@@ -30,8 +31,8 @@
 // one of them the other's cached parts.
 type Key uint32
 
-// KeyOf returns the key of an incarnation by its name.
-func KeyOf(id string) Key { return Key(xxhash.Sum64String(id)) }
+// KeyOf returns the key of an incarnation, given its name.
+func KeyOf(incarnation string) Key { return Key(xxhash.Sum64String(incarnation)) }
 
 // digestsPerLifetime is how many digests a peer sends in the lifetime of one.
 const digestsPerLifetime = 3
--- a/internal/balancer/preference_test.go
+++ b/internal/balancer/preference_test.go
@@ -14,11 +14,11 @@
 	const load = 6
 	tests := []struct {
 		name string
-		// gap is the time between two digests of a peer, holders the number of engines that
-		// have the prompt cached.
-		gap     timekeeper.Span
-		holders int
-		moves   bool
+		// interval is the time between two digests of a peer, cachedAt the number of engines
+		// that have the prompt cached.
+		interval timekeeper.Span
+		cachedAt int
+		toSecond bool
 	}{
 		{"digests are recent, both engines have the prompt", 100, 2, false},
 		{"digests are old, both engines have the prompt", 300, 2, true},
@@ -35,14 +35,14 @@
 				first, second = second, first
 			}
 			fleet.RecordCached(first.key, parts, start)
-			if test.holders > 1 {
+			if test.cachedAt > 1 {
 				fleet.RecordCached(second.key, parts, start)
 			}
 			held := map[Key]InFlight{first.key: {Running: load}}
 			fleet.SetPeerInFlight("peer", held, timekeeper.Second, start)
-			fleet.SetPeerInFlight("peer", held, timekeeper.Second, start.Add(test.gap))
-			placement := mustChoose(t, fleet, Request{Service: "planner", Parts: prompt(1, 2)}, start.Add(test.gap))
-			So(placement.Replica.ID == second.ID, ShouldEqual, test.moves)
+			fleet.SetPeerInFlight("peer", held, timekeeper.Second, start.Add(test.interval))
+			placement := mustChoose(t, fleet, Request{Service: "planner", Parts: prompt(1, 2)}, start.Add(test.interval))
+			So(placement.Replica.ID == second.ID, ShouldEqual, test.toSecond)
 		})
 	}
 }
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -7,8 +7,7 @@
 )
 
 const (
-	// rateHalfLife is the half-life of the counts of arrivals and completed requests of a
-	// service.
+	// rateHalfLife is the half-life of the counts of arrivals and ended requests of a service.
 	rateHalfLife = timekeeper.Second
 	// maxWaiting limits the requests that wait for one service. Their bodies are limited in
 	// bytes elsewhere. In a longer queue the ordering costs more than it gains.
@@ -17,9 +16,9 @@
 	teamHalfLife = 2 * timekeeper.Second
 )
 
-// Waiter is a request that waits for a replica. Waiters are served by rank, then those that can
-// still be on time, then by how few places their team has recently had, then by arrival. A
-// waiter that can't be served in time is refused at once.
+// Waiter is a request that waits for a replica. Waiters are served by rank, then by whether
+// they can still be on time, then by how few places their team has recently had, then by
+// arrival. A waiter that can't be served in time is refused at once.
 type Waiter struct {
 	Request Request
 	// Rank orders the waiters; the lowest rank is the most urgent.
@@ -41,7 +40,8 @@
 
 // serviceQueue holds the waiters of a service and its rates of arrival and completion.
 type serviceQueue struct {
-	waiting     []*Waiter
+	waiting []*Waiter
+	// completions counts ended requests, whatever their outcome.
 	completions decaying
 	// arrivals counts requests by priority.
 	arrivals [Priorities]decaying
@@ -90,9 +90,9 @@
 	queue.waiting = append(queue.waiting, waiter)
 }
 
-// mayWait reports whether a waiter that found no place may get one soon. If the replicas that
-// it hasn't tried back off while others don't, it doesn't wait, since waiters behind it can
-// still be placed.
+// mayWait reports whether a waiter that found no place may get one soon. If not, it is refused
+// for the reason that it then has. If only the replicas that it hasn't tried back off, it is
+// refused too, since waiters behind it can still be placed.
 func (fleet *Fleet) mayWait(waiter *Waiter, now timekeeper.Instant) bool {
 	switch waiter.Reason {
 	case AllFull, AllUnreachable:
@@ -104,8 +104,8 @@
 	return false
 }
 
-// refuseForBackoff refuses a waiter if all replicas of its service back off for longer than it
-// can wait, and reports whether it did.
+// refuseForBackoff refuses a waiter that can't wait until the end of the backoff of all
+// replicas, after remaining (see BackoffRemaining), and reports whether it did.
 func (fleet *Fleet) refuseForBackoff(waiter *Waiter, remaining timekeeper.Span, now timekeeper.Instant) bool {
 	if remaining == 0 || now.Add(remaining) <= waiter.Until {
 		return false
@@ -114,7 +114,8 @@
 	return true
 }
 
-// tryPlace places a waiter at a replica if there is one.
+// tryPlace places a waiter at a replica if one can take it, and counts the place for the
+// waiter's team. It reports whether it did.
 func (fleet *Fleet) tryPlace(waiter *Waiter, now timekeeper.Instant) bool {
 	waiter.Placement, waiter.Reason = fleet.Choose(waiter.Request, now)
 	if waiter.Placement == nil {
--- a/internal/balancer/replica.go
+++ b/internal/balancer/replica.go
@@ -54,12 +54,12 @@
 // Key returns the short hash of the incarnation.
 func (row Replica) Key() Key { return KeyOf(row.Incarnation()) }
 
-// succeeds reports whether a row belongs to a later incarnation of the same replica, precedes
-// whether it belongs to an earlier one.
+// succeeds reports whether a row belongs to a later incarnation of the same replica.
 func (row Replica) succeeds(other Replica) bool {
 	return other.StartedAt != 0 && row.StartedAt > other.StartedAt
 }
 
+// precedes reports whether a row belongs to an earlier incarnation of the same replica.
 func (row Replica) precedes(other Replica) bool {
 	return row.StartedAt < other.StartedAt
 }
@@ -99,8 +99,8 @@
 	cache  *prefixCache
 	// running is the number of this entry's requests at the replica.
 	running int
-	// pendingTokens are the tokens of this entry's requests that the engine has not processed
-	// yet, by priority.
+	// pendingTokens are the uncached prompt tokens of this entry's requests whose answer has
+	// not started, by priority.
 	pendingTokens [Priorities]int
 	health        health
 	excessLatency excessLatency
--- a/internal/balancer/service_stats.go
+++ b/internal/balancer/service_stats.go
@@ -16,9 +16,9 @@
 	// Running is the number of this entry's requests, Waiting the number of requests that wait
 	// for a replica.
 	Running, Waiting int
-	// MeanLoad is the mean estimated load of the replicas, MaxHeld the highest.
+	// MeanLoad is the mean estimated load of the replicas, MaxLoad the highest.
 	MeanLoad float64
-	MaxHeld  int
+	MaxLoad  int
 	// ExcessLatency is how much later than expected recent answers started, in milliseconds; a
 	// negative value means earlier. A value that stays away from zero means that the model of
 	// the engines no longer fits them.
@@ -34,11 +34,11 @@
 		}
 		total := 0
 		for _, member := range fleet.services[name] {
-			held := member.held(fleet.inFlightOfPeers(member.key), now)
+			load := member.estimatedLoad(fleet.inFlightOfPeers(member.key), now)
 			stats.Listed++
 			stats.Running += member.running
-			stats.MaxHeld = max(stats.MaxHeld, held)
-			total += held
+			stats.MaxLoad = max(stats.MaxLoad, load)
+			total += load
 			switch fleet.eligibility(member, now).Cause {
 			case Leaving, LeaveAnnounced:
 				stats.Leaving++
--- a/internal/balancer/service_stats_test.go
+++ b/internal/balancer/service_stats_test.go
@@ -21,12 +21,12 @@
 	fleet.AnswerStarted(placement, start.Add(placement.Expected+200))
 	fleet.MarkUnreachable("planner-1", start.Add(placement.Expected+100))
 	Convey("the counts by state, the load and the excess latency", t, func() {
-		survey := fleet.Stats(start.Add(placement.Expected + 200))
-		So(survey, ShouldHaveLength, 1)
-		So(survey[0].ExcessLatency, ShouldBeGreaterThan, 0)
-		survey[0].ExcessLatency = 0
-		So(survey[0], ShouldResemble, ServiceStats{
-			Service: "planner", Listed: 3, Leaving: 1, Unreachable: 1, Running: 1, MeanLoad: 2, MaxHeld: 6,
+		stats := fleet.Stats(start.Add(placement.Expected + 200))
+		So(stats, ShouldHaveLength, 1)
+		So(stats[0].ExcessLatency, ShouldBeGreaterThan, 0)
+		stats[0].ExcessLatency = 0
+		So(stats[0], ShouldResemble, ServiceStats{
+			Service: "planner", Listed: 3, Leaving: 1, Unreachable: 1, Running: 1, MeanLoad: 2, MaxLoad: 6,
 		})
 	})
 }
--- a/internal/balancer/statement.go
+++ b/internal/balancer/statement.go
@@ -11,14 +11,15 @@
 	backoff backoff
 }
 
-// none reports whether no statement is in effect.
+// none reports whether there are no statements.
 func (statements replicaStatements) none() bool { return statements == replicaStatements{} }
 
 // maxUnlisted limits the unlisted incarnations whose statements are kept.
 const maxUnlisted = 4096
 
 // archive keeps the statements of incarnations that aren't listed: rows lapse and come back,
-// and a peer may know a replica earlier. Nothing may be added to the zero value.
+// and a peer may report a replica before this entry's list has it. The zero value can't be
+// added to.
 type archive map[string]replicaStatements
 
 // put keeps the statements of an incarnation and reports whether it did. Statements of an
@@ -35,7 +36,8 @@
 	return true
 }
 
-// dropOldest removes the oldest statements to make room.
+// dropOldest makes room: it removes the statements with the earliest leave. Those without a
+// leave go first.
 func (archive archive) dropOldest() {
 	oldest := ""
 	for incarnation, statements := range archive {
@@ -64,7 +66,8 @@
 }
 
 // MarkLeaveAnnounced records that an incarnation of a replica announced, to this entry or to a
-// peer, that it leaves, and reports whether that changed anything. It gets no more work.
+// peer, that it leaves, and reports whether that is new and kept. The incarnation gets no more
+// work.
 func (fleet *Fleet) MarkLeaveAnnounced(incarnation string, now timekeeper.Instant) bool {
 	statements := fleet.statementsOf(incarnation)
 	if statements.leaving != 0 {
@@ -99,7 +102,7 @@
 	if !found {
 		return Eligibility{Access: Closed, Cause: Leaving, Version: fleet.version}, false
 	}
-	if closed, found := fleet.closed(member); found {
+	if closed, found := fleet.closedUntilUpdate(member); found {
 		return closed, false
 	}
 	if now < member.statements.backoff.until {
--- a/internal/balancer/time_weight.go
+++ b/internal/balancer/time_weight.go
@@ -3,8 +3,8 @@
 import "github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 
 const (
-	// minTimeWeight is the weight of a millisecond if engines have slack. It still decides
-	// between engines then.
+	// minTimeWeight is the weight of a millisecond if engines have slack. It isn't zero, so
+	// that time still decides between engines.
 	minTimeWeight = 0.2
 	// slackTargets is the expected time, in multiples of the request's target, from which a
 	// millisecond counts fully.
@@ -22,8 +22,8 @@
 // full, since a millisecond saved for one request is saved for all that wait. The load of an
 // engine always counts fully: discounting it too puts hot prompts beyond their engine's share.
 type timeWeight struct {
-	// target is the target time of the request, and fullness how full the engines are: 0 is
-	// idle, one is full.
+	// target is the request's MaxEngineWait. fullness is how full the engines are: 0 is idle,
+	// 1 or more is full.
 	target   timekeeper.Span
 	fullness float64
 }
--- a/internal/balancer/time_weight_test.go
+++ b/internal/balancer/time_weight_test.go
@@ -37,9 +37,9 @@
 	weightAfter := func(prepare func(fleet *Fleet)) float64 {
 		fleet := plannerFleetWith(fastLink, 3)
 		prepare(fleet)
-		held := fleet.estimateReplicas(request)
-		fleet.estimateLoads(request, held, start)
-		return fleet.timeWeight(request, held, start).at(0)
+		estimates := fleet.estimateReplicas(request)
+		fleet.estimateLoads(request, estimates, start)
+		return fleet.timeWeight(request, estimates, start).at(0)
 	}
 	tests := []struct {
 		name    string
@@ -77,7 +77,7 @@
 	tests := []struct {
 		name          string
 		pendingTokens int
-		moved         bool
+		transferred   bool
 	}{{"idle engines prefill", 0, false}, {"full engines transfer", 40000, true}}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -87,12 +87,12 @@
 			for _, id := range []string{"planner-1", "planner-2"} {
 				held[KeyOf(id)] = InFlight{PendingTokens: test.pendingTokens}
 			}
-			fleet.SetPeerInFlight("crowd", held, timekeeper.Minute, start)
+			fleet.SetPeerInFlight("peer", held, timekeeper.Minute, start)
 			request := promptRequest(1, 1)
 			request.MaxEngineWait = 2 * timekeeper.Second
 			placement := mustChoose(t, fleet, request, start)
 			So(placement.Replica.ID, ShouldNotEqual, "planner-0")
-			So(placement.Fetched > 0, ShouldEqual, test.moved)
+			So(placement.Fetched > 0, ShouldEqual, test.transferred)
 		})
 	}
 }
--- a/internal/balancer/transfer.go
+++ b/internal/balancer/transfer.go
@@ -57,7 +57,7 @@
 func (fleet *Fleet) findSources(request Request, estimates []estimate, now timekeeper.Instant) sources {
 	engine := fleet.engines[request.Service]
 	found := sources{
-		engine: engine, rate: fleet.settings.PrefillRate, price: fleet.movePrice(engine), weight: fleet.timeWeight(request, estimates, now),
+		engine: engine, rate: fleet.settings.PrefillRate, price: fleet.transferPrice(engine), weight: fleet.timeWeight(request, estimates, now),
 	}
 	if !engine.canTransfer() {
 		return found
@@ -77,13 +77,13 @@
 
 // canBeSource reports whether a replica may be named as a source.
 func (member *replica) canBeSource(request Request, now timekeeper.Instant) bool {
-	return member.health.available(now) && member.health.penalty(now) < float64(failurePenalty) &&
+	return member.health.admits(now) && member.health.penalty(now) < float64(failurePenalty) &&
 		member.fetchExcess.excess.now(excessHalfLife, now) < maxSourceExcess && !slices.Contains(request.Excluded, member.ID)
 }
 
-// movePrice returns what operators pay for the transfer of a token, as the time in which an
+// transferPrice returns what operators pay for the transfer of a token, as the time in which an
 // engine prefills tokens of the same price.
-func (fleet *Fleet) movePrice(engine Engine) float64 {
+func (fleet *Fleet) transferPrice(engine Engine) float64 {
 	const gigabyte = 1e9
 	return priceWeight * fleet.settings.TransferPrice * engine.TokenBytes / gigabyte / fleet.settings.PrefillRate
 }
@@ -99,7 +99,7 @@
 
 // fetchFor returns the fastest way for an engine that has some tokens of a prompt to fetch the
 // rest; from is nil if prefill is cheaper or as fast.
-func (sources sources) fetchFor(member *replica, has int, held int, now timekeeper.Instant) fetch {
+func (sources sources) fetchFor(member *replica, has int, load int, now timekeeper.Instant) fetch {
 	var chosen fetch
 	for _, candidate := range sources.best {
 		tokens := candidate.tokens - has
@@ -118,7 +118,7 @@
 	chosen.price = sources.price * float64(chosen.tokens)
 	prefill := float64(chosen.tokens) / sources.rate
 	weight := sources.weight.at(prefill)
-	if chosen.time >= prefill || chosen.price+weight*chosen.time >= prefillCost(prefill, held, weight) {
+	if chosen.time >= prefill || chosen.price+weight*chosen.time >= prefillCost(prefill, load, weight) {
 		return fetch{}
 	}
 	return chosen
@@ -157,7 +157,7 @@
 	}
 	missing := chosen.uncached - request.Parts[len(request.Parts)-1].Tokens
 	if missing <= chosen.fetch.tokens || engine.transferTime(missing) >= float64(missing)/fleet.settings.PrefillRate ||
-		float64(missing)*fleet.movePrice(engine) >= prefillCost(float64(missing)/fleet.settings.PrefillRate, 0, 1) {
+		float64(missing)*fleet.transferPrice(engine) >= prefillCost(float64(missing)/fleet.settings.PrefillRate, 0, 1) {
 		return nil
 	}
 	part := shared[len(shared)-1].ID
--- a/internal/balancer/transfer_test.go
+++ b/internal/balancer/transfer_test.go
@@ -25,7 +25,7 @@
 
 // overload makes a replica hold more than its share, according to a peer.
 func overload(fleet *Fleet, id string, now timekeeper.Instant) {
-	fleet.SetPeerInFlight("crowd", map[Key]InFlight{KeyOf(id): {Running: 40}}, timekeeper.Minute, now)
+	fleet.SetPeerInFlight("peer", map[Key]InFlight{KeyOf(id): {Running: 40}}, timekeeper.Minute, now)
 }
 
 func TestPromptIsFetchedFromItsFullEngine(t *testing.T) {
--- a/internal/relayer/statement_test.go
+++ b/internal/relayer/statement_test.go
@@ -52,7 +52,7 @@
 			task.hear(replica, 503, test.head)
 			task.hear(replica, 503, test.head)
 			So(announced, ShouldResemble, test.announced)
-			So(fleet.Stats(clock.Now())[0].MaxHeld, ShouldEqual, test.held)
+			So(fleet.Stats(clock.Now())[0].MaxLoad, ShouldEqual, test.held)
 			_, reason := fleet.Choose(balancer.Request{Service: "orders"}, clock.Now())
 			So(reason, ShouldEqual, test.reason)
 		})
