--- a/internal/assembler/direct_stats.go
+++ b/internal/assembler/direct_stats.go
@@ -89,8 +89,8 @@
 		{"replicas-unreachable", float64(service.Unreachable)},
 		{"requests-running", float64(service.Running)},
 		{"requests-waiting", float64(service.Waiting)},
-		{"held-mean", service.Held},
-		{"held-most", float64(service.MaxHeld)},
+		{"held-mean", service.MeanLoad},
+		{"held-most", float64(service.MaxLoad)},
 		{"later-than-expected-ms", service.ExcessLatency},
 	}
 	for _, gauge := range gauges {
