--- a/internal/assembler/cost_bench_test.go
+++ b/internal/assembler/cost_bench_test.go
@@ -120,10 +120,10 @@
 	return goroutines - started, descriptors - open
 }
 
-// BenchmarkHeldByACall measures the goroutines and descriptors that a call in flight
+// BenchmarkResourcesPerCall measures the goroutines and descriptors that a call in flight
 // takes in entry and agent together, in addition to those of a direct call to the
 // upstream. It fails if they exceed what the capacity page assumes.
-func BenchmarkHeldByACall(b *testing.B) {
+func BenchmarkResourcesPerCall(b *testing.B) {
 	const maxGoroutines, maxDescriptors = 14, 3
 	for _, calls := range []int{32, 128, 384} {
 		b.Run(fmt.Sprintf("calls-%d", calls), func(b *testing.B) {
