--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -144,13 +144,13 @@
 }
 
 func (agent *Agent) drain() error {
-	agent.readiness.leaving.Store(true)
+	agent.readiness.stopping.Store(true)
 	service, _ := agent.watcher.Current().Service(agent.settings.Service)
 	ctx, cancel := context.WithTimeout(context.Background(), service.LongestDrain.Duration())
 	defer cancel()
 	started := agent.env.Clock.Now()
-	// Refuse before announcing: a peer must not receive the announcement while the
-	// replica still accepts work.
+	// Refuse before announcing, so that the replica takes no more work from a peer that
+	// the announcement reaches late.
 	agent.callRunner.Refuse()
 	agent.control.exchanger.Announce(ctx)
 	err := agent.callRunner.Drain(ctx)
--- a/internal/assembler/announce.go
+++ b/internal/assembler/announce.go
@@ -24,7 +24,7 @@
 type announcer struct {
 	name        string
 	pool        *dialer.Pool
-	peers       func() []string
+	agents      func() []string
 	revision    func() uint64
 	announced   uint64
 	announcedAt timekeeper.Instant
@@ -40,12 +40,12 @@
 // announceIfDue sends a new revision, or one whose announcement is due again, to the
 // next agent in turn.
 func (announcer *announcer) announceIfDue(ctx context.Context, now timekeeper.Instant) {
-	revision, peers := announcer.revision(), announcer.peers()
-	if len(peers) == 0 || revision == announcer.announced && now.Since(announcer.announcedAt) < reannounceInterval {
+	revision, agents := announcer.revision(), announcer.agents()
+	if len(agents) == 0 || revision == announcer.announced && now.Since(announcer.announcedAt) < reannounceInterval {
 		return
 	}
 	announcer.next++
-	address := peers[announcer.next%len(peers)]
+	address := agents[announcer.next%len(agents)]
 	ask := &encoder.DigestAsk{Asker: announcer.name, Revision: revision}
 	if _, err := publisher.Exchange(ctx, announcer.pool, address, ask); err == nil {
 		announcer.announced, announcer.announcedAt = revision, now
--- a/internal/assembler/base.go
+++ b/internal/assembler/base.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// start waits for the first configuration, reads the instance list and listens. If the
-// list can't be read, it calls withoutList.
-func (base *base) start(ctx context.Context, withoutList func(ctx context.Context)) error {
+// start waits for the first configuration, reads the instance list and listens. If reading
+// the list fails, it calls onListError and goes on.
+func (base *base) start(ctx context.Context, onListError func(ctx context.Context)) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := base.watcher.Await(ctx); err != nil {
@@ -103,7 +103,7 @@
 	}
 	if err := base.view.Look(ctx); err != nil {
 		base.env.Log.WithError(err).Warn("instance list not read")
-		withoutList(ctx)
+		onListError(ctx)
 	}
 	return base.bind()
 }
--- a/internal/assembler/budget_test.go
+++ b/internal/assembler/budget_test.go
@@ -90,11 +90,11 @@
 		clients[i] = newStoreClient(fmt.Sprint("process-", i), store, clock.Clock())
 	}
 	operations := []struct {
-		name      string
-		cause     storekeeper.Cause
-		operation func(storeClient storeClient, name string)
-		reads     int
-		writes    int
+		name   string
+		cause  storekeeper.Cause
+		call   func(client storeClient, name string)
+		reads  int
+		writes int
 	}{
 		{"a new revision: head and body", storekeeper.ForConfig, func(client storeClient, _ string) { _ = client.watcher.Look(t.Context()) }, 2, 0},
 		{"a poll", storekeeper.ForConfig, func(client storeClient, _ string) { _ = client.watcher.Look(t.Context()) }, 1, 0},
@@ -115,13 +115,13 @@
 				_, _ = client.book.Lift(t.Context(), strike.Fingerprint)
 			}
 		}, 3 * struck, 2 * struck},
-		{"a stop: the open segment of the record and the last one", storekeeper.ForRecord, func(client storeClient, _ string) { client.record() }, 0, 2},
+		{"a stop: the open segment, and the segment that ends the record", storekeeper.ForRecord, func(client storeClient, _ string) { client.record() }, 0, 2},
 	}
 	Convey("each operation makes as many calls as the budget assumes", t, func() {
 		for _, operation := range operations {
 			for i, client := range clients {
 				was := client.meter.Tallies()[operation.cause]
-				operation.operation(client, fmt.Sprint("process-", i))
+				operation.call(client, fmt.Sprint("process-", i))
 				now := client.meter.Tallies()[operation.cause]
 				So([]int{now.Reads - was.Reads, now.Writes - was.Writes}, ShouldResemble, []int{operation.reads, operation.writes})
 			}
--- a/internal/assembler/caller_conn.go
+++ b/internal/assembler/caller_conn.go
@@ -27,9 +27,9 @@
 	stopping *atomic.Bool
 
 	mu sync.Mutex
-	// arriving is set from the first byte of a request until the request is served.
-	// lastAnswer is set once a request is served whose answer, since the entry is
-	// stopping, announces the end of the connection.
+	// arriving is set from the first byte of a request until its handler begins.
+	// lastAnswer is set if the latest request began while the entry was stopping: its
+	// answer announces the end of the connection.
 	arriving, serving, closed, lastAnswer bool
 }
 
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// callerListener accepts callers' connections as callerConns.
+// callerListener wraps each accepted connection in a callerConn.
 type callerListener struct {
 	net.Listener
 	stopping *atomic.Bool
--- a/internal/assembler/control.go
+++ b/internal/assembler/control.go
@@ -63,7 +63,8 @@
 }
 
 // rulesOf returns the rules of a process's view. Their spans are multiples of the
-// membership round, so that a false alarm is as unlikely at any length of the round.
+// membership round, so that a live replica is as unlikely to be taken for dead by chance
+// at any length of the round.
 func rulesOf(settings controlSettings) reporter.Rules {
 	const silenceRounds, coolRounds = 8, 10
 	round := settings.process.MembershipRound
@@ -77,7 +78,8 @@
 	}
 }
 
-// addTo adds the loops that keep the view up to date and count session probes.
+// addTo adds the loops that keep the view up to date, count session probes and close
+// unused sessions.
 func (ctrl *control) addTo(group *run.Group) {
 	addLoop(group, func(ctx context.Context) { ctrl.view.Run(ctx, ctrl.env.Clock) })
 	addLoop(group, func(ctx context.Context) { ctrl.exchanger.Run(ctx) })
@@ -99,8 +101,8 @@
 	return ctrl.budget.Status(ctrl.env.Clock.Now())
 }
 
-// admitDigest reports whether the budget has room to send a digest along with an
-// answer, and counts the digest if so.
+// admitDigest reports whether a digest may be sent along with an answer, and counts it if
+// so. These digests are the first to go when the budget is tight: they only report loads.
 func (ctrl *control) admitDigest(digest *encoder.Digest) bool {
 	if ctrl.budget.Level(ctrl.env.Clock.Now()) >= budgeter.Tight {
 		return false
--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -31,9 +31,9 @@
 	replicaLapse = 2200 * timekeeper.Millisecond
 	// sweepInterval is the time between two checks for idle connections.
 	sweepInterval = timekeeper.Second
-	// callerAckTimeout is the TCP user timeout of callers' connections: how long sent
-	// bytes may stay unacknowledged.
-	callerAckTimeout = 10 * timekeeper.Second
+	// ackTimeout is the TCP user timeout of accepted connections: how long sent bytes may
+	// stay unacknowledged.
+	ackTimeout = 10 * timekeeper.Second
 	// callerHeaderTimeout bounds the time to read a request's headers, callerIdleTimeout
 	// the time between two requests on a connection. The configuration may set a
 	// shorter idle time, not a longer one.
@@ -44,7 +44,8 @@
 	// bodyMemoryShare is the share of the process's memory that request bodies may take.
 	bodyMemoryShare = 0.25
 	// heapLimitShare is the share of the process's memory that is set as the runtime's
-	// soft limit: beyond it the collector works harder, before the process is killed.
+	// soft limit: beyond it the collector works harder, so that the process is not killed
+	// for its memory.
 	heapLimitShare = 0.7
 	// gcPercent is GOGC, garbage in percent of the live heap. It is low since memory is
 	// scarce on the machines that run entries, and processor time is not.
@@ -53,12 +54,13 @@
 	defaultMegabytes = 256
 	// stopPollInterval is how often a stopping entry checks whether its last call ended.
 	stopPollInterval = 30 * timekeeper.Millisecond
-	// exitMargin is how long before the end of the stop grace period, when it would be
-	// killed, a stopping entry exits.
+	// exitMargin is how long before the end of the stop grace period, at which the platform
+	// kills the process, a stopping entry exits.
 	exitMargin = 300 * timekeeper.Millisecond
-	// acceptMargin is how long before its exit a stopping entry closes its listener: on
-	// a machine with an eighth of a core, requests stay unread for half a second.
-	acceptMargin = timekeeper.Second
+	// closeMargin is how long before its exit a stopping entry closes its listener, to
+	// answer what has arrived: on a machine with an eighth of a core, requests stay unread
+	// for half a second.
+	closeMargin = timekeeper.Second
 )
 
 // DirectEnvironment holds the external dependencies of a Direct.
@@ -66,8 +68,8 @@
 	Log *logrus.Logger
 	// DroppedLines returns how many log lines were dropped.
 	DroppedLines func() int64
-	// ReloadSignals delivers the signals (SIGHUP) to read the settings again. A process
-	// must subscribe to them before anything else: an earlier one would end it.
+	// ReloadSignals delivers SIGHUP, on which the settings are read again. The process must
+	// subscribe to SIGHUP before anything else: without a subscription the signal ends it.
 	ReloadSignals <-chan os.Signal
 }
 
@@ -90,15 +92,16 @@
 	document atomic.Pointer[platform.Document]
 	// inForceSince is when the document came into force, for metrics.
 	inForceSince atomic.Int64
-	// wasReader is whether the entry was an active reader at the last report.
+	// wasReader is whether the entry was a reader at the last report.
 	wasReader   atomic.Bool
 	readiness   readiness
 	peers       *peers
-	callerConns *callerConns
+	connTracker *connTracker
 
 	operatorTable *follower.Follower[platform.Order]
 	// evacuatedCentres are the evacuated data centres in the last copy of the operator's
-	// table. Its follower calls the methods that use the field under its own lock.
+	// table. The lock of operatorTable guards it: the follower holds it when it calls Apply
+	// and Confirm.
 	evacuatedCentres []string
 	replicas         *follower.Follower[balancer.Replica]
 
@@ -111,7 +114,7 @@
 func NewDirect(ctx context.Context, settings loader.Direct, file string, env DirectEnvironment) (*Direct, func(), error) {
 	direct := &Direct{settings: settings, file: file, clock: timekeeper.Steady(), logger: env.Log, droppedLines: env.DroppedLines, reloadSignals: env.ReloadSignals}
 	direct.log = env.Log.WithField("process", settings.Name)
-	direct.callerConns = newCallerConns(direct.clock, settings.Descriptors)
+	direct.connTracker = newConnTracker(direct.clock, settings.Descriptors)
 	limitMemory(settings)
 	var release func()
 	direct.scope, direct.metrics, release = measurer.New(settings.Name, direct.log)
@@ -182,7 +185,7 @@
 		Struck: func(request uint64, replica string) {
 			direct.peers.gossiper.SendStrike(gossiper.Strike{Request: request, Replica: replica})
 		},
-		Crowded:    direct.callerConns.nearLimit,
+		Crowded:    direct.connTracker.nearLimit,
 		BodyMemory: int64(bodyMemoryShare * float64(megabytes<<20)),
 		Seed:       newIncarnation(),
 	}
@@ -246,7 +249,7 @@
 	span := func() timekeeper.Span { return sweepInterval }
 	direct.clock.Every(ctx, span, func(context.Context) {
 		direct.pool.Sweep()
-		direct.callerConns.sweep(direct.maxCallerIdle())
+		direct.connTracker.sweep(direct.maxCallerIdle())
 		direct.peers.updateColdSharing()
 		direct.reportStats()
 	})
@@ -275,7 +278,7 @@
 		// Answers must close their connections before the entry reports not ready, so
 		// this comes first.
 		direct.frontend.CloseConnections()
-		direct.readiness.leaving.Store(true)
+		direct.readiness.stopping.Store(true)
 		direct.peers.gossiper.AnnounceStop()
 		direct.log.WithField("active", direct.frontend.Active()).Info("entry stops: not ready, callers are asked to leave")
 		go func() { stopped <- direct.shutDown(server) }()
@@ -287,15 +290,15 @@
 	return &http.Server{
 		Handler:           serveUnlessClosed(handler, func() { direct.scope.Counter("requests-on-closed-connections").Inc(1) }),
 		ReadHeaderTimeout: callerHeaderTimeout.Duration(), IdleTimeout: callerIdleTimeout.Duration(),
-		MaxHeaderBytes: callerMaxHeaderBytes, ConnState: direct.callerConns.trackState, ConnContext: withConn,
+		MaxHeaderBytes: callerMaxHeaderBytes, ConnState: direct.connTracker.trackState, ConnContext: withConn,
 	}
 }
 
 // callerListener wraps a listener for the server for callers: it limits the number of
-// connections and returns them as callerConns.
+// connections and returns each as a callerConn.
 func (direct *Direct) callerListener(listener net.Listener) net.Listener {
 	return callerListener{
-		Listener: limitListener{Listener: listener, callerConns: direct.callerConns}, stopping: &direct.readiness.leaving,
+		Listener: limitListener{Listener: listener, tracker: direct.connTracker}, stopping: &direct.readiness.stopping,
 	}
 }
 
@@ -313,7 +316,7 @@
 // answer nor a refusal.
 func (direct *Direct) shutDown(server *http.Server) error {
 	exitAt := direct.clock.Now().Add(direct.settings.StopGrace - exitMargin)
-	closeAt := exitAt.Add(-acceptMargin)
+	closeAt := exitAt.Add(-closeMargin)
 	ctx, cancel := context.WithTimeout(context.Background(), (direct.settings.StopGrace - exitMargin).Duration())
 	defer cancel()
 	unregistered := make(chan struct{})
@@ -329,8 +332,9 @@
 		}
 	}
 	err := server.Shutdown(ctx)
-	// Close left connections open on which a request had just arrived; it is answered.
-	for direct.callerConns.count() > 0 && direct.clock.Sleep(ctx, stopPollInterval) == nil {
+	// callerConn.Close keeps connections on which a request has just arrived: wait until
+	// these requests are answered.
+	for direct.connTracker.count() > 0 && direct.clock.Sleep(ctx, stopPollInterval) == nil {
 		continue
 	}
 	select {
--- a/internal/assembler/direct_callers_test.go
+++ b/internal/assembler/direct_callers_test.go
@@ -28,10 +28,10 @@
 	// request in flight.
 	const descriptors = reservedDescriptors + 100 // 70 for callers, soft limit 42
 	tests := []struct {
-		name                      string
-		idle, active              int
-		nearLimit, full           bool
-		closedBefore, closedAfter int
+		name                          string
+		idle, active                  int
+		nearLimit, full               bool
+		closedAtOnce, closedAfterIdle int
 	}{
 		{"few", 20, 10, false, false, 0, 20},
 		{"many", 40, 10, true, false, 8, 40},
@@ -41,20 +41,20 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
-			callerConns := newCallerConns(clock.Clock(), descriptors)
+			tracker := newConnTracker(clock.Clock(), descriptors)
 			var conns []*closingConn
 			for number := range test.idle + test.active {
 				conn := &closingConn{}
 				conns = append(conns, conn)
-				callerConns.trackState(conn, http.StateNew)
-				callerConns.trackState(conn, http.StateActive)
+				tracker.trackState(conn, http.StateNew)
+				tracker.trackState(conn, http.StateActive)
 				if number < test.idle {
-					callerConns.trackState(conn, http.StateIdle)
+					tracker.trackState(conn, http.StateIdle)
 					clock.Advance(10)
 				}
 			}
-			So(callerConns.nearLimit(), ShouldEqual, test.nearLimit)
-			So(callerConns.full(), ShouldEqual, test.full)
+			So(tracker.nearLimit(), ShouldEqual, test.nearLimit)
+			So(tracker.full(), ShouldEqual, test.full)
 			closed := func() int {
 				count := 0
 				for number, conn := range conns {
@@ -65,16 +65,16 @@
 				}
 				return count
 			}
-			callerConns.sweep(timekeeper.Minute)
-			So(closed(), ShouldAlmostEqual, test.closedBefore, 2)
+			tracker.sweep(timekeeper.Minute)
+			So(closed(), ShouldAlmostEqual, test.closedAtOnce, 2)
 			clock.Advance(2 * timekeeper.Minute)
-			callerConns.sweep(timekeeper.Minute)
-			So(closed(), ShouldEqual, test.closedAfter)
+			tracker.sweep(timekeeper.Minute)
+			So(closed(), ShouldEqual, test.closedAfterIdle)
 			for _, conn := range conns {
-				callerConns.trackState(conn, http.StateClosed)
+				tracker.trackState(conn, http.StateClosed)
 			}
-			So(callerConns.open, ShouldBeEmpty)
-			So(callerConns.idle, ShouldEqual, 0)
+			So(tracker.open, ShouldBeEmpty)
+			So(tracker.idleCount, ShouldEqual, 0)
 		})
 	}
 }
@@ -98,19 +98,19 @@
 	// Guards against callers who wait on a connection that the entry can't serve. At the
 	// limit the next connection is closed at once, which shows its caller that nothing
 	// ran; after one has ended, the next is accepted.
-	callerConns := newCallerConns(timekeeper.NewManual(1).Clock(), reservedDescriptors+3) // 2 for callers
+	tracker := newConnTracker(timekeeper.NewManual(1).Clock(), reservedDescriptors+3) // 2 for callers
 	first, second := &closingConn{}, &closingConn{}
 	for _, conn := range []net.Conn{first, second} {
-		callerConns.trackState(conn, http.StateNew)
-		callerConns.trackState(conn, http.StateActive)
+		tracker.trackState(conn, http.StateNew)
+		tracker.trackState(conn, http.StateActive)
 	}
 	Convey("a connection is accepted again once another has ended", t, func() {
 		rejected, accepted := &closingConn{}, &closingConn{}
-		listener := limitListener{Listener: &fakeListener{conns: []net.Conn{rejected}}, callerConns: callerConns}
+		listener := limitListener{Listener: &fakeListener{conns: []net.Conn{rejected}}, tracker: tracker}
 		_, err := listener.Accept()
 		So(err, ShouldEqual, net.ErrClosed)
 		So(rejected.closed, ShouldBeTrue)
-		callerConns.trackState(first, http.StateClosed)
+		tracker.trackState(first, http.StateClosed)
 		listener.Listener = &fakeListener{conns: []net.Conn{accepted}}
 		conn, err := listener.Accept()
 		So(err, ShouldBeNil)
--- a/internal/assembler/direct_cold.go
+++ b/internal/assembler/direct_cold.go
@@ -17,8 +17,8 @@
 	coldSendDelay = 2 * timekeeper.Second
 )
 
-// coldSharing holds since when this entry knows the entries with which it shares the
-// cold-start rate. The zero value knows none.
+// coldSharing holds when this entry read the addresses of the other entries, with which it
+// shares the cold-start rate. The zero value means that it has not read them yet.
 type coldSharing struct{ since atomic.Int64 }
 
 func (coldSharing *coldSharing) recordRegistered(now timekeeper.Instant) {
--- a/internal/assembler/direct_cold_test.go
+++ b/internal/assembler/direct_cold_test.go
@@ -26,7 +26,7 @@
 		id := fmt.Sprintf("i-%d", number)
 		rows[id] = balancer.Replica{ID: id, Service: "planner", Slots: 6, WarmAt: direct.clock.Now().Add(span)}
 	}
-	direct.list(rows, 1)
+	direct.applyReplicaList(rows, 1)
 }
 
 // limitColdRate puts a configuration in force with a low request rate for cold engines.
@@ -97,7 +97,7 @@
 		direct.peers.applyDigest(gossiper.Digest{Address: "127.0.0.1:7300", Cold: []gossiper.ColdNotice{notice}})
 		So(cold(), ShouldEqual, 1)
 	})
-	Convey("an entry that reads the rows publishes them", t, func() {
+	Convey("an entry that reads the rows publishes the replicas that turned cold", t, func() {
 		peer, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer func() { _ = peer.Close() }()
--- a/internal/assembler/direct_evacuations.go
+++ b/internal/assembler/direct_evacuations.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// endPublishTime is how long after the last evacuation has ended digests carry the
-	// empty set. A peer that was cut off for longer still publishes the old set, which
-	// makes this entry publish again.
+	// endPublishTime is how long digests still carry the empty set after the last
+	// evacuation has ended. A peer that was cut off for longer publishes the old set, and
+	// this entry then publishes the empty one again.
 	endPublishTime = 10 * timekeeper.Second
-	// correctionPublishTime is the same after a peer published an older set.
+	// correctionPublishTime is how long digests carry the set of this entry after a peer
+	// has published an older one.
 	correctionPublishTime = 3 * timekeeper.Second
 )
 
-// publishWindow holds the time until which digests carry some state. The zero value is
-// already over.
+// publishWindow holds the instant until which digests carry the evacuations although none
+// is in force. The zero value is over.
 type publishWindow struct{ until atomic.Int64 }
 
 func (publishWindow *publishWindow) extend(until timekeeper.Instant) {
--- a/internal/assembler/direct_listeners.go
+++ b/internal/assembler/direct_listeners.go
@@ -26,7 +26,7 @@
 		{direct.settings.MetricsListen, &direct.listeners.metrics},
 		{direct.settings.PeerListen, &direct.listeners.peer},
 	}
-	config := net.ListenConfig{Control: connector.Guard(callerAckTimeout)}
+	config := net.ListenConfig{Control: connector.Guard(ackTimeout)}
 	for _, socket := range sockets {
 		if socket.address == "" {
 			continue
--- a/internal/assembler/direct_offers.go
+++ b/internal/assembler/direct_offers.go
@@ -18,7 +18,8 @@
 	// fetchJitter bounds the random delay after which entries that don't read the store
 	// fetch from a peer in their data centre.
 	fetchJitter = 80 * timekeeper.Millisecond
-	// fetchTimeout bounds the fetch of a configuration from a peer.
+	// fetchTimeout bounds a fetch from a peer, of a configuration or of the list of
+	// replicas.
 	fetchTimeout = 800 * timekeeper.Millisecond
 	// offerTimeout is how long after a newer version was first offered an entry that
 	// still lacks it reads the store. A change must be in force within two seconds on
@@ -52,10 +53,10 @@
 
 func (transfers *transfers) end() { transfers.active.Add(-1) }
 
-// offer records a newer configuration that a peer has, and starts to fetch it. In
-// a large fleet most entries get each version this way, if possible from a peer in their
-// data centre; it also works if the store rejects this entry.
-func (peers *peers) offer(received offer) {
+// handleOffer records a newer configuration that a peer has, and starts to fetch it unless
+// a fetch is running. In a large fleet most entries get each version this way, if possible
+// from a peer in their data centre; it also works if the store rejects this entry.
+func (peers *peers) handleOffer(received offer) {
 	delay := fetchDelay
 	if received.sameDataCentre && !peers.isReader() {
 		delay = timekeeper.Span(rand.Int64N(int64(fetchJitter)))
--- a/internal/assembler/direct_offers_test.go
+++ b/internal/assembler/direct_offers_test.go
@@ -34,10 +34,10 @@
 	tests := []struct {
 		name string
 		// after is the time since the previous step, offered a version that a peer has, and
-		// accepted one that comes into force; zero means none.
-		after             timekeeper.Span
-		offered, accepted int
-		reads             bool
+		// applied a version that comes into force; zero means none.
+		after            timekeeper.Span
+		offered, applied int
+		readsStore       bool
 	}{
 		{"nothing is offered", 0, 0, 1, false},
 		{"a version is offered", 10, 2, 0, false},
@@ -51,12 +51,12 @@
 		Convey(test.name, t, func() {
 			clock.Advance(test.after)
 			if test.offered > 0 {
-				direct.peers.offer(offer{address: unreachable, version: uint64(test.offered)})
+				direct.peers.handleOffer(offer{address: unreachable, version: uint64(test.offered)})
 			}
-			if test.accepted > 0 {
-				inForce(test.accepted)
+			if test.applied > 0 {
+				inForce(test.applied)
 			}
-			So(direct.peers.readsConfiguration(), ShouldEqual, test.reads)
+			So(direct.peers.readsConfiguration(), ShouldEqual, test.readsStore)
 		})
 	}
 }
@@ -78,10 +78,10 @@
 		direct.applyConfiguration(document, "test")
 		So(get(), ShouldEqual, http.StatusOK)
 		for range maxTransfers {
-			So(direct.peers.transfer.begin(), ShouldBeTrue)
+			So(direct.peers.transfers.begin(), ShouldBeTrue)
 		}
 		So(get(), ShouldEqual, http.StatusServiceUnavailable)
-		direct.peers.transfer.end()
+		direct.peers.transfers.end()
 		So(get(), ShouldEqual, http.StatusOK)
 	})
 }
--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -41,10 +41,9 @@
 	gossiper *gossiper.Gossiper
 	client   *http.Client
 
-	election    election
-	coldSharing coldSharing
-	transfer    transfers
-	// publishWindow is until when digests carry evacuations although none is in force.
+	election      election
+	coldSharing   coldSharing
+	transfers     transfers
 	publishWindow publishWindow
 
 	mu       sync.Mutex
@@ -59,8 +58,7 @@
 	answerTimes []timekeeper.Instant
 }
 
-// newPeers returns the part of the process that talks to the other entries, and a
-// function that releases it.
+// newPeers returns peers, and a function that closes its idle connections.
 func newPeers(direct *Direct, store *platform.Store, conn net.PacketConn) (*peers, func()) {
 	dialer := &net.Dialer{Timeout: fetchTimeout.Duration(), Control: connector.Guard(fetchTimeout)}
 	transport := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
@@ -151,7 +149,7 @@
 // applyDigest applies a digest received from a peer.
 func (peers *peers) applyDigest(digest gossiper.Digest) {
 	now := peers.direct.clock.Now()
-	// Evacuations come before the configuration in the same digest: an entry serves
+	// Apply evacuations before the configuration of the same digest: an entry serves
 	// callers as soon as it has a configuration.
 	if digest.Evacuations != nil {
 		peers.direct.applyPeerEvacuations(*digest.Evacuations, digest.Address)
@@ -181,12 +179,12 @@
 		peers.direct.replicas.Compare(*digest.ListSummary)
 	}
 	if digest.Configuration > peers.direct.version() {
-		peers.offer(offer{address: digest.Address, version: digest.Configuration, sameDataCentre: digest.SameDataCentre})
+		peers.handleOffer(offer{address: digest.Address, version: digest.Configuration, sameDataCentre: digest.SameDataCentre})
 	}
 }
 
-// applyLeaves marks the replicas that leave, as a peer read in the list of replicas or as
-// the replicas announced to the peer.
+// applyLeaves marks replicas as leaving: those that a peer read as leaving in the list of
+// replicas, and those that announced it to the peer.
 func (peers *peers) applyLeaves(digest gossiper.Digest, now timekeeper.Instant) {
 	var leaves []gossiper.Leave
 	var announced []string
@@ -215,8 +213,9 @@
 }
 
 const (
-	// answerSpacing is the least time between two remembered answers of the store to
-	// peers, maxAnswerTimes their number: together at least a minute.
+	// answerSpacing is the minimum time between two recorded answers of the store to
+	// peers, maxAnswerTimes the maximum number recorded: together they span at least a
+	// minute.
 	answerSpacing  = 250 * timekeeper.Millisecond
 	maxAnswerTimes = 240
 )
@@ -234,9 +233,9 @@
 	}
 }
 
-// servedSince returns since when the store has answered peers without a gap, after
-// an instant at which it stopped answering this entry; zero means that it does not answer
-// them. See follower.ServedSince.
+// servedSince returns since when the store has answered peers without a gap up to now,
+// counting only answers after from, when it stopped answering this entry. Zero means that
+// it does not answer them now. See follower.ServedSince.
 func (peers *peers) servedSince(from timekeeper.Instant) timekeeper.Instant {
 	now := peers.direct.clock.Now()
 	peers.mu.Lock()
@@ -269,7 +268,7 @@
 	return io.ReadAll(io.LimitReader(response.Body, maxFetchBytes))
 }
 
-// errNoReplicaList is returned if no peer has a list of replicas.
+// errNoReplicaList is returned if no peer could be asked or none has a list of replicas.
 var errNoReplicaList = eris.New("no peer has a list of replicas")
 
 // fetchReplicaList asks one peer after the other for its list of replicas, first the
@@ -323,11 +322,11 @@
 // ServeHTTP sends a peer the configuration in force or the list of replicas. It answers
 // 503 while maxTransfers other copies are being sent.
 func (peers *peers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !peers.transfer.begin() {
+	if !peers.transfers.begin() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer peers.transfer.end()
+	defer peers.transfers.end()
 	var text []byte
 	switch r.URL.Path {
 	case pathConfiguration:
--- a/internal/assembler/direct_readers.go
+++ b/internal/assembler/direct_readers.go
@@ -25,26 +25,27 @@
 	discoveryTime = timekeeper.Second
 )
 
-// election holds which entries read the store for all, as this entry sees it. The zero
-// value is ready to use.
+// election holds the readers, the entries that read the store for all others, as this entry
+// last computed them. The zero value is ready to use.
 type election struct {
 	mu        sync.Mutex
 	electedAt timekeeper.Instant
 	// members is the number of entries in the election.
-	members     int
-	readers     []elector.Member
+	members int
+	readers []elector.Member
+	// peerFailing is whether the store fails for a peer.
 	peerFailing bool
 	// discoveryEnds is until when the entry waits for digests of others.
 	discoveryEnds timekeeper.Instant
-	// latest is the address of the reader that sent a list summary last.
-	latest string
+	// lastReaderAddress is the address of the reader that sent a list summary last.
+	lastReaderAddress string
 }
 
 // recordReader records a peer that has sent a list summary.
 func (election *election) recordReader(address string) {
 	election.mu.Lock()
 	defer election.mu.Unlock()
-	election.latest = address
+	election.lastReaderAddress = address
 }
 
 // startDiscovery makes the entry wait for digests of others, if more entries than
@@ -61,12 +62,12 @@
 func (election *election) lastReader() string {
 	election.mu.Lock()
 	defer election.mu.Unlock()
-	return election.latest
+	return election.lastReaderAddress
 }
 
-// elect repeats the election if its result is too old, and calls use with it. Lock
-// order: the election's lock is taken before the gossiper's and the followers'; they call
-// this code without holding theirs.
+// elect repeats the election if its result is older than electInterval, then calls use with
+// it. Lock order: the election's lock comes before those of the gossiper and the followers,
+// which must not hold theirs when they call elect.
 func (peers *peers) elect(use func(election *election)) {
 	now := peers.direct.clock.Now()
 	peers.election.mu.Lock()
@@ -86,7 +87,7 @@
 	direct := peers.direct
 	return elector.Member{
 		Address: addressOf(direct.listeners.peer), DataCentre: gossiper.DataCentreKey(direct.settings.DataCentre),
-		Failing: direct.storeFailing(), Stopping: direct.readiness.leaving.Load(),
+		Failing: direct.storeFailing(), Stopping: direct.readiness.stopping.Load(),
 	}
 }
 
@@ -96,9 +97,10 @@
 	return count
 }
 
-// activeReaders returns how many readers share the reads of the store. It is 1 if there
-// are no more than storeReaders entries: each then reads as often as a single one would.
-func (peers *peers) activeReaders() (count int) {
+// readersSharing returns among how many readers the reads of the store are shared. It is 1
+// if there are no more than storeReaders entries: each then reads as often as a single one
+// would.
+func (peers *peers) readersSharing() (count int) {
 	peers.elect(func(election *election) {
 		count = 1
 		if election.members > storeReaders {
--- a/internal/assembler/direct_served_test.go
+++ b/internal/assembler/direct_served_test.go
@@ -21,8 +21,8 @@
 		served    []timekeeper.Span
 		now, want timekeeper.Span
 	}{
-		{"no peer answered", nil, 5 * second, 0},
-		{"until the peers lost it too", []timekeeper.Span{-900, 400}, 5 * second, 0},
+		{"the store answered no peer", nil, 5 * second, 0},
+		{"it stopped answering peers too", []timekeeper.Span{-900, 400}, 5 * second, 0},
 		{"without a gap", []timekeeper.Span{600, 1400, 2300, 3900}, 4 * second, 600},
 		{"since its return", []timekeeper.Span{300, 3000, 3600}, 4 * second, 3000},
 		{"for a moment, and now again", []timekeeper.Span{3000, 3300, 5500, 6400}, 7 * second, 5500},
--- a/internal/assembler/direct_stats.go
+++ b/internal/assembler/direct_stats.go
@@ -18,11 +18,11 @@
 		services, transitions = fleet.Stats(now), fleet.Transitions(now)
 	})
 	direct.logTransitions(transitions, now)
-	left := direct.frontend.RetriesRemaining()
+	remaining := direct.frontend.RetriesRemaining()
 	for _, service := range services {
 		scope := direct.scope.Tagged(map[string]string{"service": service.Service})
 		reportService(scope.SubScope("service"), service)
-		if retries, known := left[service.Service]; known {
+		if retries, known := remaining[service.Service]; known {
 			scope.Gauge("retries-left").Update(retries)
 		}
 	}
@@ -61,10 +61,10 @@
 	}
 }
 
-// reportReaders writes gauges of the reader election, and logs when this entry becomes
-// an active reader or stops being one.
+// reportReaders writes gauges of the reader election, and logs when this entry starts
+// or stops reading the store.
 func (direct *Direct) reportReaders() {
-	isReader, readers := direct.peers.isReader(), direct.peers.activeReaders()
+	isReader, readers := direct.peers.isReader(), direct.peers.readersSharing()
 	direct.scope.Gauge("store-reads").Update(map[bool]float64{true: 1}[isReader])
 	direct.scope.Gauge("store-readers").Update(float64(readers))
 	if was := direct.wasReader.Swap(isReader); was != isReader {
--- a/internal/assembler/direct_stats_test.go
+++ b/internal/assembler/direct_stats_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	direct.applyConfiguration(document, "test")
-	direct.list(map[string]balancer.Replica{
+	direct.applyReplicaList(map[string]balancer.Replica{
 		"i-1": {ID: "i-1", Service: "orders", Slots: 6}, "i-2": {ID: "i-2", Service: "orders", Slots: 6, Leaving: true},
 	}, 1)
 	direct.reportStats()
--- a/internal/assembler/direct_stop_test.go
+++ b/internal/assembler/direct_stop_test.go
@@ -41,7 +41,7 @@
 }
 
 func (entry *stoppingEntry) stop() {
-	entry.readiness.leaving.Store(true)
+	entry.readiness.stopping.Store(true)
 	go func() {
 		defer close(entry.stopped)
 		_ = entry.shutDown(entry.server)
@@ -97,7 +97,7 @@
 	// request kept the entry running. The entry must close its listener and idle
 	// connections while there is time to answer all requests that have arrived, without
 	// cutting off those in flight.
-	entry := newStoppingEntry(t, acceptMargin+exitMargin+300)
+	entry := newStoppingEntry(t, closeMargin+exitMargin+300)
 	entry.serve()
 	long, err := entry.call(t, emulator.Head(http.MethodPost, host, "/news/long", "long", 2)+"{")
 	if err != nil {
@@ -156,11 +156,11 @@
 	entry := newStoppingEntry(t, testTimeout)
 	entry.serve()
 	conn, _ := connPair(t)
-	entry.callerConns.trackState(conn, http.StateActive)
+	entry.connTracker.trackState(conn, http.StateActive)
 	Convey("the entry ends once the connection is closed", t, func() {
 		entry.stop()
 		So(entry.runs(t, entry.settings.StopDelay+10*stopPollInterval), ShouldBeTrue)
-		entry.callerConns.trackState(conn, http.StateClosed)
+		entry.connTracker.trackState(conn, http.StateClosed)
 		<-entry.stopped
 	})
 }
--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -24,7 +24,8 @@
 	// replicaInterval is the least time between two reads of the list of replicas, in
 	// which every heartbeat is a change. Entries must know of a leaving replica well
 	// within the two seconds for which it still serves, even if a reader's update is
-	// lost. In a large fleet the active readers share the reads: one reads every 450 ms.
+	// lost. In a large fleet the readers share these reads: together they make one every
+	// 450 ms.
 	replicaInterval = follower.Interval{
 		Min: 450 * timekeeper.Millisecond, Max: 4 * timekeeper.Second, MaxUnshared: 1,
 	}
@@ -46,7 +47,7 @@
 	direct.operatorTable = follower.New(follower.Settings[platform.Order]{
 		Name: "configuration", Clock: direct.clock, Log: direct.log, Source: platform.Orders(store), Seed: newIncarnation(),
 		ReadInterval: follower.Every(configurationInterval), Wait: configurationWait,
-		Readers: peers.activeReaders, Processes: peers.recentEntries, IsReader: peers.readsConfiguration,
+		Readers: peers.readersSharing, Processes: peers.recentEntries, IsReader: peers.readsConfiguration,
 		Apply: direct.applyOperatorTable, Confirm: direct.confirmOperatorTable,
 		// Peers offer newer versions of the configuration in their digests, so there is
 		// no need to read the table only because no update has come for a while.
@@ -55,8 +56,8 @@
 	direct.replicas = follower.New(follower.Settings[balancer.Replica]{
 		Name: "replicas", Clock: direct.clock, Log: direct.log, Source: platform.Replicas(store, direct.clock), Seed: newIncarnation(),
 		ReadInterval: replicaInterval, Wait: replicaWait, Lapse: replicaLapse,
-		Readers: peers.activeReaders, Processes: peers.recentEntries, IsReader: peers.isReader, FailingElsewhere: peers.failingElsewhere,
-		Apply: direct.list, Confirm: direct.confirmList, Sum: gossiper.SumOf, Publish: direct.publishListChanges,
+		Readers: peers.readersSharing, Processes: peers.recentEntries, IsReader: peers.isReader, FailingElsewhere: peers.failingElsewhere,
+		Apply: direct.applyReplicaList, Confirm: direct.confirmReplicaList, Sum: gossiper.SumOf, Publish: direct.publishListChanges,
 		OthersServed: peers.servedSince, FetchCopy: peers.fetchReplicaList,
 	})
 }
@@ -79,7 +80,8 @@
 	}
 }
 
-// applyConfiguration puts a configuration in force, unless the one in force is as new.
+// applyConfiguration puts a configuration in force, unless the one in force is as new or
+// newer.
 func (direct *Direct) applyConfiguration(document platform.Document, from string) {
 	config := document.Config
 	for {
@@ -107,8 +109,8 @@
 	}).Info("configuration in force")
 }
 
-// list applies a new copy of the platform's list of replicas.
-func (direct *Direct) list(rows map[string]balancer.Replica, version follower.Version) {
+// applyReplicaList applies a new copy of the platform's list of replicas.
+func (direct *Direct) applyReplicaList(rows map[string]balancer.Replica, version follower.Version) {
 	list := make([]balancer.Replica, 0, len(rows))
 	for _, replica := range rows {
 		list = append(list, replica)
@@ -130,7 +132,7 @@
 	}
 }
 
-// reportCold logs that a replica has turned cold and publishes it to peers, which don't
+// reportCold logs that a replica has turned cold and sends peers a notice, since they don't
 // read each row.
 func (direct *Direct) reportCold(replica balancer.Replica) {
 	direct.peers.gossiper.SendCold(gossiper.ColdNotice{Replica: replica.Key(), Until: replica.WarmAt})
@@ -139,8 +141,8 @@
 	}).Info("replica is cold")
 }
 
-// confirmList records that the list of replicas is also that of a newer version.
-func (direct *Direct) confirmList(version follower.Version) {
+// confirmReplicaList records that the list of replicas is also that of a newer version.
+func (direct *Direct) confirmReplicaList(version follower.Version) {
 	var restored []string
 	direct.fleet.With(func(fleet *balancer.Fleet) { restored = fleet.ConfirmVersion(uint64(version)) })
 	for _, replica := range restored {
--- a/internal/assembler/entry.go
+++ b/internal/assembler/entry.go
@@ -47,7 +47,7 @@
 	entry.stopDelay = settings.StopDelay
 	entry.planners = planners{entry: entry, pool: entry.pool, incarnation: entry.incarnation}
 	entry.announcer = &announcer{
-		name: settings.Name, pool: entry.pool, peers: entry.view.Addresses,
+		name: settings.Name, pool: entry.pool, agents: entry.view.Addresses,
 		revision: func() uint64 { return entry.watcher.Current().Revision },
 	}
 	// If the instance list can't be read, exchange digests with the peers named in the
--- a/internal/assembler/memory_bench_test.go
+++ b/internal/assembler/memory_bench_test.go
@@ -25,8 +25,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// slopeTime is a time at which no item of these benchmarks has expired.
-const slopeTime = timekeeper.Instant(1)
+// benchTime is a time at which no item of these benchmarks has expired.
+const benchTime = timekeeper.Instant(1)
 
 // spreadHash returns the i-th of a sequence of well-spread hashes.
 func spreadHash(i int) uint64 {
@@ -71,10 +71,10 @@
 	for i := range count {
 		ask := claimer.Ask{
 			Key: claimer.RowKey("team", "orders", strconv.Itoa(i)), Request: "entry-1-1y2p0ij32e8e7-" + strconv.Itoa(i),
-			Expires: slopeTime.Add(timekeeper.Hour), Minted: true,
+			Expires: benchTime.Add(timekeeper.Hour), Minted: true,
 		}
-		book.Ask(ask, slopeTime)
-		book.Start(ask.Request, slopeTime)
+		book.Ask(ask, benchTime)
+		book.Start(ask.Request, benchTime)
 		book.End(ask.Request, true, spreadHash(i))
 	}
 	return book
@@ -84,7 +84,7 @@
 	ledger := striker.NewLedger("planner-1", 0)
 	for i := range count {
 		none := striker.Strike{Fingerprint: spreadHash(i), Service: "planner", Team: "team"}
-		ledger.Put(none.More("planner-1", slopeTime.Add(timekeeper.Hour)))
+		ledger.Put(none.More("planner-1", benchTime.Add(timekeeper.Hour)))
 	}
 	return ledger
 }
@@ -98,7 +98,7 @@
 	kinds := []recorder.Kind{recorder.Granted, recorder.Committed, recorder.Ended}
 	for i := range events {
 		chain.Add(recorder.Event{
-			At: slopeTime.Add(timekeeper.Span(i) * 7), Kind: kinds[i%3], Request: "entry-1-1y2p0ij32e8e7-" + strconv.Itoa(i/3),
+			At: benchTime.Add(timekeeper.Span(i) * 7), Kind: kinds[i%3], Request: "entry-1-1y2p0ij32e8e7-" + strconv.Itoa(i/3),
 			Service: "orders", Team: "team", Instance: "orders-1", Incarnation: 1, Key: spreadHash(i / 3), Digest: spreadHash(i),
 		})
 		if i%perSegment == perSegment-1 {
--- a/internal/assembler/path_bench_test.go
+++ b/internal/assembler/path_bench_test.go
@@ -81,11 +81,11 @@
 		instances = append(instances, storekeeper.Instance{Name: settings.Name, Service: service, Address: agent.Address(), Site: "bole"})
 	}
 	platform.SetInstances(instances)
-	front, release, err := NewEntry(b.Context(), loader.Entry{Process: loader.Process{Name: "entry-1", Site: "bole", Listen: loopback}}, env)
+	entryProcess, release, err := NewEntry(b.Context(), loader.Entry{Process: loader.Process{Name: "entry-1", Site: "bole", Listen: loopback}}, env)
 	if err != nil {
 		b.Fatal(err)
 	}
-	front.AddTo(entries)
+	entryProcess.AddTo(entries)
 	var group run.Group
 	stopOrder.addTo(&group)
 	stop, done := make(chan struct{}), make(chan error, 1)
@@ -97,7 +97,7 @@
 		release()
 		server.Close()
 	})
-	return "http://" + front.Address(), server.URL
+	return "http://" + entryProcess.Address(), server.URL
 }
 
 // pathCost is the cost of calls of one kind: the median times to the end and to the first
--- a/internal/assembler/process.go
+++ b/internal/assembler/process.go
@@ -26,7 +26,7 @@
 const (
 	// headerTimeout bounds the time to read a request's headers.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a caller's connection may be idle.
+	// idleTimeout is how long a connection may be idle between two requests.
 	idleTimeout = 2 * time.Minute
 	// maxHeaderBytes bounds the headers of a request.
 	maxHeaderBytes = 32 << 10
--- a/internal/assembler/readiness.go
+++ b/internal/assembler/readiness.go
@@ -14,12 +14,12 @@
 
 // readiness serves the health check of the platform's load balancer.
 type readiness struct {
-	leaving atomic.Bool
+	stopping atomic.Bool
 }
 
 // ServeHTTP answers 200 while the process takes callers, and 503 once it is stopping.
 func (ready *readiness) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	if ready.leaving.Load() {
+	if ready.stopping.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -43,7 +43,7 @@
 		}
 		return <-stopped
 	}, func(error) {
-		ready.leaving.Store(true)
+		ready.stopping.Store(true)
 		go func() {
 			_ = clock.Sleep(context.Background(), delay)
 			ctx, cancel := context.WithTimeout(context.Background(), drainTimeout.Duration())
--- a/internal/assembler/stages.go
+++ b/internal/assembler/stages.go
@@ -5,7 +5,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// stages are groups of actors that stop one after the other, servers for callers first.
+// stages are groups of actors that stop one after the other, in the order in which they
+// were added: servers for callers first.
 // If all processes of a small site stopped at once, an upstream could close its listener
 // while a call is on the way to it, and a planned stop would refuse or cut off calls in
 // flight. In order, the calls of each stage have ended before the next stage stops.
