--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -95,7 +95,7 @@
 	fellows   *fellows
 	callers   *callers
 
-	orders *follower.Follower[platform.Order]
+	orders *follower.Follower[platform.OperatorRow]
 	// ordered are the evacuated data centres of the copy of the operator's table, under
 	// the lock of its follower.
 	ordered  []string
--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -43,7 +43,7 @@
 // follow sets up what is read of the platform's store.
 func (direct *Direct) follow(store *platform.Store) {
 	fellows := direct.fellows
-	direct.orders = follower.New(follower.Settings[platform.Order]{
+	direct.orders = follower.New(follower.Settings[platform.OperatorRow]{
 		Name: "configuration", Clock: direct.clock, Log: direct.log, Source: platform.Orders(store), Seed: newIncarnation(),
 		ReadInterval: follower.Every(configurationPace), Wait: configurationWait,
 		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.readsConfiguration,
@@ -61,7 +61,7 @@
 }
 
 // order takes in the operator's table.
-func (direct *Direct) order(rows map[string]platform.Order, version follower.Version) {
+func (direct *Direct) order(rows map[string]platform.OperatorRow, version follower.Version) {
 	direct.ordered = platform.EvacuatedIn(rows)
 	direct.confirmOrders(version)
 	if document, found := platform.ConfigurationOf(rows); found {
