--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -44,7 +44,7 @@
 func (direct *Direct) follow(store *platform.Store) {
 	fellows := direct.fellows
 	direct.orders = follower.New(follower.Settings[platform.OperatorRow]{
-		Name: "configuration", Clock: direct.clock, Log: direct.log, Source: platform.Orders(store), Seed: newIncarnation(),
+		Name: "configuration", Clock: direct.clock, Log: direct.log, Source: platform.OperatorRows(store), Seed: newIncarnation(),
 		ReadInterval: follower.Every(configurationPace), Wait: configurationWait,
 		Readers: fellows.takingTurns, Processes: fellows.sharers, IsReader: fellows.readsConfiguration,
 		Apply: direct.order, Confirm: direct.confirmOrders,
