--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -98,7 +98,7 @@
 	peers       *peers
 	connTracker *connTracker
 
-	operatorTable *follower.Follower[platform.Order]
+	operatorTable *follower.Follower[platform.OperatorRow]
 	// evacuatedCentres are the evacuated data centres in the last copy of the operator's
 	// table. The lock of operatorTable guards it: the follower holds it when it calls Apply
 	// and Confirm.
--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -44,8 +44,8 @@
 // followStore sets up the followers of the platform's tables.
 func (direct *Direct) followStore(store *platform.Store) {
 	peers := direct.peers
-	direct.operatorTable = follower.New(follower.Settings[platform.Order]{
-		Name: "configuration", Clock: direct.clock, Log: direct.log, Source: platform.Orders(store), Seed: newIncarnation(),
+	direct.operatorTable = follower.New(follower.Settings[platform.OperatorRow]{
+		Name: "configuration", Clock: direct.clock, Log: direct.log, Source: platform.OperatorRows(store), Seed: newIncarnation(),
 		ReadInterval: follower.FixedInterval(configurationInterval), Wait: configurationWait,
 		Readers: peers.readersSharing, Processes: peers.recentEntries, IsReader: peers.readsConfiguration,
 		Apply: direct.applyOperatorTable, Confirm: direct.confirmOperatorTable,
@@ -63,7 +63,7 @@
 }
 
 // applyOperatorTable applies a new copy of the operator's table.
-func (direct *Direct) applyOperatorTable(rows map[string]platform.Order, version follower.Version) {
+func (direct *Direct) applyOperatorTable(rows map[string]platform.OperatorRow, version follower.Version) {
 	direct.evacuatedCentres = platform.EvacuatedIn(rows)
 	direct.confirmOperatorTable(version)
 	if document, found := platform.ConfigurationOf(rows); found {
