--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -19,8 +19,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Retries bounds what the fleet sends again to one service.
-type Retries struct {
+// RetryBudget bounds what the fleet sends again to one service.
+type RetryBudget struct {
 	Window timekeeper.Span
 	Ratio  float64
 	Extra  float64
@@ -37,7 +37,7 @@
 	Dialect Dialect
 	// Config returns the configuration in force, or nil while none is known.
 	Config  func() *router.Configuration
-	Retries Retries
+	Retries RetryBudget
 	// Sharers returns among how many entries the retries are shared.
 	Sharers func() int
 	// Crowded reports whether callers should leave after their answer, so that
--- a/internal/relayer/task_test.go
+++ b/internal/relayer/task_test.go
@@ -52,7 +52,7 @@
 			entry := New(Settings{
 				Scope: tally.NoopScope,
 				Clock: timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour)).Clock(), Sharers: func() int { return 1 },
-				Retries: Retries{Window: timekeeper.Minute, Extra: retries},
+				Retries: RetryBudget{Window: timekeeper.Minute, Extra: retries},
 			})
 			again := 0
 			for range 5 {
