--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -175,7 +175,7 @@
 		Retries: relayer.RetryBudget{
 			Window: direct.settings.Retry.Window, Ratio: direct.settings.Retry.Ratio, Extra: direct.settings.Retry.Extra,
 		},
-		Sharers:        func() int { return max(minSharers, sharersOfPeer*direct.fellows.readers()) },
+		Entries:        func() int { return max(minSharers, sharersOfPeer*direct.fellows.readers()) },
 		Placed:         direct.fellows.gossiper.SendPlacement,
 		Unreachable:    direct.fellows.gossiper.SendUnreachable,
 		LeaveAnnounced: direct.fellows.gossiper.SendLeaveAnnounced,
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -113,7 +113,7 @@
 	if !found || service.Connections <= 0 {
 		return 0
 	}
-	return max(1, service.Connections/max(connectionSharers, task.entry.settings.Sharers()))
+	return max(1, service.Connections/max(connectionSharers, task.entry.settings.Entries()))
 }
 
 // connectionSharers is among how many entries the connections of a replica are
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -38,8 +38,8 @@
 	// Config returns the configuration in force, or nil while none is known.
 	Config  func() *router.Configuration
 	Retries RetryBudget
-	// Sharers returns among how many entries the retries are shared.
-	Sharers func() int
+	// Entries returns among how many entries the retries are shared.
+	Entries func() int
 	// Crowded reports whether callers should leave after their answer, so that
 	// others can come.
 	Crowded func() bool
@@ -256,7 +256,7 @@
 
 // spend takes one retry and reports whether there was one.
 func (entry *Entry) spend(service string) bool {
-	sharers := entry.settings.Sharers()
+	sharers := entry.settings.Entries()
 	allowed := false
 	entry.budget(service, func(window *retrier.Window, now timekeeper.Instant) { allowed = window.Spend(sharers, now) })
 	entry.meters.retried(service, allowed)
@@ -265,7 +265,7 @@
 
 // RetriesRemaining returns what this entry may still send again, by service.
 func (entry *Entry) RetriesRemaining() map[string]float64 {
-	sharers, now := entry.settings.Sharers(), entry.settings.Clock.Now()
+	sharers, now := entry.settings.Entries(), entry.settings.Clock.Now()
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
 	left := make(map[string]float64, len(entry.budgets))
--- a/internal/relayer/task_test.go
+++ b/internal/relayer/task_test.go
@@ -51,7 +51,7 @@
 		Convey(test.name, t, func() {
 			entry := New(Settings{
 				Scope: tally.NoopScope,
-				Clock: timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour)).Clock(), Sharers: func() int { return 1 },
+				Clock: timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour)).Clock(), Entries: func() int { return 1 },
 				Retries: RetryBudget{Window: timekeeper.Minute, Extra: retries},
 			})
 			again := 0
