--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -182,7 +182,7 @@
 		Struck: func(request uint64, replica string) {
 			direct.fellows.gossiper.SendStrike(gossiper.Strike{Request: request, Replica: replica})
 		},
-		Crowded:    direct.callers.crowded,
+		TooManyConnections:    direct.callers.crowded,
 		BodyMemory: int64(bodyShare * float64(megabytes<<20)),
 		Seed:       newIncarnation(),
 	}
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -40,9 +40,9 @@
 	Retries RetryBudget
 	// Entries returns among how many entries the retries are shared.
 	Entries func() int
-	// Crowded reports whether callers should leave after their answer, so that
+	// TooManyConnections reports whether callers should leave after their answer, so that
 	// others can come.
-	Crowded func() bool
+	TooManyConnections func() bool
 	// BodyMemory bounds the request bodies that are held at once, in bytes.
 	BodyMemory int64
 	// Placed is told of prompt parts that were sent to a replica, and whether it
@@ -85,8 +85,8 @@
 	if settings.Unreachable == nil {
 		settings.Unreachable = func(string) {}
 	}
-	if settings.Crowded == nil {
-		settings.Crowded = func() bool { return false }
+	if settings.TooManyConnections == nil {
+		settings.TooManyConnections = func() bool { return false }
 	}
 	if settings.LeaveAnnounced == nil {
 		settings.LeaveAnnounced = func(string) {}
@@ -136,7 +136,7 @@
 func (entry *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	entry.active.Add(1)
 	defer entry.active.Add(-1)
-	if entry.leaving.Load() || entry.settings.Crowded() {
+	if entry.leaving.Load() || entry.settings.TooManyConnections() {
 		w.Header().Set("Connection", "close")
 	}
 	arrived := entry.settings.Clock.Now()
