--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -176,7 +176,7 @@
 			Window: direct.settings.Retry.Window, Ratio: direct.settings.Retry.Ratio, Extra: direct.settings.Retry.Extra,
 		},
 		Entries:        func() int { return max(minSharers, sharersOfPeer*direct.fellows.readers()) },
-		Placed:         direct.fellows.gossiper.SendPlacement,
+		OnPlacement:         direct.fellows.gossiper.SendPlacement,
 		Unreachable:    direct.fellows.gossiper.SendUnreachable,
 		LeaveAnnounced: direct.fellows.gossiper.SendLeaveAnnounced,
 		Struck: func(request uint64, replica string) {
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -50,7 +50,7 @@
 func (task *task) attempt(ctx context.Context, placement *balancer.Placement) attemptResult {
 	task.placement, task.replica = placement, placement.Replica.ID
 	if len(task.call.Parts) > 0 {
-		task.entry.settings.Placed(placement.Replica.Key(), task.call.Parts, placement.FirstRead)
+		task.entry.settings.OnPlacement(placement.Replica.Key(), task.call.Parts, placement.FirstRead)
 	}
 	result := attemptResult{replica: placement.Replica}
 	// The goroutine that notices a caller's leaving has its turn before anything is
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -45,9 +45,9 @@
 	TooManyConnections func() bool
 	// BodyMemory bounds the request bodies that are held at once, in bytes.
 	BodyMemory int64
-	// Placed is told of prompt parts that were sent to a replica, and whether it
+	// OnPlacement is told of prompt parts that were sent to a replica, and whether it
 	// reads one of them there for the first time.
-	Placed func(replica balancer.Key, parts []balancer.Part, first bool)
+	OnPlacement func(replica balancer.Key, parts []balancer.Part, first bool)
 	// Unreachable is told of a replica that takes no connections.
 	Unreachable func(replica string)
 	// Struck is told of a request that was at a replica when it crashed.
@@ -79,8 +79,8 @@
 
 // New returns an entry.
 func New(settings Settings) *Entry {
-	if settings.Placed == nil {
-		settings.Placed = func(balancer.Key, []balancer.Part, bool) {}
+	if settings.OnPlacement == nil {
+		settings.OnPlacement = func(balancer.Key, []balancer.Part, bool) {}
 	}
 	if settings.Unreachable == nil {
 		settings.Unreachable = func(string) {}
