--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -177,7 +177,7 @@
 		},
 		Entries:        func() int { return max(minSharers, sharersOfPeer*direct.fellows.readers()) },
 		OnPlacement:         direct.fellows.gossiper.SendPlacement,
-		Unreachable:    direct.fellows.gossiper.SendUnreachable,
+		OnUnreachable:    direct.fellows.gossiper.SendUnreachable,
 		LeaveAnnounced: direct.fellows.gossiper.SendLeaveAnnounced,
 		Struck: func(request uint64, replica string) {
 			direct.fellows.gossiper.SendStrike(gossiper.Strike{Request: request, Replica: replica})
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -48,8 +48,8 @@
 	// OnPlacement is told of prompt parts that were sent to a replica, and whether it
 	// reads one of them there for the first time.
 	OnPlacement func(replica balancer.Key, parts []balancer.Part, first bool)
-	// Unreachable is told of a replica that takes no connections.
-	Unreachable func(replica string)
+	// OnUnreachable is told of a replica that takes no connections.
+	OnUnreachable func(replica string)
 	// Struck is told of a request that was at a replica when it crashed.
 	Struck func(request uint64, replica string)
 	// LeaveAnnounced is told of the incarnation of a replica that has said to this entry,
@@ -82,8 +82,8 @@
 	if settings.OnPlacement == nil {
 		settings.OnPlacement = func(balancer.Key, []balancer.Part, bool) {}
 	}
-	if settings.Unreachable == nil {
-		settings.Unreachable = func(string) {}
+	if settings.OnUnreachable == nil {
+		settings.OnUnreachable = func(string) {}
 	}
 	if settings.TooManyConnections == nil {
 		settings.TooManyConnections = func() bool { return false }
@@ -314,7 +314,7 @@
 	now := entry.settings.Clock.Now()
 	entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.MarkUnreachable(replica.ID, now) })
 	entry.settings.Pool.Retire(replica.ID)
-	entry.settings.Unreachable(replica.ID)
+	entry.settings.OnUnreachable(replica.ID)
 	entry.settings.Log.WithFields(logrus.Fields{
 		labelReplica: replica.ID, labelService: replica.Service, "address": replica.Address, "reason": why,
 	}).Warn("replica suspected")
