--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -179,7 +179,7 @@
 		OnPlacement:         direct.fellows.gossiper.SendPlacement,
 		OnUnreachable:    direct.fellows.gossiper.SendUnreachable,
 		LeaveAnnounced: direct.fellows.gossiper.SendLeaveAnnounced,
-		Struck: func(request uint64, replica string) {
+		OnStrike: func(request uint64, replica string) {
 			direct.fellows.gossiper.SendStrike(gossiper.Strike{Request: request, Replica: replica})
 		},
 		TooManyConnections:    direct.callers.crowded,
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -275,7 +275,7 @@
 	go func() {
 		if task.entry.confirm(replica) {
 			task.entry.RecordStrike(request, replica.Incarnation())
-			task.entry.settings.Struck(request, replica.Incarnation())
+			task.entry.settings.OnStrike(request, replica.Incarnation())
 		}
 	}()
 }
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -50,8 +50,8 @@
 	OnPlacement func(replica balancer.Key, parts []balancer.Part, first bool)
 	// OnUnreachable is told of a replica that takes no connections.
 	OnUnreachable func(replica string)
-	// Struck is told of a request that was at a replica when it crashed.
-	Struck func(request uint64, replica string)
+	// OnStrike is told of a request that was at a replica when it crashed.
+	OnStrike func(request uint64, replica string)
 	// LeaveAnnounced is told of the incarnation of a replica that has said to this entry,
 	// for the first time, that it leaves.
 	LeaveAnnounced func(incarnation string)
@@ -91,8 +91,8 @@
 	if settings.LeaveAnnounced == nil {
 		settings.LeaveAnnounced = func(string) {}
 	}
-	if settings.Struck == nil {
-		settings.Struck = func(uint64, string) {}
+	if settings.OnStrike == nil {
+		settings.OnStrike = func(uint64, string) {}
 	}
 	return &Entry{
 		settings: settings,
