--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -178,7 +178,7 @@
 		Entries:        func() int { return max(minSharers, sharersOfPeer*direct.fellows.readers()) },
 		OnPlacement:         direct.fellows.gossiper.SendPlacement,
 		OnUnreachable:    direct.fellows.gossiper.SendUnreachable,
-		LeaveAnnounced: direct.fellows.gossiper.SendLeaveAnnounced,
+		OnLeaveAnnounced: direct.fellows.gossiper.SendLeaveAnnounced,
 		OnStrike: func(request uint64, replica string) {
 			direct.fellows.gossiper.SendStrike(gossiper.Strike{Request: request, Replica: replica})
 		},
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -52,9 +52,9 @@
 	OnUnreachable func(replica string)
 	// OnStrike is told of a request that was at a replica when it crashed.
 	OnStrike func(request uint64, replica string)
-	// LeaveAnnounced is told of the incarnation of a replica that has said to this entry,
+	// OnLeaveAnnounced is told of the incarnation of a replica that has said to this entry,
 	// for the first time, that it leaves.
-	LeaveAnnounced func(incarnation string)
+	OnLeaveAnnounced func(incarnation string)
 	Seed           uint64
 }
 
@@ -88,8 +88,8 @@
 	if settings.TooManyConnections == nil {
 		settings.TooManyConnections = func() bool { return false }
 	}
-	if settings.LeaveAnnounced == nil {
-		settings.LeaveAnnounced = func(string) {}
+	if settings.OnLeaveAnnounced == nil {
+		settings.OnLeaveAnnounced = func(string) {}
 	}
 	if settings.OnStrike == nil {
 		settings.OnStrike = func(uint64, string) {}
--- a/internal/relayer/statement.go
+++ b/internal/relayer/statement.go
@@ -58,6 +58,6 @@
 	incarnation := replica.Incarnation()
 	entry.settings.Fleet.With(func(fleet *balancer.Fleet) { news = fleet.AnnounceLeave(incarnation, now) })
 	if news {
-		entry.settings.LeaveAnnounced(incarnation)
+		entry.settings.OnLeaveAnnounced(incarnation)
 	}
 }
--- a/internal/relayer/statement_test.go
+++ b/internal/relayer/statement_test.go
@@ -46,7 +46,7 @@
 			clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour)).Clock()
 			entry := New(Settings{
 				Scope: tally.NoopScope, Clock: clock, Log: log, Fleet: balancer.Guard(fleet),
-				LeaveAnnounced: func(incarnation string) { announced = append(announced, incarnation) },
+				OnLeaveAnnounced: func(incarnation string) { announced = append(announced, incarnation) },
 			})
 			task := &task{entry: entry, service: "orders"}
 			task.hear(replica, 503, test.head)
