--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -220,7 +220,7 @@
 	addLoop(rest, direct.replicas.Run)
 	addLoop(rest, direct.sweep)
 	addLoop(rest, direct.front.Run)
-	addLoop(rest, direct.front.Measure)
+	addLoop(rest, direct.front.MeasureLateness)
 	addLoop(rest, direct.watchSettings)
 	addLoop(rest, direct.fellows.register)
 	addLoop(rest, direct.fellows.gossiper.Run)
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -108,8 +108,8 @@
 // Run looks after the requests that wait for a replica, until ctx ends.
 func (entry *Entry) Run(ctx context.Context) { entry.queue.run(ctx) }
 
-// Measure measures how late the entry's own work is, until ctx ends.
-func (entry *Entry) Measure(ctx context.Context) { entry.pressure.run(ctx) }
+// MeasureLateness measures how late the entry's own work is, until ctx ends.
+func (entry *Entry) MeasureLateness(ctx context.Context) { entry.pressure.run(ctx) }
 
 // CloseConnections makes each answer end its connection.
 func (entry *Entry) CloseConnections() { entry.leaving.Store(true) }
