--- a/internal/relayer/dialect.go
+++ b/internal/relayer/dialect.go
@@ -17,8 +17,8 @@
 	Deadline timekeeper.Span
 	// Parts is the prompt, root first; nil when there is none.
 	Parts []balancer.Part
-	// Output is the most tokens of the answer.
-	Output int
+	// MaxOutputTokens is the most tokens of the answer.
+	MaxOutputTokens int
 }
 
 // Dispatch is what the entry says about a request to a replica.
