--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -127,7 +127,7 @@
 	}
 	left := max(task.until.Since(task.entry.settings.Clock.Now()), timekeeper.Millisecond)
 	header := task.entry.settings.Dialect.Dispatch(task.r, Dispatch{
-		Call: task.call, Left: left, Replica: placement.Replica.ID, Team: task.team.Name, Priority: priority,
+		Call: task.call, Remaining: left, Replica: placement.Replica.ID, Team: task.team.Name, Priority: priority,
 		Source: placement.Source, After: task.lastEvent,
 	})
 	return connector.Request{
--- a/internal/relayer/dialect.go
+++ b/internal/relayer/dialect.go
@@ -24,8 +24,8 @@
 // Dispatch is what the entry says about a request to a replica.
 type Dispatch struct {
 	Call Call
-	// Left is how long the replica may work.
-	Left timekeeper.Span
+	// Remaining is how long the replica may work.
+	Remaining timekeeper.Span
 	// Replica is the incarnation that is meant; any other refuses.
 	Replica string
 	// Team is the caller's team, or "" on public routes.
