--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -128,7 +128,7 @@
 	left := max(task.until.Since(task.entry.settings.Clock.Now()), timekeeper.Millisecond)
 	header := task.entry.settings.Dialect.Dispatch(task.r, Dispatch{
 		Call: task.call, Remaining: left, Replica: placement.Replica.ID, Team: task.team.Name, Priority: priority,
-		Source: placement.Source, After: task.lastEvent,
+		Source: placement.Source, LastEventID: task.lastEvent,
 	})
 	return connector.Request{
 		Method: task.r.Method, Path: task.r.RequestURI, Host: task.r.Host, Header: header, Body: task.body,
--- a/internal/relayer/dialect.go
+++ b/internal/relayer/dialect.go
@@ -36,9 +36,9 @@
 	// Source is the address of a replica from which this one may fetch what it lacks
 	// of the prompt, or "".
 	Source string
-	// After is the last event that the caller has of a stream that goes on; ""
+	// LastEventID is the last event that the caller has of a stream that goes on; ""
 	// leaves what the caller said.
-	After string
+	LastEventID string
 }
 
 // Head is what a replica says in the head of an answer.
