--- a/internal/assembler/direct_listeners.go
+++ b/internal/assembler/direct_listeners.go
@@ -26,7 +26,7 @@
 		{direct.settings.MetricsListen, &direct.listeners.metrics},
 		{direct.settings.PeerListen, &direct.listeners.peers},
 	}
-	config := net.ListenConfig{Control: connector.Guard(callerSilence)}
+	config := net.ListenConfig{Control: connector.UserTimeoutControl(callerSilence)}
 	for _, socket := range sockets {
 		if socket.address == "" {
 			continue
--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -59,7 +59,7 @@
 
 // newFellows returns the side of the process that other entries see.
 func newFellows(direct *Direct, store *platform.Store, conn net.PacketConn) (*fellows, func()) {
-	dialer := &net.Dialer{Timeout: fetchPatience.Duration(), Control: connector.Guard(fetchPatience)}
+	dialer := &net.Dialer{Timeout: fetchPatience.Duration(), Control: connector.UserTimeoutControl(fetchPatience)}
 	transport := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
 	fellows := &fellows{direct: direct, store: store, client: &http.Client{Transport: transport}}
 	fellows.gossiper = gossiper.New(gossiper.Settings{
--- a/internal/connector/connection.go
+++ b/internal/connector/connection.go
@@ -62,10 +62,10 @@
 // userTimeout is Linux's TCP_USER_TIMEOUT.
 const userTimeout = 18
 
-// Guard returns a function for net.Dialer and net.ListenConfig that bounds how
+// UserTimeoutControl returns a function for net.Dialer and net.ListenConfig that bounds how
 // long sent bytes may stay without an acknowledgement: no reset tells of a peer that has
 // lost power or is cut off.
-func Guard(span timekeeper.Span) func(network, address string, raw syscall.RawConn) error {
+func UserTimeoutControl(span timekeeper.Span) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failure error
 		err := raw.Control(func(descriptor uintptr) {
--- a/internal/connector/pool.go
+++ b/internal/connector/pool.go
@@ -69,7 +69,7 @@
 	pool := &Pool{settings: settings, peers: map[string]*peer{}}
 	pool.dialer = net.Dialer{
 		Timeout: settings.Dial.Duration(),
-		Control: Guard(settings.Unacknowledged),
+		Control: UserTimeoutControl(settings.Unacknowledged),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
