--- a/internal/connector/exchange.go
+++ b/internal/connector/exchange.go
@@ -46,8 +46,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Ours reports whether a head answers this request; nil means that each does.
-	Ours func(head http.Header) bool
+	// Matches reports whether a head answers this request; nil means that each does.
+	Matches func(head http.Header) bool
 	// Admit is asked once a connection is open, before the first byte is sent; an error
 	// leaves the request unsent. Nil means that nothing speaks against it.
 	Admit func() error
@@ -183,7 +183,7 @@
 		if err != nil {
 			return nil, foreign, err
 		}
-		if request.Ours == nil || request.Ours(head.Header) {
+		if request.Matches == nil || request.Matches(head.Header) {
 			return head, foreign, nil
 		}
 		conn.foreign = true
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -132,7 +132,7 @@
 	})
 	return connector.Request{
 		Method: task.r.Method, Path: task.r.RequestURI, Host: task.r.Host, Header: header, Body: task.body,
-		Ours: func(head http.Header) bool {
+		Matches: func(head http.Header) bool {
 			id := task.entry.settings.Dialect.ReadHead(0, head).ID
 			return id == "" || id == task.call.ID
 		},
