--- a/internal/connector/exchange.go
+++ b/internal/connector/exchange.go
@@ -56,8 +56,8 @@
 // Answer is the head of an answer, with a body that is read as it comes.
 type Answer struct {
 	*http.Response
-	// Foreign is how many answers of other requests came before this one.
-	Foreign int
+	// StrayAnswers is how many answers of other requests came before this one.
+	StrayAnswers int
 	// finish gives the connection back, or closes it.
 	finish func(whole bool)
 	once   sync.Once
@@ -106,7 +106,7 @@
 		pool.drop(target, conn)
 		return nil, Failure{Progress: Sent, Reused: conn.used, Cause: err}
 	}
-	answer := &Answer{Response: head, Foreign: foreign}
+	answer := &Answer{Response: head, StrayAnswers: foreign}
 	answer.finish = func(whole bool) {
 		stopped := unwatch()
 		if whole && stopped && keeps(conn, head) && settled(written) {
