--- a/internal/connector/pool.go
+++ b/internal/connector/pool.go
@@ -23,9 +23,9 @@
 // Settings set up a pool. Clock must be set.
 type Settings struct {
 	Clock timekeeper.Clock
-	// Dial bounds the opening of a connection; zero means 400 ms, which is far
+	// DialTimeout bounds the opening of a connection; zero means 400 ms, which is far
 	// over the round trip between data centres and under the shortest target.
-	Dial timekeeper.Span
+	DialTimeout timekeeper.Span
 	// Unacknowledged bounds how long sent bytes may go without an
 	// acknowledgement; zero means 1.5 s: a lost packet is sent again after 200
 	// ms, then 400 and 800.
@@ -35,8 +35,8 @@
 }
 
 func (settings Settings) withDefaults() Settings {
-	if settings.Dial == 0 {
-		settings.Dial = 400 * timekeeper.Millisecond
+	if settings.DialTimeout == 0 {
+		settings.DialTimeout = 400 * timekeeper.Millisecond
 	}
 	if settings.Unacknowledged == 0 {
 		settings.Unacknowledged = 1500 * timekeeper.Millisecond
@@ -68,7 +68,7 @@
 	settings = settings.withDefaults()
 	pool := &Pool{settings: settings, peers: map[string]*peer{}}
 	pool.dialer = net.Dialer{
-		Timeout: settings.Dial.Duration(),
+		Timeout: settings.DialTimeout.Duration(),
 		Control: UserTimeoutControl(settings.Unacknowledged),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
