--- a/internal/connector/pool.go
+++ b/internal/connector/pool.go
@@ -26,10 +26,10 @@
 	// DialTimeout bounds the opening of a connection; zero means 400 ms, which is far
 	// over the round trip between data centres and under the shortest target.
 	DialTimeout timekeeper.Span
-	// Unacknowledged bounds how long sent bytes may go without an
+	// AckTimeout bounds how long sent bytes may go without an
 	// acknowledgement; zero means 1.5 s: a lost packet is sent again after 200
 	// ms, then 400 and 800.
-	Unacknowledged timekeeper.Span
+	AckTimeout timekeeper.Span
 	// Opened counts new connections; nil means that they aren't counted.
 	Opened func()
 }
@@ -38,8 +38,8 @@
 	if settings.DialTimeout == 0 {
 		settings.DialTimeout = 400 * timekeeper.Millisecond
 	}
-	if settings.Unacknowledged == 0 {
-		settings.Unacknowledged = 1500 * timekeeper.Millisecond
+	if settings.AckTimeout == 0 {
+		settings.AckTimeout = 1500 * timekeeper.Millisecond
 	}
 	if settings.Opened == nil {
 		settings.Opened = func() {}
@@ -69,7 +69,7 @@
 	pool := &Pool{settings: settings, peers: map[string]*peer{}}
 	pool.dialer = net.Dialer{
 		Timeout: settings.DialTimeout.Duration(),
-		Control: UserTimeoutControl(settings.Unacknowledged),
+		Control: UserTimeoutControl(settings.AckTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
