--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -125,7 +125,7 @@
 		ColdRateFactor: settings.Cold.Over, ColdSlack: settings.Cold.Slack,
 	}))
 	direct.pool, release = connector.NewPool(connector.Settings{
-		Clock: direct.clock, Opened: func() { direct.scope.Counter("connections-opened").Inc(1) },
+		Clock: direct.clock, OnOpen: func() { direct.scope.Counter("connections-opened").Inc(1) },
 	})
 	direct.onRelease(release)
 	store, release := platform.NewStore(settings.Store, direct.log, direct.scope)
--- a/internal/connector/pool.go
+++ b/internal/connector/pool.go
@@ -30,8 +30,8 @@
 	// acknowledgement; zero means 1.5 s: a lost packet is sent again after 200
 	// ms, then 400 and 800.
 	AckTimeout timekeeper.Span
-	// Opened counts new connections; nil means that they aren't counted.
-	Opened func()
+	// OnOpen counts new connections; nil means that they aren't counted.
+	OnOpen func()
 }
 
 func (settings Settings) withDefaults() Settings {
@@ -41,8 +41,8 @@
 	if settings.AckTimeout == 0 {
 		settings.AckTimeout = 1500 * timekeeper.Millisecond
 	}
-	if settings.Opened == nil {
-		settings.Opened = func() {}
+	if settings.OnOpen == nil {
+		settings.OnOpen = func() {}
 	}
 	return settings
 }
@@ -140,7 +140,7 @@
 }
 
 func (pool *Pool) open(ctx context.Context, target Target) (*connection, error) {
-	pool.settings.Opened()
+	pool.settings.OnOpen()
 	raw, err := pool.dialer.DialContext(ctx, "tcp", target.Address)
 	if err != nil {
 		pool.forget(target)
@@ -179,7 +179,7 @@
 // Reach opens a connection and closes it, to learn whether the replica still
 // takes any. It returns ErrUnreachable when it doesn't.
 func (pool *Pool) Reach(ctx context.Context, address string) error {
-	pool.settings.Opened()
+	pool.settings.OnOpen()
 	raw, err := pool.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return eris.Wrap(ErrUnreachable, err.Error())
