--- a/internal/connector/exchange_test.go
+++ b/internal/connector/exchange_test.go
@@ -89,7 +89,7 @@
 		}
 	})
 	pool := newTestPool(t)
-	target := Target{Key: "a", Address: address, Connections: 1}
+	target := Target{Key: "a", Address: address, MaxConnections: 1}
 	Convey("two exchanges use one connection", t, func() {
 		for _, id := range []string{"1", "2"} {
 			body, err := exchange(pool, target, id)
@@ -282,7 +282,7 @@
 	_ = listener.Close()
 	pool := newTestPool(t)
 	Convey("nothing was sent, and that is said", t, func() {
-		_, err := exchange(pool, Target{Key: "a", Address: address, Connections: 1}, "1")
+		_, err := exchange(pool, Target{Key: "a", Address: address, MaxConnections: 1}, "1")
 		var failure Failure
 		So(eris.As(err, &failure), ShouldBeTrue)
 		So(failure.Progress, ShouldEqual, Unsent)
--- a/internal/connector/pool.go
+++ b/internal/connector/pool.go
@@ -92,8 +92,8 @@
 	Key string
 	// Address is an IP number and a port.
 	Address string
-	// Connections is the most that this process opens to the replica.
-	Connections int
+	// MaxConnections is the most that this process opens to the replica.
+	MaxConnections int
 }
 
 func (pool *Pool) peer(key string) *peer {
@@ -132,7 +132,7 @@
 		peer.idle = peer.idle[:last]
 		return conn, false
 	}
-	if target.Connections > 0 && peer.open >= target.Connections {
+	if target.MaxConnections > 0 && peer.open >= target.MaxConnections {
 		return nil, false
 	}
 	peer.open++
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -102,7 +102,7 @@
 // replica accepts; each takes at most a sixth, which six entries can take at once.
 func (task *task) target(replica balancer.Replica) connector.Target {
 	target := connector.Target{Key: replica.ID, Address: replica.Address}
-	target.Connections = task.connections()
+	target.MaxConnections = task.connections()
 	return target
 }
 
