--- a/internal/connector/exchange_test.go
+++ b/internal/connector/exchange_test.go
@@ -287,7 +287,7 @@
 		So(eris.As(err, &failure), ShouldBeTrue)
 		So(failure.Progress, ShouldEqual, Unsent)
 		So(eris.Is(err, ErrUnreachable), ShouldBeTrue)
-		So(eris.Is(pool.Reach(context.Background(), address), ErrUnreachable), ShouldBeTrue)
+		So(eris.Is(pool.Probe(context.Background(), address), ErrUnreachable), ShouldBeTrue)
 		So(pool.Open(), ShouldEqual, 0)
 	})
 }
--- a/internal/connector/pool.go
+++ b/internal/connector/pool.go
@@ -176,9 +176,9 @@
 	}
 }
 
-// Reach opens a connection and closes it, to learn whether the replica still
+// Probe opens a connection and closes it, to learn whether the replica still
 // takes any. It returns ErrUnreachable when it doesn't.
-func (pool *Pool) Reach(ctx context.Context, address string) error {
+func (pool *Pool) Probe(ctx context.Context, address string) error {
 	pool.settings.OnOpen()
 	raw, err := pool.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -294,7 +294,7 @@
 func (entry *Entry) reaches(replica balancer.Replica) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), confirmSpan.Duration())
 	defer cancel()
-	return entry.settings.Pool.Reach(ctx, replica.Address) == nil
+	return entry.settings.Pool.Probe(ctx, replica.Address) == nil
 }
 
 // confirmSpan bounds a look whether a replica is there; a refused connection
