--- a/internal/connector/exchange_test.go
+++ b/internal/connector/exchange_test.go
@@ -97,7 +97,7 @@
 			So(body, ShouldEqual, "for "+id)
 		}
 		So(accepted.Load(), ShouldEqual, 1)
-		So(pool.Open(), ShouldEqual, 1)
+		So(pool.OpenConnections(), ShouldEqual, 1)
 	})
 	Convey("a connection in use is not shared, and the bound holds", t, func() {
 		first, err := pool.Do(context.Background(), target, requestOf("3"))
@@ -108,7 +108,7 @@
 		So(eris.As(err, &failure), ShouldBeTrue)
 		So(failure.Progress, ShouldEqual, Unsent)
 		first.Finish(false)
-		So(pool.Open(), ShouldEqual, 0)
+		So(pool.OpenConnections(), ShouldEqual, 0)
 	})
 }
 
@@ -248,7 +248,7 @@
 			got.Finish(true)
 		}
 		So(accepted.Load(), ShouldEqual, 2)
-		So(pool.Open(), ShouldEqual, 0)
+		So(pool.OpenConnections(), ShouldEqual, 0)
 	})
 }
 
@@ -269,7 +269,7 @@
 		_, err := pool.Do(ctx, Target{Key: "a", Address: address}, requestOf("1"))
 		So(err, ShouldNotBeNil)
 		So(<-gone, ShouldNotBeNil)
-		So(pool.Open(), ShouldEqual, 0)
+		So(pool.OpenConnections(), ShouldEqual, 0)
 	})
 }
 
@@ -288,7 +288,7 @@
 		So(failure.Progress, ShouldEqual, Unsent)
 		So(eris.Is(err, ErrUnreachable), ShouldBeTrue)
 		So(eris.Is(pool.Probe(context.Background(), address), ErrUnreachable), ShouldBeTrue)
-		So(pool.Open(), ShouldEqual, 0)
+		So(pool.OpenConnections(), ShouldEqual, 0)
 	})
 }
 
@@ -324,16 +324,16 @@
 		_, err := exchange(pool, Target{Key: "a", Address: address}, "1")
 		So(err, ShouldBeNil)
 		pool.Sweep()
-		So(pool.Open(), ShouldEqual, 1)
+		So(pool.OpenConnections(), ShouldEqual, 1)
 		clock.Advance(defaultIdle)
 		pool.Sweep()
-		So(pool.Open(), ShouldEqual, 0)
+		So(pool.OpenConnections(), ShouldEqual, 0)
 	})
 	Convey("the connections of a replica that is gone are closed", t, func() {
 		_, err := exchange(pool, Target{Key: "a", Address: address}, "2")
 		So(err, ShouldBeNil)
 		pool.Retire("a")
-		So(pool.Open(), ShouldEqual, 0)
+		So(pool.OpenConnections(), ShouldEqual, 0)
 	})
 }
 
--- a/internal/connector/pool.go
+++ b/internal/connector/pool.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// Open returns how many connections are open, idle ones too.
-func (pool *Pool) Open() int {
+// OpenConnections returns how many connections are open, idle ones too.
+func (pool *Pool) OpenConnections() int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	total := 0
