--- a/internal/router/configuration.go
+++ b/internal/router/configuration.go
@@ -54,8 +54,8 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Keyed reports whether requests need a key, except on public routes.
-	Keyed bool
+	// KeyRequired reports whether requests need a key, except on public routes.
+	KeyRequired bool
 	// Teams maps a key to the team that holds it.
 	Teams map[string]Team
 }
@@ -135,7 +135,7 @@
 	if known && key != "" {
 		return Access{Allowed: true, Team: team}
 	}
-	return Access{Allowed: route.Public || !config.content.Keyed}
+	return Access{Allowed: route.Public || !config.content.KeyRequired}
 }
 
 // Rank orders requests: the lowest is the most urgent.
--- a/internal/router/configuration_test.go
+++ b/internal/router/configuration_test.go
@@ -32,7 +32,7 @@
 
 func TestAKeyOpensARoute(t *testing.T) {
 	two := 2
-	config := New(Content{Keyed: true, Teams: map[string]Team{"k": {Name: "bole", Urgency: &two}}})
+	config := New(Content{KeyRequired: true, Teams: map[string]Team{"k": {Name: "bole", Urgency: &two}}})
 	tests := []struct {
 		name    string
 		config  *Configuration
