--- a/internal/router/configuration.go
+++ b/internal/router/configuration.go
@@ -44,7 +44,7 @@
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	HeaderTime  timekeeper.Span
+	HeaderTimeout  timekeeper.Span
 	IdleTime    timekeeper.Span
 }
 
