--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -254,7 +254,7 @@
 // idleLimit returns how long a caller's connection may be idle.
 func (direct *Direct) idleLimit() timekeeper.Span {
 	if config := direct.config(); config != nil {
-		return config.Limits().IdleTime
+		return config.Limits().IdleTimeout
 	}
 	return 0
 }
--- a/internal/router/configuration.go
+++ b/internal/router/configuration.go
@@ -45,7 +45,7 @@
 	HeaderBytes int
 	BodyBytes   int64
 	HeaderTimeout  timekeeper.Span
-	IdleTime    timekeeper.Span
+	IdleTimeout    timekeeper.Span
 }
 
 // Content is what a Configuration is made of.
