--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -87,7 +87,7 @@
 // must not repeat wait on: silence proves nothing. The function that is returned ends the
 // bound.
 func (task *task) listen(ctx context.Context, placement *balancer.Placement) (context.Context, func()) {
-	if !task.route.Idempotent() || task.runs+1 >= task.route.Replicas {
+	if !task.route.Idempotent() || task.runs+1 >= task.route.MaxReplicas {
 		return ctx, func() {}
 	}
 	silence := min(timekeeper.Span(silentShare*float64(task.patience())), longestSilence) + placement.Expected
@@ -216,7 +216,7 @@
 
 // mayGoOn reports whether a failure of the replica would go on elsewhere.
 func (task *task) mayGoOn() bool {
-	return task.begun || (task.route.Idempotent() && task.runs+1 < task.route.Replicas)
+	return task.begun || (task.route.Idempotent() && task.runs+1 < task.route.MaxReplicas)
 }
 
 // promises reports whether a status promises that the request has not run.
--- a/internal/relayer/entry_bench_test.go
+++ b/internal/relayer/entry_bench_test.go
@@ -47,7 +47,7 @@
 	pool, release := connector.NewPool(connector.Settings{Clock: clock})
 	t.Cleanup(release)
 	config := router.New(router.Content{Version: 1, Routes: []router.Route{{
-		Host: "kitchen.example", Prefix: "/", Kind: router.Stream, Replicas: 1,
+		Host: "kitchen.example", Prefix: "/", Kind: router.Stream, MaxReplicas: 1,
 		Destinations: []router.Destination{{Service: "planner", Weight: 1}},
 	}}})
 	return New(Settings{
--- a/internal/relayer/task.go
+++ b/internal/relayer/task.go
@@ -245,7 +245,7 @@
 		return task.refusals <= mostRefusals && task.entry.spend(task.service)
 	case broken:
 		task.runs++
-		return task.route.Idempotent() && task.runs < task.route.Replicas && task.entry.spend(task.service)
+		return task.route.Idempotent() && task.runs < task.route.MaxReplicas && task.entry.spend(task.service)
 	case answered:
 	}
 	return false
--- a/internal/relayer/task_test.go
+++ b/internal/relayer/task_test.go
@@ -56,7 +56,7 @@
 			})
 			again := 0
 			for range 5 {
-				task := &task{entry: entry, service: "orders", route: router.Route{Kind: router.Safe, Replicas: 3}}
+				task := &task{entry: entry, service: "orders", route: router.Route{Kind: router.Safe, MaxReplicas: 3}}
 				if task.again(attemptResult{verdict: test.verdict}) {
 					again++
 				}
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -53,8 +53,8 @@
 	GapTarget timekeeper.Span
 	// Urgency orders requests: zero is the most urgent.
 	Urgency int
-	// Replicas is the most replicas that may run one request of a caller.
-	Replicas     int
+	// MaxReplicas is the most replicas that may run one request of a caller.
+	MaxReplicas     int
 	Destinations []Destination
 	// Public routes need no key.
 	Public bool
