--- a/internal/assembler/direct_readers.go
+++ b/internal/assembler/direct_readers.go
@@ -107,7 +107,7 @@
 func (fellows *fellows) reads() (reads bool) {
 	own := addressOf(fellows.direct.listeners.peers)
 	now := fellows.direct.clock.Now()
-	fellows.elect(func(turns *turns) { reads = now >= turns.introduced && elector.Has(turns.readers, own) })
+	fellows.elect(func(turns *turns) { reads = now >= turns.introduced && elector.Contains(turns.readers, own) })
 	return reads
 }
 
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -55,7 +55,7 @@
 	return 0
 }
 
-// Has reports whether a member is among readers.
-func Has(readers []Member, address string) bool {
+// Contains reports whether a member is among readers.
+func Contains(readers []Member, address string) bool {
 	return slices.ContainsFunc(readers, func(reader Member) bool { return reader.Address == address })
 }
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -75,7 +75,7 @@
 			return member, true
 		}, 6},
 		{"all are lost at once", func(member elector.Member) (elector.Member, bool) {
-			return member, !elector.Has(readers, member.Address)
+			return member, !elector.Contains(readers, member.Address)
 		}, 6},
 		{"its data centre is lost", func(member elector.Member) (elector.Member, bool) {
 			return member, member.DataCentre != first.DataCentre
@@ -103,12 +103,12 @@
 				centres[reader.DataCentre] = true
 			}
 			So(centres, ShouldHaveLength, 6)
-			So(elector.Has(now, first.Address), ShouldBeFalse)
+			So(elector.Contains(now, first.Address), ShouldBeFalse)
 			if test.name == "all are lost at once" {
 				return
 			}
 			for _, reader := range readers[1:] {
-				So(elector.Has(now, reader.Address), ShouldBeTrue)
+				So(elector.Contains(now, reader.Address), ShouldBeTrue)
 			}
 		})
 	}
@@ -145,7 +145,7 @@
 		{Address: "10.0.0.3:7340", DataCentre: 1}, {Address: "10.1.0.1:7340", DataCentre: 2},
 	}
 	readers := elector.Readers(members, 1)
-	fmt.Println(len(readers), elector.Has(readers, "10.1.0.1:7340"), elector.Has(readers, "10.0.0.2:7340"))
+	fmt.Println(len(readers), elector.Contains(readers, "10.1.0.1:7340"), elector.Contains(readers, "10.0.0.2:7340"))
 	// Output: 2 true false
 }
 
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -216,7 +216,7 @@
 }
 
 func (one *process) reads() bool {
-	return elector.Has(elector.Readers(one.members(), fleetAlone), one.own.Address)
+	return elector.Contains(elector.Readers(one.members(), fleetAlone), one.own.Address)
 }
 
 func (one *process) takingTurns() int {
