--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -172,7 +172,7 @@
 	return relayer.Settings{
 		Clock: direct.clock, Log: direct.log, Scope: direct.scope, Fleet: direct.fleet, Pool: direct.pool,
 		Dialect: platform.Dialect(), Config: direct.config,
-		Retries: relayer.RetryBudget{
+		RetryBudget: relayer.RetryBudget{
 			Window: direct.settings.Retry.Window, Ratio: direct.settings.Retry.Ratio, Extra: direct.settings.Retry.Extra,
 		},
 		Entries:        func() int { return max(minSharers, sharersOfPeer*direct.fellows.readers()) },
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -37,7 +37,7 @@
 	Dialect Dialect
 	// Config returns the configuration in force, or nil while none is known.
 	Config  func() *router.Configuration
-	Retries RetryBudget
+	RetryBudget RetryBudget
 	// Entries returns among how many entries the retries are shared.
 	Entries func() int
 	// TooManyConnections reports whether callers should leave after their answer, so that
@@ -243,7 +243,7 @@
 	window, found := entry.budgets[service]
 	if !found {
 		window = retrier.NewWindow(retrier.WindowSettings{
-			Span: entry.settings.Retries.Window, Ratio: entry.settings.Retries.Ratio, Extra: entry.settings.Retries.Extra,
+			Span: entry.settings.RetryBudget.Window, Ratio: entry.settings.RetryBudget.Ratio, Extra: entry.settings.RetryBudget.Extra,
 		})
 		entry.budgets[service] = window
 	}
--- a/internal/relayer/task_test.go
+++ b/internal/relayer/task_test.go
@@ -52,7 +52,7 @@
 			entry := New(Settings{
 				Scope: tally.NoopScope,
 				Clock: timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour)).Clock(), Entries: func() int { return 1 },
-				Retries: RetryBudget{Window: timekeeper.Minute, Extra: retries},
+				RetryBudget: RetryBudget{Window: timekeeper.Minute, Extra: retries},
 			})
 			again := 0
 			for range 5 {
