--- a/internal/connector/connection.go
+++ b/internal/connector/connection.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// readBuffer holds the head of an answer and some events of a stream, in
-	// bytes. At 300 connections an entry spends 1.2 MB on it.
-	readBuffer = 4096
-	// defaultIdle is how long a connection is kept when the replica has not said
-	// how long it keeps it. Replicas that close sooner are found by the check
-	// before each use.
-	defaultIdle = 3 * timekeeper.Second
-	// idleMargin is taken off the time that a replica states, so that a request
-	// does not cross the replica's close: it is some thirty round trips.
-	idleMargin = 200 * timekeeper.Millisecond
+	// readBufferSize is the size of a connection's read buffer, in bytes: enough
+	// for the head of an answer and some events of a stream. At 300 connections
+	// the buffers of an entry take 1.2 MB.
+	readBufferSize = 4096
+	// defaultIdleTimeout applies when the replica has not stated its own. If the
+	// replica closes a connection sooner, the check before each use finds it.
+	defaultIdleTimeout = 3 * timekeeper.Second
+	// idleTimeoutMargin is subtracted from the replica's idle timeout, so that no
+	// request is sent while the replica closes the connection. It is about thirty
+	// round trips.
+	idleTimeoutMargin = 200 * timekeeper.Millisecond
 )
 
-// connection is one kept connection to a replica.
+// connection is a connection to a replica.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 	// used reports whether an exchange has ended on it before.
 	used bool
-	// foreign reports whether an answer of another request came on it.
-	foreign bool
-	// idleUntil is when it is too old for another exchange.
+	// stray reports whether an answer to another request arrived on it.
+	stray bool
+	// idleUntil is when an idle connection expires.
 	idleUntil timekeeper.Instant
-	// silent is how long the replica keeps it idle.
-	silent timekeeper.Span
+	// idleTimeout is how long the replica keeps an idle connection.
+	idleTimeout timekeeper.Span
 }
 
-// clean reports whether nothing has come on an idle connection: neither an end
-// nor bytes. Bytes that come while nobody waits belong to no request.
+// clean reports whether an idle connection is still open and nothing has arrived on it.
+// Bytes that arrive on an idle connection belong to no request.
 func (conn *connection) clean() bool {
 	if conn.reader.Buffered() > 0 {
 		return false
@@ -49,27 +50,27 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = control.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		_, failure := syscall.Read(int(descriptor), one[:])
-		quiet = failure == syscall.EAGAIN
+		empty = failure == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// userTimeout is Linux's TCP_USER_TIMEOUT.
-const userTimeout = 18
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux.
+const tcpUserTimeout = 18
 
-// UserTimeoutControl returns a function for net.Dialer and net.ListenConfig that bounds how
-// long sent bytes may stay without an acknowledgement: no reset tells of a peer that has
-// lost power or is cut off.
+// UserTimeoutControl returns a Control function for net.Dialer and net.ListenConfig that
+// sets TCP_USER_TIMEOUT, which bounds how long sent bytes may remain unacknowledged. A
+// remote host that has lost power or is cut off sends no reset.
 func UserTimeoutControl(span timekeeper.Span) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failure error
 		err := raw.Control(func(descriptor uintptr) {
-			failure = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(span))
+			failure = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(span))
 		})
 		if err != nil {
 			return err
--- a/internal/connector/doc.go
+++ b/internal/connector/doc.go
@@ -1,15 +1,13 @@
-// Package connector carries one HTTP/1.1 exchange at a time over kept
-// connections to replicas.
+// Package connector pools connections to replicas and carries one HTTP/1.1
+// exchange at a time over each.
 //
-// net/http writes the request and reads the answer; the connections are kept
-// here, not by its Transport, because three things must be certain that the
-// Transport leaves open. It sends a request again by itself on a kept
-// connection that turns out to be dead, so a request might run twice. It takes
-// whatever bytes come first on a kept connection as the answer, so an answer
-// that nobody waits for would go to the wrong caller. And it opens a second
-// connection while a first is on its way, while a replica resets connections
-// over its limit.
+// It uses net/http for headers and the parsing of answers, but not its
+// Transport, for three reasons. The Transport retries a request by itself when
+// a kept connection turns out to be dead, so a request might run twice. It
+// takes the first bytes on a kept connection as the answer, so a stray answer
+// would go to the wrong caller. And it may dial a second connection while the
+// first is being opened, whereas replicas reset connections over their limit.
 //
-// An exchange says how far it got: Unsent means that no byte of the request
-// left this process, and only then is it certain that nothing ran.
+// A failed exchange reports its progress: Unsent means that no byte of the
+// request left this process, and only then is it certain that nothing ran.
 package connector
--- a/internal/connector/exchange.go
+++ b/internal/connector/exchange.go
@@ -14,20 +14,20 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Progress says how far an exchange got when it failed.
+// Progress is how far a failed exchange got.
 type Progress uint8
 
 const (
-	// Unsent means that no byte of the request left: it has not run.
+	// Unsent means that no byte of the request was sent, so it has not run.
 	Unsent Progress = iota + 1
 	// Sent means that the request may have run.
 	Sent
 )
 
-// Failure is an exchange that ended without the head of an answer.
+// Failure is the error of an exchange that ended before the head of an answer.
 type Failure struct {
 	Progress Progress
-	// Reused reports whether it failed on a kept connection.
+	// Reused reports whether the connection had carried an exchange before.
 	Reused bool
 	Cause  error
 }
@@ -38,7 +38,7 @@
 // Unwrap returns the cause.
 func (failure Failure) Unwrap() error { return failure.Cause }
 
-// Request is one request for a replica.
+// Request is a request to a replica.
 type Request struct {
 	Method string
 	// Path is the path with the query, as the caller sent it.
@@ -46,86 +46,88 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches reports whether a head answers this request; nil means that each does.
+	// Matches reports whether an answer's header belongs to this request; nil accepts
+	// every answer.
 	Matches func(head http.Header) bool
-	// Admit is asked once a connection is open, before the first byte is sent; an error
-	// leaves the request unsent. Nil means that nothing speaks against it.
+	// Admit is called once a connection is open, before the first byte is sent; if it
+	// returns an error, the request is not sent. Nil admits the request.
 	Admit func() error
 }
 
-// Answer is the head of an answer, with a body that is read as it comes.
+// Answer is the head of an answer, with a body to be read from the connection.
 type Answer struct {
 	*http.Response
-	// StrayAnswers is how many answers of other requests came before this one.
+	// StrayAnswers is the number of answers to other requests that were skipped.
 	StrayAnswers int
-	// finish gives the connection back, or closes it.
+	// finish returns the connection to the pool, or closes it.
 	finish func(whole bool)
 	once   sync.Once
 }
 
-// Finish ends the exchange. whole says that the body was read to its end; the
-// connection is kept only then.
+// Finish ends the exchange. The connection can be reused only if whole states that
+// the body was read to its end.
 func (answer *Answer) Finish(whole bool) {
 	answer.once.Do(func() { answer.finish(whole) })
 }
 
 const (
-	// mostForeign bounds how many answers of other requests are read over.
-	mostForeign = 3
-	// foreignBody bounds how much of such an answer is read, in bytes.
-	foreignBody = 1 << 20
-	// inlineBody is the longest body that is written before the answer is read,
-	// in bytes. It fits the window of any connection, so the write can't block
-	// on a replica that answers without reading.
-	inlineBody = 2048
+	// maxStrayAnswers bounds the answers to other requests that are skipped.
+	maxStrayAnswers = 3
+	// maxStrayBody bounds the body of a skipped answer, in bytes.
+	maxStrayBody = 1 << 20
+	// maxInlineBody is the longest body that is written before the answer is read,
+	// in bytes. It fits into the TCP window of any connection, so the write does
+	// not block on a replica that answers without reading.
+	maxInlineBody = 2048
 )
 
-// Do sends a request and returns the head of its answer. When ctx ends the
-// connection is closed, which tells the replica to stop. An error is a Failure.
+// Do sends a request and returns the head of its answer. When ctx ends, the
+// connection is closed, which makes the replica cancel the request. Each error
+// is a Failure.
 func (pool *Pool) Do(ctx context.Context, target Target, request Request) (*Answer, error) {
-	conn, err := pool.take(ctx, target)
+	conn, err := pool.acquire(ctx, target)
 	if err != nil {
 		return nil, Failure{Progress: Unsent, Cause: err}
 	}
 	if request.Admit != nil {
 		if err := request.Admit(); err != nil {
-			pool.keep(target, conn)
+			pool.putIdle(target, conn)
 			return nil, Failure{Progress: Unsent, Cause: err}
 		}
 	}
 	unwatch := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	if ctx.Err() != nil {
 		unwatch()
-		pool.drop(target, conn)
+		pool.discard(target, conn)
 		return nil, Failure{Progress: Unsent, Cause: ctx.Err()}
 	}
-	written := write(conn, request)
-	head, foreign, err := readHead(conn, request) //nolint:bodyclose // the body ends with the exchange, in Finish.
+	written := writeRequest(conn, request)
+	head, stray, err := readHead(conn, request) //nolint:bodyclose // the body ends with the exchange, in Finish.
 	if err != nil {
 		unwatch()
-		pool.drop(target, conn)
+		pool.discard(target, conn)
 		return nil, Failure{Progress: Sent, Reused: conn.used, Cause: err}
 	}
-	answer := &Answer{Response: head, StrayAnswers: foreign}
+	answer := &Answer{Response: head, StrayAnswers: stray}
 	answer.finish = func(whole bool) {
 		stopped := unwatch()
-		if whole && stopped && keeps(conn, head) && settled(written) {
-			conn.silent = keepAlive(head.Header)
-			pool.keep(target, conn)
+		if whole && stopped && reusable(conn, head) && fullyWritten(written) {
+			conn.idleTimeout = keepAliveTimeout(head.Header)
+			pool.putIdle(target, conn)
 			return
 		}
-		pool.drop(target, conn)
+		pool.discard(target, conn)
 	}
 	return answer, nil
 }
 
-// write sends a request. A long body is sent from a goroutine of its own: a
-// replica may answer before it has read it. The channel is closed once all is
-// written, and never when it failed.
-func write(conn *connection, request Request) <-chan struct{} {
+// writeRequest sends a request, with a long body from a goroutine of its own,
+// because a replica may answer before it has read the body. The channel is closed
+// once the request is written, and stays open if writing fails.
+func writeRequest(conn *connection, request Request) <-chan struct{} {
 	done := make(chan struct{})
 	out := render(request)
-	if len(request.Body) <= inlineBody {
+	if len(request.Body) <= maxInlineBody {
 		if _, err := conn.Write(out); err == nil {
 			close(done)
 		}
@@ -139,10 +141,9 @@
 	return done
 }
 
-// settled reports whether the whole request was written. A replica that
-// answered early reads on later, and what came next on the connection would be
-// taken for the rest of the body.
-func settled(written <-chan struct{}) bool {
+// fullyWritten reports whether the whole request was written. Otherwise the replica
+// still expects the rest of the body, and would read the next request as part of it.
+func fullyWritten(written <-chan struct{}) bool {
 	select {
 	case <-written:
 		return true
@@ -151,7 +152,7 @@
 	}
 }
 
-// render writes head and body of a request into one buffer, for one write.
+// render returns the head and body of a request, to be sent by one write.
 func render(request Request) []byte {
 	var out bytes.Buffer
 	out.Grow(512 + len(request.Body))
@@ -172,31 +173,32 @@
 	return out.Bytes()
 }
 
-// errForeign is returned when only answers of other requests came.
-var errForeign = eris.New("the answer belongs to another request")
+// errStray is returned when only answers to other requests arrived.
+var errStray = eris.New("the answer belongs to another request")
 
-// readHead reads the head of the answer to the request. A second answer to an earlier request
-// may lie on the connection; the echoed identity tells it apart, and ours comes behind it.
+// readHead reads the head of the answer to the request. It skips stray answers, such as a
+// second answer to an earlier request, which the echoed request ID distinguishes. It also
+// returns the number of stray answers.
 func readHead(conn *connection, request Request) (*http.Response, int, error) {
-	for foreign := 0; foreign <= mostForeign; foreign++ {
-		head, err := readFinal(conn, request.Method)
+	for stray := 0; stray <= maxStrayAnswers; stray++ {
+		head, err := readFinalHead(conn, request.Method)
 		if err != nil {
-			return nil, foreign, err
+			return nil, stray, err
 		}
 		if request.Matches == nil || request.Matches(head.Header) {
-			return head, foreign, nil
+			return head, stray, nil
 		}
-		conn.foreign = true
-		read, err := io.Copy(io.Discard, io.LimitReader(head.Body, foreignBody))
-		if err != nil || read == foreignBody || head.Close {
-			return nil, foreign + 1, errForeign
+		conn.stray = true
+		read, err := io.Copy(io.Discard, io.LimitReader(head.Body, maxStrayBody))
+		if err != nil || read == maxStrayBody || head.Close {
+			return nil, stray + 1, errStray
 		}
 	}
-	return nil, mostForeign, errForeign
+	return nil, maxStrayAnswers, errStray
 }
 
-// readFinal reads the next head that is not an interim one.
-func readFinal(conn *connection, method string) (*http.Response, error) {
+// readFinalHead reads the head of the next answer, skipping interim (1xx) ones.
+func readFinalHead(conn *connection, method string) (*http.Response, error) {
 	for {
 		head, err := http.ReadResponse(conn.reader, &http.Request{Method: method})
 		if err != nil {
@@ -206,19 +208,20 @@
 			return head, nil
 		}
 		if head.StatusCode == http.StatusSwitchingProtocols {
-			return nil, eris.New("the replica switched protocols unasked")
+			return nil, eris.New("the replica switched protocols without a request")
 		}
 	}
 }
 
-// keeps reports whether a connection may serve another exchange.
-func keeps(conn *connection, head *http.Response) bool {
-	unframed := head.ContentLength < 0 && len(head.TransferEncoding) == 0
-	return !head.Close && !unframed && !conn.foreign && conn.clean()
+// reusable reports whether a connection may carry another exchange.
+func reusable(conn *connection, head *http.Response) bool {
+	untilClose := head.ContentLength < 0 && len(head.TransferEncoding) == 0
+	return !head.Close && !untilClose && !conn.stray && conn.clean()
 }
 
-// keepAlive returns how long the replica keeps an idle connection.
-func keepAlive(head http.Header) timekeeper.Span {
+// keepAliveTimeout returns the idle timeout that the Keep-Alive header states, or
+// defaultIdleTimeout.
+func keepAliveTimeout(head http.Header) timekeeper.Span {
 	for _, field := range strings.Split(head.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(strings.TrimSpace(value))
@@ -226,5 +229,5 @@
 			return timekeeper.Span(seconds) * timekeeper.Second
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
--- a/internal/connector/exchange_test.go
+++ b/internal/connector/exchange_test.go
@@ -17,11 +17,12 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// peerScript answers one connection after the other by hand, byte for byte.
-type peerScript func(conn net.Conn, reader *bufio.Reader, number int)
+// replicaScript handles the connection of a number, counted from 1, byte for byte.
+type replicaScript func(conn net.Conn, reader *bufio.Reader, number int)
 
-// startPeer listens on loopback and runs the script on each connection.
-func startPeer(t *testing.T, script peerScript) (address string, accepted *atomic.Int32) {
+// startReplica listens on loopback and runs the script on each connection. It returns the
+// address and the count of accepted connections.
+func startReplica(t *testing.T, script replicaScript) (address string, accepted *atomic.Int32) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +45,7 @@
 	return listener.Addr().String(), accepted
 }
 
-// readRequest reads one request and returns its identity, or "" at the end.
+// readRequest reads one request and returns its ID, or "" at the end of the connection.
 func readRequest(reader *bufio.Reader) string {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -54,10 +55,12 @@
 	return request.Header.Get("Test-Id")
 }
 
+// answer writes an answer that echoes the ID.
 func answer(conn net.Conn, id, body string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTest-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
+// requestOf returns a request that accepts only answers with its ID.
 func requestOf(id string) Request {
 	return Request{
 		Method: http.MethodPost, Path: "/", Host: "kitchen.example", Header: http.Header{"Test-Id": {id}}, Body: []byte("ten meals"),
@@ -65,7 +68,7 @@
 	}
 }
 
-// exchange makes one exchange and returns the body, or the error.
+// exchange sends a request and returns the body of the answer, or the error.
 func exchange(pool *Pool, target Target, id string) (string, error) {
 	got, err := pool.Do(context.Background(), target, requestOf(id))
 	if err != nil {
@@ -82,15 +85,15 @@
 	return pool
 }
 
-func TestAConnectionIsKeptForTheNextExchange(t *testing.T) {
-	address, accepted := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+func TestAConnectionIsReusedForTheNextExchange(t *testing.T) {
+	address, accepted := startReplica(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		for id := readRequest(reader); id != ""; id = readRequest(reader) {
 			answer(conn, id, "for "+id)
 		}
 	})
 	pool := newTestPool(t)
 	target := Target{Key: "a", Address: address, MaxConnections: 1}
-	Convey("two exchanges use one connection", t, func() {
+	Convey("two successive exchanges use one connection", t, func() {
 		for _, id := range []string{"1", "2"} {
 			body, err := exchange(pool, target, id)
 			So(err, ShouldBeNil)
@@ -99,7 +102,7 @@
 		So(accepted.Load(), ShouldEqual, 1)
 		So(pool.OpenConnections(), ShouldEqual, 1)
 	})
-	Convey("a connection in use is not shared, and the bound holds", t, func() {
+	Convey("a connection in use is not shared, and the connection limit holds", t, func() {
 		first, err := pool.Do(context.Background(), target, requestOf("3"))
 		So(err, ShouldBeNil)
 		_, err = pool.Do(context.Background(), target, requestOf("4"))
@@ -112,12 +115,13 @@
 	})
 }
 
-func TestAStrayAnswerReachesNobody(t *testing.T) {
-	// The replica answers the first request twice. Its second answer lies on the
-	// kept connection when the next request is sent, or comes just after. The next
-	// caller must get its own answer, and the request must not be sent again.
+func TestAStrayAnswerReachesNoCaller(t *testing.T) {
+	// Guards against callers getting each other's answers: the replica answers the first
+	// request twice, and the second answer arrives on the kept connection before or after
+	// the next request is sent. The next caller must get its own answer, and its request
+	// must not be retried.
 	var runs atomic.Int32
-	address, accepted := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+	address, accepted := startReplica(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		first := readRequest(reader)
 		runs.Add(1)
 		answer(conn, first, "for "+first)
@@ -129,7 +133,7 @@
 	})
 	pool := newTestPool(t)
 	target := Target{Key: "a", Address: address}
-	Convey("the stray answer is read over, and the connection is not kept", t, func() {
+	Convey("the stray answer is skipped, and the connection is not reused", t, func() {
 		for _, id := range []string{"1", "2", "3"} {
 			body, err := exchange(pool, target, id)
 			So(err, ShouldBeNil)
@@ -140,16 +144,16 @@
 	})
 }
 
-func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
-	// The replica sends bytes after a whole answer, which nobody waits for. The
-	// next exchange must not read them.
-	address, accepted := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
+	// Guards against an exchange that reads bytes which the replica sent after the previous
+	// answer.
+	address, accepted := startReplica(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		for id := readRequest(reader); id != ""; id = readRequest(reader) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTest-Id: %s\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n", id)
 		}
 	})
 	pool := newTestPool(t)
-	Convey("each exchange gets a connection of its own", t, func() {
+	Convey("each exchange uses a new connection", t, func() {
 		for _, id := range []string{"1", "2"} {
 			body, err := exchange(pool, Target{Key: "a", Address: address}, id)
 			So(err, ShouldBeNil)
@@ -159,10 +163,10 @@
 	})
 }
 
-func TestNothingIsSentTwice(t *testing.T) {
-	// The replica reads a request on a kept connection and closes it without an
-	// answer. It may have run: the request must not be sent again by itself, and
-	// the error must say that it was sent.
+func TestARequestIsNotRetriedOnABrokenConnection(t *testing.T) {
+	// Guards against a request that runs twice: the replica reads it on a kept connection
+	// and closes the connection without an answer. The request may have run, so the pool
+	// must not retry it, and the error must state that it was sent.
 	tests := []struct{ method, body string }{
 		{http.MethodPost, "ten meals"},
 		{http.MethodGet, ""},
@@ -170,7 +174,7 @@
 	for _, test := range tests {
 		Convey(test.method, t, func() {
 			var seen atomic.Int32
-			address, _ := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+			address, _ := startReplica(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 				for id := readRequest(reader); id != ""; id = readRequest(reader) {
 					if seen.Add(1) > 1 {
 						return
@@ -195,23 +199,23 @@
 	}
 }
 
-func TestAKeptConnectionThatTheReplicaClosedIsNotUsed(t *testing.T) {
-	// The replica closes an idle connection. The close has arrived when the next
-	// request comes: it goes over a new connection, and nothing is lost.
+func TestAConnectionThatTheReplicaClosedIsNotReused(t *testing.T) {
+	// Guards against a request that fails because it is sent on a kept connection whose
+	// close has already arrived.
 	closed := make(chan struct{}, 2)
-	address, accepted := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+	address, accepted := startReplica(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		answer(conn, readRequest(reader), "")
 		_ = conn.Close()
 		closed <- struct{}{}
 	})
 	pool := newTestPool(t)
-	Convey("the next exchange opens another", t, func() {
+	Convey("the next exchange opens a new connection", t, func() {
 		for _, id := range []string{"1", "2"} {
 			_, err := exchange(pool, Target{Key: "a", Address: address}, id)
 			So(err, ShouldBeNil)
 			<-closed
-			// The end of the connection has to cross loopback.
-			for _, conn := range pool.peer("a").idle {
+			// Wait until the close has crossed loopback.
+			for _, conn := range pool.replica("a").idle {
 				for conn.clean() {
 					_ = timekeeper.Steady().Sleep(context.Background(), 1)
 				}
@@ -222,11 +226,11 @@
 }
 
 func TestAnAnswerBeforeTheBodyWasRead(t *testing.T) {
-	// The replica refuses a long request before it has read the body. The caller
-	// gets the refusal, and the connection, on which the rest of the body is still
-	// due, serves nobody else.
+	// Guards against a request that the replica reads as part of the previous body: it
+	// refuses a long request before it has read the body. The caller must get the refusal,
+	// and the connection must not be reused.
 	release := make(chan struct{})
-	address, accepted := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+	address, accepted := startReplica(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
@@ -236,7 +240,7 @@
 	})
 	defer close(release)
 	pool := newTestPool(t)
-	Convey("the connection is not kept", t, func() {
+	Convey("the connection is not reused", t, func() {
 		for _, id := range []string{"1", "2"} {
 			request := requestOf(id)
 			request.Body = []byte(strings.Repeat("x", 16<<20))
@@ -252,15 +256,16 @@
 	})
 }
 
-func TestACallerWhoLeavesTakesTheRequestAway(t *testing.T) {
-	// The caller leaves while the replica works: the replica sees its connection end.
-	gone := make(chan error, 1)
+func TestACallerWhoLeavesCancelsItsRequest(t *testing.T) {
+	// Guards against a replica that works on a request whose caller has left: the replica
+	// must see its connection close.
+	closed := make(chan error, 1)
 	working := make(chan struct{})
-	address, _ := startPeer(t, func(_ net.Conn, reader *bufio.Reader, _ int) {
+	address, _ := startReplica(t, func(_ net.Conn, reader *bufio.Reader, _ int) {
 		readRequest(reader)
 		close(working)
 		_, err := reader.ReadByte()
-		gone <- err
+		closed <- err
 	})
 	pool := newTestPool(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -268,12 +273,12 @@
 	Convey("the connection is closed", t, func() {
 		_, err := pool.Do(ctx, Target{Key: "a", Address: address}, requestOf("1"))
 		So(err, ShouldNotBeNil)
-		So(<-gone, ShouldNotBeNil)
+		So(<-closed, ShouldNotBeNil)
 		So(pool.OpenConnections(), ShouldEqual, 0)
 	})
 }
 
-func TestAReplicaThatTakesNoConnections(t *testing.T) {
+func TestAReplicaThatAcceptsNoConnections(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -281,7 +286,7 @@
 	address := listener.Addr().String()
 	_ = listener.Close()
 	pool := newTestPool(t)
-	Convey("nothing was sent, and that is said", t, func() {
+	Convey("the error states that nothing was sent", t, func() {
 		_, err := exchange(pool, Target{Key: "a", Address: address, MaxConnections: 1}, "1")
 		var failure Failure
 		So(eris.As(err, &failure), ShouldBeTrue)
@@ -297,22 +302,22 @@
 		header string
 		want   timekeeper.Span
 	}{
-		{"", defaultIdle},
+		{"", defaultIdleTimeout},
 		{"timeout=5", 5 * timekeeper.Second},
 		{"max=100, timeout=2", 2 * timekeeper.Second},
 		{"timeout=0", 0},
-		{"timeout=soon", defaultIdle},
-		{"timeout=-1", defaultIdle},
+		{"timeout=soon", defaultIdleTimeout},
+		{"timeout=-1", defaultIdleTimeout},
 	}
 	for _, test := range tests {
 		Convey("header "+test.header, t, func() {
-			So(keepAlive(http.Header{"Keep-Alive": {test.header}}), ShouldEqual, test.want)
+			So(keepAliveTimeout(http.Header{"Keep-Alive": {test.header}}), ShouldEqual, test.want)
 		})
 	}
 }
 
-func TestIdleConnectionsAreSweptAndRetired(t *testing.T) {
-	address, _ := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	address, _ := startReplica(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		for id := readRequest(reader); id != ""; id = readRequest(reader) {
 			answer(conn, id, "")
 		}
@@ -320,16 +325,16 @@
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	pool, release := NewPool(Settings{Clock: clock.Clock()})
 	defer release()
-	Convey("a connection that is idle for too long is closed", t, func() {
+	Convey("Sweep closes a connection that has been idle for too long", t, func() {
 		_, err := exchange(pool, Target{Key: "a", Address: address}, "1")
 		So(err, ShouldBeNil)
 		pool.Sweep()
 		So(pool.OpenConnections(), ShouldEqual, 1)
-		clock.Advance(defaultIdle)
+		clock.Advance(defaultIdleTimeout)
 		pool.Sweep()
 		So(pool.OpenConnections(), ShouldEqual, 0)
 	})
-	Convey("the connections of a replica that is gone are closed", t, func() {
+	Convey("Retire closes the connections to a replica", t, func() {
 		_, err := exchange(pool, Target{Key: "a", Address: address}, "2")
 		So(err, ShouldBeNil)
 		pool.Retire("a")
@@ -338,10 +343,10 @@
 }
 
 func TestARequestThatIsNotAdmittedIsNotSent(t *testing.T) {
-	// Guards against a request that reaches a replica which was closed while the connection
-	// was opened, and against a connection that is lost by that.
+	// Guards against a request that is sent to a replica that became ineligible while the
+	// connection was opened, and against losing that connection.
 	var requests atomic.Int32
-	address, accepted := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+	address, accepted := startReplica(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		for id := readRequest(reader); id != ""; id = readRequest(reader) {
 			requests.Add(1)
 			answer(conn, id, "done")
@@ -350,7 +355,7 @@
 	pool := newTestPool(t)
 	target := Target{Key: "r", Address: address}
 	errClosed := eris.New("closed")
-	Convey("it is unsent, and the connection serves the next", t, func() {
+	Convey("the request is not sent, and the connection serves the next one", t, func() {
 		request := requestOf("1")
 		request.Admit = func() error { return errClosed }
 		_, err := pool.Do(t.Context(), target, request)
--- a/internal/connector/pool.go
+++ b/internal/connector/pool.go
@@ -12,11 +12,11 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Errors of the pool. All of them mean that nothing was sent.
+// Errors of the pool. Each means that nothing was sent.
 var (
-	// ErrUnreachable is returned when no connection could be opened.
+	// ErrUnreachable is returned when opening a connection failed.
 	ErrUnreachable = eris.New("the replica can't be reached")
-	// ErrConnections is returned when every connection to the replica is in use.
+	// ErrConnections is returned when all allowed connections to the replica are in use.
 	ErrConnections = eris.New("every connection to the replica is in use")
 )
 
@@ -24,13 +24,13 @@
 type Settings struct {
 	Clock timekeeper.Clock
 	// DialTimeout bounds the opening of a connection; zero means 400 ms, which is far
-	// over the round trip between data centres and under the shortest target.
+	// above the round trip between data centres and below the shortest target.
 	DialTimeout timekeeper.Span
-	// AckTimeout bounds how long sent bytes may go without an
-	// acknowledgement; zero means 1.5 s: a lost packet is sent again after 200
-	// ms, then 400 and 800.
+	// AckTimeout bounds how long sent bytes may remain unacknowledged; zero means
+	// 1.5 s, which allows for retransmissions of a lost packet after 200 ms,
+	// 400 ms and 800 ms.
 	AckTimeout timekeeper.Span
-	// OnOpen counts new connections; nil means that they aren't counted.
+	// OnOpen is called for each connection that is opened; it may be nil.
 	OnOpen func()
 }
 
@@ -47,26 +47,27 @@
 	return settings
 }
 
-// Pool keeps the connections to all replicas. Its methods may be called from
-// several goroutines.
+// Pool holds the connections to all replicas. It is safe for concurrent use.
 type Pool struct {
 	settings Settings
 	dialer   net.Dialer
 
-	mu    sync.Mutex
-	peers map[string]*peer
+	mu sync.Mutex
+	// replicas holds the connections by Target.Key.
+	replicas map[string]*replica
 }
 
-// peer is what is kept for one replica.
-type peer struct {
+// replica holds the connections to one replica.
+type replica struct {
 	idle []*connection
+	// open counts the connections, including idle ones and those being opened.
 	open int
 }
 
-// NewPool returns a pool and a function that closes what it keeps idle.
+// NewPool returns a pool and a function that closes its idle connections.
 func NewPool(settings Settings) (*Pool, func()) {
 	settings = settings.withDefaults()
-	pool := &Pool{settings: settings, peers: map[string]*peer{}}
+	pool := &Pool{settings: settings, replicas: map[string]*replica{}}
 	pool.dialer = net.Dialer{
 		Timeout: settings.DialTimeout.Duration(),
 		Control: UserTimeoutControl(settings.AckTimeout),
@@ -77,107 +78,112 @@
 	return pool, pool.closeIdle
 }
 
-// A connection that waits for an answer is silent for as long as the replica
-// works. Probes of the kernel tell a replica that works from one that is gone
-// within about three seconds.
+// A connection is silent while the replica works on an answer. TCP keep-alive probes
+// distinguish a working replica from an unreachable one within about three seconds.
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
-// Target is where an exchange goes.
+// Target is the replica that an exchange is sent to.
 type Target struct {
-	// Key names the replica's incarnation; connections are never shared between two.
+	// Key identifies the replica's incarnation. Connections to different incarnations
+	// are kept apart.
 	Key string
-	// Address is an IP number and a port.
+	// Address is an IP address and a port.
 	Address string
-	// MaxConnections is the most that this process opens to the replica.
+	// MaxConnections limits the connections of this process to the replica; zero means
+	// no limit.
 	MaxConnections int
 }
 
-func (pool *Pool) peer(key string) *peer {
-	found, ok := pool.peers[key]
+// replica returns the connections for a key.
+func (pool *Pool) replica(key string) *replica {
+	found, ok := pool.replicas[key]
 	if !ok {
-		found = &peer{}
-		pool.peers[key] = found
+		found = &replica{}
+		pool.replicas[key] = found
 	}
 	return found
 }
 
-// take returns a kept connection that is sound, or opens one.
-func (pool *Pool) take(ctx context.Context, target Target) (*connection, error) {
+// acquire returns an idle connection that is still usable, or opens a new one.
+func (pool *Pool) acquire(ctx context.Context, target Target) (*connection, error) {
 	for {
-		conn, opens := pool.reserve(target)
-		if conn == nil && !opens {
+		conn, reserved := pool.reserve(target)
+		if conn == nil && !reserved {
 			return nil, ErrConnections
 		}
 		if conn == nil {
-			return pool.open(ctx, target)
+			return pool.dial(ctx, target)
 		}
 		if conn.idleUntil > pool.settings.Clock.Now() && conn.clean() {
 			return conn, nil
 		}
-		pool.drop(target, conn)
+		pool.discard(target, conn)
 	}
 }
 
-// reserve returns the connection that was used last, or a place for a new one.
-func (pool *Pool) reserve(target Target) (conn *connection, opens bool) {
+// reserve returns the idle connection that was used last. Without one, it counts a new
+// connection and reports whether the limit allows to open it.
+func (pool *Pool) reserve(target Target) (conn *connection, reserved bool) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	peer := pool.peer(target.Key)
-	if last := len(peer.idle) - 1; last >= 0 {
-		conn = peer.idle[last]
-		peer.idle = peer.idle[:last]
+	replica := pool.replica(target.Key)
+	if last := len(replica.idle) - 1; last >= 0 {
+		conn = replica.idle[last]
+		replica.idle = replica.idle[:last]
 		return conn, false
 	}
-	if target.MaxConnections > 0 && peer.open >= target.MaxConnections {
+	if target.MaxConnections > 0 && replica.open >= target.MaxConnections {
 		return nil, false
 	}
-	peer.open++
+	replica.open++
 	return nil, true
 }
 
-func (pool *Pool) open(ctx context.Context, target Target) (*connection, error) {
+// dial opens a connection that was reserved.
+func (pool *Pool) dial(ctx context.Context, target Target) (*connection, error) {
 	pool.settings.OnOpen()
 	raw, err := pool.dialer.DialContext(ctx, "tcp", target.Address)
 	if err != nil {
-		pool.forget(target)
+		pool.releaseSlot(target)
 		return nil, eris.Wrap(ErrUnreachable, err.Error())
 	}
-	return &connection{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer), silent: defaultIdle}, nil
+	return &connection{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize), idleTimeout: defaultIdleTimeout}, nil
 }
 
-// keep puts a connection back after a whole exchange.
-func (pool *Pool) keep(target Target, conn *connection) {
+// putIdle returns a connection to the pool for reuse.
+func (pool *Pool) putIdle(target Target, conn *connection) {
 	now := pool.settings.Clock.Now()
 	conn.used = true
-	conn.idleUntil = now.Add(conn.silent - idleMargin)
+	conn.idleUntil = now.Add(conn.idleTimeout - idleTimeoutMargin)
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	peer := pool.peer(target.Key)
-	peer.idle = append(peer.idle, conn)
+	replica := pool.replica(target.Key)
+	replica.idle = append(replica.idle, conn)
 }
 
-// drop closes a connection.
-func (pool *Pool) drop(target Target, conn *connection) {
+// discard closes a connection and no longer counts it.
+func (pool *Pool) discard(target Target, conn *connection) {
 	_ = conn.Close()
-	pool.forget(target)
+	pool.releaseSlot(target)
 }
 
-func (pool *Pool) forget(target Target) {
+// releaseSlot no longer counts a connection that was closed or not opened.
+func (pool *Pool) releaseSlot(target Target) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	peer := pool.peer(target.Key)
-	peer.open--
-	if peer.open <= 0 && len(peer.idle) == 0 {
-		delete(pool.peers, target.Key)
+	replica := pool.replica(target.Key)
+	replica.open--
+	if replica.open <= 0 && len(replica.idle) == 0 {
+		delete(pool.replicas, target.Key)
 	}
 }
 
-// Probe opens a connection and closes it, to learn whether the replica still
-// takes any. It returns ErrUnreachable when it doesn't.
+// Probe opens and closes a connection to check whether the replica accepts
+// connections. It returns ErrUnreachable if it doesn't.
 func (pool *Pool) Probe(ctx context.Context, address string) error {
 	pool.settings.OnOpen()
 	raw, err := pool.dialer.DialContext(ctx, "tcp", address)
@@ -187,51 +193,51 @@
 	return raw.Close()
 }
 
-// Retire closes the idle connections of a replica that is gone.
+// Retire closes the idle connections to a replica that is unreachable or removed.
 func (pool *Pool) Retire(key string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	peer, found := pool.peers[key]
+	replica, found := pool.replicas[key]
 	if !found {
 		return
 	}
-	for _, conn := range peer.idle {
+	for _, conn := range replica.idle {
 		_ = conn.Close()
-		peer.open--
+		replica.open--
 	}
-	peer.idle = nil
-	if peer.open <= 0 {
-		delete(pool.peers, key)
+	replica.idle = nil
+	if replica.open <= 0 {
+		delete(pool.replicas, key)
 	}
 }
 
-// Sweep closes connections that have been idle for too long.
+// Sweep closes idle connections that have expired.
 func (pool *Pool) Sweep() {
 	now := pool.settings.Clock.Now()
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	for _, peer := range pool.peers {
-		kept := peer.idle[:0]
-		for _, conn := range peer.idle {
+	for _, replica := range pool.replicas {
+		kept := replica.idle[:0]
+		for _, conn := range replica.idle {
 			if conn.idleUntil > now {
 				kept = append(kept, conn)
 				continue
 			}
 			_ = conn.Close()
-			peer.open--
+			replica.open--
 		}
-		clear(peer.idle[len(kept):])
-		peer.idle = kept
+		clear(replica.idle[len(kept):])
+		replica.idle = kept
 	}
 }
 
-// OpenConnections returns how many connections are open, idle ones too.
+// OpenConnections returns the number of open connections, including idle ones.
 func (pool *Pool) OpenConnections() int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	total := 0
-	for _, peer := range pool.peers {
-		total += peer.open
+	for _, replica := range pool.replicas {
+		total += replica.open
 	}
 	return total
 }
@@ -239,10 +245,10 @@
 func (pool *Pool) closeIdle() {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	for _, peer := range pool.peers {
-		for _, conn := range peer.idle {
+	for _, replica := range pool.replicas {
+		for _, conn := range replica.idle {
 			_ = conn.Close()
 		}
-		peer.idle = nil
+		replica.idle = nil
 	}
 }
