--- a/internal/router/configuration.go
+++ b/internal/router/configuration.go
@@ -8,67 +8,72 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Engine is what the operator says about the model engines of a service.
+// Engine holds the operator's settings for the engines of a service.
 type Engine struct {
+	// Slots is the number of requests that an engine runs at once.
 	Slots int
 	// MemoryTokens is how many tokens running requests and cached prompt parts
-	// may hold together.
+	// may occupy together.
 	MemoryTokens int
-	// TokenBytes is the memory of one token, in bytes, and LinkMegabits what the
-	// link between engines carries in a second. Zero means that engines don't hand
-	// on what they have cached.
+	// TokenBytes is the memory of one token, in bytes, and LinkMegabits the bandwidth
+	// of the link between engines, per second. Zero means that engines don't transfer
+	// cached prompt parts to each other.
 	TokenBytes, LinkMegabits float64
 }
 
-// Service is a set of equal replicas.
+// Service is a set of interchangeable replicas.
 type Service struct {
 	Name string
 	// Connections is how many connections a replica accepts from all entries.
 	Connections int
 	// Engine is nil for a plain service.
 	Engine *Engine
-	// ColdTime is for how long a replica is cold after its start, ColdRate how many
-	// requests a second it tolerates meanwhile; zero means any number.
+	// ColdTime is how long a replica is cold after its start, and ColdRate how many
+	// requests per second it tolerates during that time; zero means no limit.
 	ColdTime timekeeper.Span
 	ColdRate float64
 }
 
-// Team is who holds a key.
+// Team is the holder of a key.
 type Team struct {
 	Name string
-	// Urgency goes before the route's; nil means that the route's counts.
+	// Urgency takes precedence over that of the route; nil means that the route's
+	// applies.
 	Urgency *int
 }
 
-// Limits bound what a caller may send. A value of zero means no limit.
+// Limits bound callers' requests and connections. A value of zero means no limit.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	HeaderTimeout  timekeeper.Span
-	IdleTimeout    timekeeper.Span
+	// HeaderTimeout bounds the time in which a caller sends the head of a request.
+	HeaderTimeout timekeeper.Span
+	// IdleTimeout bounds the time for which a connection stays idle.
+	IdleTimeout timekeeper.Span
 }
 
-// Content is what a Configuration is made of.
+// Content holds the parts of a Configuration.
 type Content struct {
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// KeyRequired reports whether requests need a key, except on public routes.
+	// KeyRequired states that requests need a key, except on public routes.
 	KeyRequired bool
 	// Teams maps a key to the team that holds it.
 	Teams map[string]Team
 }
 
-// Configuration is an accepted configuration, ready for look-ups.
+// Configuration is an accepted configuration with indexes for look-ups.
 type Configuration struct {
-	content  Content
+	content Content
+	// hosts holds the routes by host, those with the longest prefix first.
 	hosts    map[string][]Route
 	services map[string]Service
 }
 
-// New returns the configuration with the content. The content must not be
-// changed afterwards.
+// New returns a configuration with the content, which must not be changed
+// afterwards.
 func New(content Content) *Configuration {
 	config := &Configuration{
 		content:  content,
@@ -91,13 +96,13 @@
 // Version returns the version; later configurations have higher ones.
 func (config *Configuration) Version() uint64 { return config.content.Version }
 
-// Limits returns what bounds a caller's request.
+// Limits returns the limits on callers' requests.
 func (config *Configuration) Limits() Limits { return config.content.Limits }
 
-// Routes returns how many routes there are.
+// Routes returns the number of routes.
 func (config *Configuration) Routes() int { return len(config.content.Routes) }
 
-// Teams returns how many keys there are.
+// Teams returns the number of keys.
 func (config *Configuration) Teams() int { return len(config.content.Teams) }
 
 // Services returns the services.
@@ -109,8 +114,8 @@
 	return service, found
 }
 
-// Route returns the route of a request: of those of its host, the one with the
-// longest prefix of the path. A port after the host doesn't count.
+// Route returns the route of a request: among the routes of its host, the one with
+// the longest matching path prefix. A port in the host is ignored.
 func (config *Configuration) Route(host, path string) (Route, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -123,49 +128,49 @@
 	return Route{}, false
 }
 
-// Access is the outcome of a check of a key.
+// Access is the result of checking a key for a route.
 type Access struct {
 	Allowed bool
 	Team    Team
 }
 
-// Access decides whether a key opens a route, and for which team.
+// Access checks whether a key gives access to a route, and for which team.
 func (config *Configuration) Access(route Route, key string) Access {
-	team, known := config.content.Teams[key]
-	if known && key != "" {
+	team, found := config.content.Teams[key]
+	if found && key != "" {
 		return Access{Allowed: true, Team: team}
 	}
 	return Access{Allowed: route.Public || !config.content.KeyRequired}
 }
 
-// Rank orders requests: the lowest is the most urgent.
+// Rank is the urgency of a request; the lowest rank is the most urgent.
 type Rank int
 
-// routeRanks is how many ranks the urgency of routes takes within one urgency of
-// teams.
-const routeRanks = 10
+// ranksPerUrgency is the number of ranks within each urgency of a team, by the urgency
+// of the route.
+const ranksPerUrgency = 10
 
-// RankFor returns the rank of a team's request: by the urgency of the team, or of
-// the route where the team has none, and among those by that of the route. Most
-// teams have the same urgency, and without the second part long answers of the
-// least urgent route would stand before the most urgent one.
+// RankFor returns the rank of a team's request. It is ordered by the urgency of the
+// team, or of the route if the team has none, and then by that of the route: most
+// teams have the same urgency, and without the second criterion long answers of the
+// least urgent route would delay requests of the most urgent one.
 func (route Route) RankFor(team Team) Rank {
 	first := route.Urgency
 	if team.Urgency != nil {
 		first = *team.Urgency
 	}
-	return Rank(first*routeRanks + min(max(route.Urgency, 0), routeRanks-1))
+	return Rank(first*ranksPerUrgency + min(max(route.Urgency, 0), ranksPerUrgency-1))
 }
 
 const (
-	// enginePriorities is how many priorities engines know; zero is first.
+	// enginePriorities is the number of priorities of engines; zero is first.
 	enginePriorities = 10
-	// engineStep is how many of them each urgency of teams takes.
-	engineStep = 3
+	// prioritiesPerUrgency is the number of engine priorities for each urgency of a team.
+	prioritiesPerUrgency = 3
 )
 
-// EnginePriority returns the rank as engines know it, from 0 to 9.
+// EnginePriority maps the rank to the scale of engines, from 0 to 9.
 func (rank Rank) EnginePriority() int {
-	first, second := int(rank)/routeRanks, int(rank)%routeRanks
-	return min(max(first, 0)*engineStep+min(second, engineStep-1), enginePriorities-1)
+	first, second := int(rank)/ranksPerUrgency, int(rank)%ranksPerUrgency
+	return min(max(first, 0)*prioritiesPerUrgency+min(second, prioritiesPerUrgency-1), enginePriorities-1)
 }
--- a/internal/router/configuration_test.go
+++ b/internal/router/configuration_test.go
@@ -6,7 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestARouteIsTheLongestPrefixOfItsHost(t *testing.T) {
+func TestTheRouteWithTheLongestPrefixOfTheHostIsChosen(t *testing.T) {
 	config := New(Content{Routes: []Route{
 		{Name: "all", Host: "kitchen.example", Prefix: "/"},
 		{Name: "board", Host: "kitchen.example", Prefix: "/board/"},
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestAKeyOpensARoute(t *testing.T) {
+func TestKeysGiveAccessToRoutes(t *testing.T) {
 	two := 2
 	config := New(Content{KeyRequired: true, Teams: map[string]Team{"k": {Name: "bole", Urgency: &two}}})
 	tests := []struct {
@@ -46,7 +46,7 @@
 		{"an unknown key", config, Route{}, "x", false, "", 0},
 		{"no key", config, Route{}, "", false, "", 0},
 		{"no key on a public route", config, Route{Public: true, Urgency: 5}, "", true, "", 55},
-		{"a configuration without teams", New(Content{}), Route{Urgency: 1}, "x", true, "", 11},
+		{"a configuration that requires no keys", New(Content{}), Route{Urgency: 1}, "x", true, "", 11},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestASplitFollowsItsWeights(t *testing.T) {
+func TestATrafficSplitFollowsItsWeights(t *testing.T) {
 	route := Route{Destinations: []Destination{{"new", 10}, {"old", 90}, {"off", 0}}}
 	tests := []struct {
 		draw float64
@@ -70,7 +70,7 @@
 	Convey("no destination", t, func() { So(Route{}.Service(0.5), ShouldEqual, "") })
 }
 
-func TestEnginesGetTheRankInTheirOwnScale(t *testing.T) {
+func TestRanksAreMappedToEnginePriorities(t *testing.T) {
 	zero, one, nine := 0, 1, 9
 	tests := []struct {
 		name  string
@@ -78,12 +78,12 @@
 		route int
 		want  int
 	}{
-		{"the first of all", &zero, 0, 0},
-		{"the same team, less urgent routes", &zero, 2, 2},
-		{"routes beyond the scale", &zero, 7, 2},
-		{"the next team is behind all of the first", &one, 0, 3},
-		{"the last of all", &nine, 9, 9},
-		{"no team urgency", nil, 1, 4},
+		{"the most urgent team and route", &zero, 0, 0},
+		{"the most urgent team, a less urgent route", &zero, 2, 2},
+		{"a route's urgency beyond the scale", &zero, 7, 2},
+		{"the next urgency of teams follows all routes of the first", &one, 0, 3},
+		{"the least urgent team and route", &nine, 9, 9},
+		{"a team without an urgency", nil, 1, 4},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -1,9 +1,8 @@
-// Package router is the configuration that an entry serves by: which route a
-// request belongs to, which service may run it, which team holds a key, and
-// what may be repeated.
+// Package router holds the configuration of an entry: the route and service of
+// a request, the team of a key, and which requests may be retried.
 //
 // A Configuration is an immutable value with a version. An entry replaces it as
-// a whole, so a request that took one keeps it to its end, and no request sees
-// half of a change. The package is decision logic: no I/O, no goroutines, no
+// a whole, and each request uses the same one to its end, so no request sees
+// half of a change. The package does no I/O, starts no goroutines and uses no
 // clock.
 package router
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -2,7 +2,7 @@
 
 import "github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 
-// Kind says what may be repeated.
+// Kind is a kind of route. It determines which requests may be retried.
 type Kind uint8
 
 // The kinds of routes.
@@ -11,8 +11,8 @@
 	Safe Kind = iota + 1
 	// Once requests run at most once.
 	Once
-	// Stream requests answer with a series of events and run at most once,
-	// unless the route says that they may be resumed.
+	// Stream requests are answered with a stream of events and run at most once,
+	// unless the route is resumable.
 	Stream
 )
 
@@ -29,7 +29,7 @@
 	return "unknown"
 }
 
-// Destination is one of the services that a route may go to.
+// Destination is one of the services among which a route splits its requests.
 type Destination struct {
 	Service string
 	// Weight is the service's share of the route's requests, relative to the
@@ -37,28 +37,28 @@
 	Weight int
 }
 
-// Route is a part of a host's paths and what the operator wants of it.
+// Route holds the operator's settings for a path prefix of a host.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the longest time for which a caller is kept waiting.
 	Timeout timekeeper.Span
-	// Target is the time to the whole answer, or to a stream's first event,
-	// that the operator aims at.
+	// Target is the target latency of the whole answer, or of the first event of a
+	// stream.
 	Target timekeeper.Span
-	// GapTarget is the longest pause between events of a stream that is on time.
+	// GapTarget is the target for the longest pause between events of a stream.
 	GapTarget timekeeper.Span
-	// Urgency orders requests: zero is the most urgent.
+	// Urgency orders requests; zero is the most urgent.
 	Urgency int
-	// MaxReplicas is the most replicas that may run one request of a caller.
-	MaxReplicas     int
+	// MaxReplicas limits the replicas that may run one request of a caller.
+	MaxReplicas  int
 	Destinations []Destination
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may go on at another replica.
+	// Resumable streams may be resumed at another replica.
 	Resumable bool
 }
 
@@ -67,7 +67,8 @@
 	return route.Kind == Safe || (route.Kind == Stream && route.Resumable)
 }
 
-// Service returns the destination for a draw from [0, 1); "" when there is none.
+// Service chooses a destination by its weight for a random draw from [0, 1), and returns its
+// service; "" when there is none.
 func (route Route) Service(draw float64) string {
 	total := 0
 	for _, destination := range route.Destinations {
