--- a/internal/elector/doc.go
+++ b/internal/elector/doc.go
@@ -1,11 +1,10 @@
-// Package elector decides which of many processes read a shared table for all of
-// them.
+// Package elector elects the processes that read a shared table on behalf of all.
 //
-// Each process decides for itself, from whom it has heard of lately; nobody is asked
-// and nothing is agreed on. Members are ranked by a hash of their addresses (rendezvous
-// hashing: Thaler and Ravishankar, 1998), so processes that hear of the same members
-// choose the same readers, and when one goes only its place is filled anew. Where views
-// differ for a moment, one reader too many or too few reads: a matter of cost and of
-// delay, never of what is true, since every process still reads for itself when it
-// stops hearing from readers.
+// Each process elects the readers by itself, among the members that it has recently
+// received messages about; there is no agreement protocol. Members are ranked by a hash
+// of their addresses (rendezvous hashing: Thaler and Ravishankar, 1998), so processes
+// that know the same members elect the same readers, and when a reader fails only that
+// one is replaced. While views differ, there may be one reader too many or too few. This
+// affects cost and delay but not correctness, since every process reads for itself when
+// it stops receiving updates from readers.
 package elector
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -6,26 +6,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a process that could read.
+// Member is a process that is eligible as a reader.
 type Member struct {
-	// Address names the member. Its rank follows from it alone, so one that starts
-	// again has the place that it had.
+	// Address identifies the member. The rank depends on it alone, so a member that
+	// restarts keeps its rank.
 	Address string
-	// DataCentre is a digest of the name of its data centre.
+	// DataCentre is a hash of the name of the member's data centre.
 	DataCentre uint32
-	// Failing reports that the table did not answer the member's last call, Stopping
-	// that it is about to end.
+	// Failing reports whether the table did not answer the member's last call, and
+	// Stopping whether the member is about to stop.
 	Failing, Stopping bool
 }
 
-// Readers returns the members that read, in no particular order.
+// Readers returns the elected readers, in no particular order.
 //
-// Up to alone members each read for themselves. Of more, each data centre has readers of
-// its own, as many as it takes to have alone of them together and one at least, so that a
-// data centre that is cut off goes on reading. One that the table turns away gives its place
-// to the next; while the table turns away all, nobody is chosen.
-func Readers(members []Member, alone int) []Member {
-	if len(members) <= alone {
+// Up to maxUnshared members, each reads for itself. With more, each data centre elects
+// readers of its own, so that one that is cut off continues to read: as many as are needed
+// for at least maxUnshared in total, and at least one. A failing or stopping member is
+// replaced by the next in rank; while the table rejects all members, none is elected.
+func Readers(members []Member, maxUnshared int) []Member {
+	if len(members) <= maxUnshared {
 		return members
 	}
 	centres := map[uint32][]Member{}
@@ -36,9 +36,9 @@
 	}
 	var readers []Member
 	for _, candidates := range centres {
-		each := (alone + len(centres) - 1) / len(centres)
+		perCentre := (maxUnshared + len(centres) - 1) / len(centres)
 		slices.SortFunc(candidates, byRank)
-		readers = append(readers, candidates[:min(each, len(candidates))]...)
+		readers = append(readers, candidates[:min(perCentre, len(candidates))]...)
 	}
 	return readers
 }
@@ -55,7 +55,7 @@
 	return 0
 }
 
-// Contains reports whether a member is among readers.
+// Contains reports whether the member with an address is among the readers.
 func Contains(readers []Member, address string) bool {
 	return slices.ContainsFunc(readers, func(reader Member) bool { return reader.Address == address })
 }
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -11,7 +11,7 @@
 	"github.com/trefoilseam/trefoilseam/internal/elector"
 )
 
-// fleet returns members spread over data centres in turn.
+// fleet returns members that are evenly distributed over data centres.
 func fleet(members, centres int) []elector.Member {
 	out := make([]elector.Member, members)
 	for number := range out {
@@ -22,6 +22,7 @@
 	return out
 }
 
+// addresses returns the addresses of members in order.
 func addresses(members []elector.Member) []string {
 	out := make([]string, 0, len(members))
 	for _, member := range members {
@@ -31,30 +32,31 @@
 	return out
 }
 
-func TestHowManyRead(t *testing.T) {
-	const alone = 4
+func TestNumberOfReaders(t *testing.T) {
+	const maxUnshared = 4
 	tests := []struct {
 		name                   string
 		members, centres, want int
 	}{
-		{"a few read all", 4, 3, 4},
-		{"one data centre", 24, 1, 4},
-		{"three data centres, two in each", 24, 3, 6},
-		{"four, one in each", 31, 4, 4},
-		{"six, one in each", 103, 6, 6},
-		{"the design size", 380, 8, 8},
+		{"all of a few members", 4, 3, 4},
+		{"one data centre with four readers", 24, 1, 4},
+		{"three data centres with two readers each", 24, 3, 6},
+		{"four data centres with one reader each", 31, 4, 4},
+		{"six data centres with one reader each", 103, 6, 6},
+		{"the size that the fleet is designed for", 380, 8, 8},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			readers := elector.Readers(fleet(test.members, test.centres), alone)
+			readers := elector.Readers(fleet(test.members, test.centres), maxUnshared)
 			So(readers, ShouldHaveLength, test.want)
 		})
 	}
 }
 
-func TestWhoReadsWhenReadersGo(t *testing.T) {
-	// Readers are lost, turned away or stop. The next in their data centres take their
-	// places, and the other readers stay: nobody changes its duty without need.
+func TestReadersThatFailAreReplaced(t *testing.T) {
+	// Guards against elections that replace more readers than necessary: when readers are
+	// unreachable, rejected by the table or stopping, the next in rank of their data centres
+	// replace them, and the other readers stay.
 	members := fleet(103, 6)
 	readers := elector.Readers(members, 4)
 	first := readers[0]
@@ -63,24 +65,24 @@
 		change func(member elector.Member) (elector.Member, bool)
 		want   int
 	}{
-		{"one is gone", func(member elector.Member) (elector.Member, bool) {
+		{"one is unreachable", func(member elector.Member) (elector.Member, bool) {
 			return member, member.Address != first.Address
 		}, 6},
-		{"one is turned away", func(member elector.Member) (elector.Member, bool) {
+		{"one is rejected by the table", func(member elector.Member) (elector.Member, bool) {
 			member.Failing = member.Address == first.Address
 			return member, true
 		}, 6},
-		{"one stops", func(member elector.Member) (elector.Member, bool) {
+		{"one is stopping", func(member elector.Member) (elector.Member, bool) {
 			member.Stopping = member.Address == first.Address
 			return member, true
 		}, 6},
-		{"all are lost at once", func(member elector.Member) (elector.Member, bool) {
+		{"all are unreachable at once", func(member elector.Member) (elector.Member, bool) {
 			return member, !elector.Contains(readers, member.Address)
 		}, 6},
-		{"its data centre is lost", func(member elector.Member) (elector.Member, bool) {
+		{"the data centre of one is unreachable", func(member elector.Member) (elector.Member, bool) {
 			return member, member.DataCentre != first.DataCentre
 		}, 5},
-		{"all are turned away", func(member elector.Member) (elector.Member, bool) {
+		{"all are rejected by the table", func(member elector.Member) (elector.Member, bool) {
 			member.Failing = true
 			return member, true
 		}, 0},
@@ -104,7 +106,7 @@
 			}
 			So(centres, ShouldHaveLength, 6)
 			So(elector.Contains(now, first.Address), ShouldBeFalse)
-			if test.name == "all are lost at once" {
+			if test.name == "all are unreachable at once" {
 				return
 			}
 			for _, reader := range readers[1:] {
@@ -114,27 +116,27 @@
 	}
 }
 
-func TestSomebodyReads(t *testing.T) {
-	// Whatever the fleet looks like, as long as one member can read, at least one does;
-	// the order in which members are heard of plays no part.
+func TestAtLeastOneReaderIsElected(t *testing.T) {
+	// Guards against a fleet without a reader while any member can read, and against elections
+	// that depend on the order of the members, which differs between processes.
 	rapid.Check(t, func(t *rapid.T) {
 		members := fleet(rapid.IntRange(1, 60).Draw(t, "members"), rapid.IntRange(1, 9).Draw(t, "centres"))
-		able := 0
+		eligible := 0
 		for i := range members {
 			members[i].Failing = rapid.Bool().Draw(t, "failing")
 			members[i].Stopping = rapid.Bool().Draw(t, "stopping")
 			if !members[i].Failing && !members[i].Stopping {
-				able++
+				eligible++
 			}
 		}
-		alone := rapid.IntRange(1, 6).Draw(t, "alone")
-		readers := addresses(elector.Readers(members, alone))
-		if able > 0 && len(readers) < min(able, 1) {
-			t.Fatalf("%d could read, %d do", able, len(readers))
+		maxUnshared := rapid.IntRange(1, 6).Draw(t, "alone")
+		readers := addresses(elector.Readers(members, maxUnshared))
+		if eligible > 0 && len(readers) < min(eligible, 1) {
+			t.Fatalf("%d members are eligible, %d are elected", eligible, len(readers))
 		}
 		slices.Reverse(members)
-		if !slices.Equal(readers, addresses(elector.Readers(members, alone))) {
-			t.Fatal("the order of the members decides")
+		if !slices.Equal(readers, addresses(elector.Readers(members, maxUnshared))) {
+			t.Fatal("the elected readers depend on the order of the members")
 		}
 	})
 }
