--- a/internal/connector/connection.go
+++ b/internal/connector/connection.go
@@ -26,7 +26,7 @@
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
-	// used reports whether an exchange has ended on it before.
+	// used reports whether it has been idle in the pool.
 	used bool
 	// stray reports whether an answer to another request arrived on it.
 	stray bool
--- a/internal/connector/exchange.go
+++ b/internal/connector/exchange.go
@@ -27,7 +27,7 @@
 // Failure is the error of an exchange that ended before the head of an answer.
 type Failure struct {
 	Progress Progress
-	// Reused reports whether the connection had carried an exchange before.
+	// Reused reports whether the connection came from the pool.
 	Reused bool
 	Cause  error
 }
@@ -121,9 +121,9 @@
 	return answer, nil
 }
 
-// writeRequest sends a request, with a long body from a goroutine of its own,
-// because a replica may answer before it has read the body. The channel is closed
-// once the request is written, and stays open if writing fails.
+// writeRequest sends a request; one with a long body from its own goroutine, because a
+// replica may answer before it has read the body. The channel is closed once the
+// request is written, and stays open if writing fails.
 func writeRequest(conn *connection, request Request) <-chan struct{} {
 	done := make(chan struct{})
 	out := render(request)
@@ -208,7 +208,7 @@
 			return head, nil
 		}
 		if head.StatusCode == http.StatusSwitchingProtocols {
-			return nil, eris.New("the replica switched protocols without a request")
+			return nil, eris.New("the replica switched protocols unasked")
 		}
 	}
 }
--- a/internal/connector/pool.go
+++ b/internal/connector/pool.go
@@ -30,7 +30,8 @@
 	// 1.5 s, which allows for retransmissions of a lost packet after 200 ms,
 	// 400 ms and 800 ms.
 	AckTimeout timekeeper.Span
-	// OnOpen is called for each connection that is opened; it may be nil.
+	// OnOpen is called before each attempt to open a connection, including those of
+	// Probe; it may be nil.
 	OnOpen func()
 }
 
@@ -88,8 +89,7 @@
 
 // Target is the replica that an exchange is sent to.
 type Target struct {
-	// Key identifies the replica's incarnation. Connections to different incarnations
-	// are kept apart.
+	// Key identifies the replica. Connections are never shared between two keys.
 	Key string
 	// Address is an IP address and a port.
 	Address string
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -98,7 +98,7 @@
 	return ctx, func() { timer.Stop() }
 }
 
-var errNoAnswer = eris.New("the replica did not begin to answer in time")
+var errNoAnswer = eris.New("the replica was silent for too long")
 
 // target returns the connection target for a replica. Entries share the connections that a
 // replica accepts; each entry takes at most a sixth, so that six entries can do so at once.
@@ -144,7 +144,7 @@
 }
 
 // errClosed is returned when a replica stopped taking new work after it was chosen.
-var errClosed = eris.New("the replica takes no new work since it was chosen")
+var errClosed = eris.New("the replica was closed since the choice")
 
 // admit checks whether the request may still be sent to the chosen replica. Opening a
 // connection after the choice takes a second when packets are lost, and the replica may
@@ -178,13 +178,14 @@
 var (
 	errNotRun          = eris.New("the replica did not run the request")
 	errMisdirected     = eris.New("another replica is at the address")
-	errUnsigned        = eris.New("the answer is unsigned, encoded, or for another request")
-	errUnprovenRefusal = eris.New("the status claims that the request did not run, but the replica does not state so")
+	errUnsigned        = eris.New("the answer is not the replica's")
+	errUnprovenRefusal = eris.New("the replica's status promises what it can't know")
 	errServer          = eris.New("the replica failed the request")
 	errNotStream       = eris.New("the answer that resumes a stream is not a stream")
 )
 
-// handleAnswer checks the head of an answer, and relays the answer unless it is a failure.
+// handleAnswer checks the head of an answer, and relays the answer unless it can't be
+// trusted, the replica did not run the request, or another replica may be tried.
 func (task *task) handleAnswer(ctx context.Context, result attemptResult, answer *connector.Answer, head Head) attemptResult {
 	status := answer.StatusCode
 	switch {
@@ -235,7 +236,8 @@
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-// recordOutcome updates the fleet, the metrics and the strikes after an attempt.
+// recordOutcome records the outcome of an attempt in the fleet, the metrics and the
+// strikes, logs a failure, and probes the replica if it may be down.
 func (task *task) recordOutcome(placement *balancer.Placement, result attemptResult) {
 	outcome := balancer.Served
 	callerLeft := task.r.Context().Err() != nil
--- a/internal/relayer/dialect.go
+++ b/internal/relayer/dialect.go
@@ -10,7 +10,7 @@
 
 // Call is the metadata of a caller's request, beside method, path and body.
 type Call struct {
-	// ID identifies this attempt of the caller.
+	// ID identifies this one of the caller's tries.
 	ID string
 	// Key is the caller's team key.
 	Key string
@@ -77,6 +77,6 @@
 	ReadHead func(status int, header http.Header) Head
 	// CopyAnswer copies a replica's header to the answer for the caller.
 	CopyAnswer func(to, from http.Header)
-	// Refuse answers a request that failed.
+	// Refuse answers a request with a failure instead of a replica's answer.
 	Refuse func(w http.ResponseWriter, failure classifier.Failure, requestID string)
 }
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -49,15 +49,16 @@
 	TooManyConnections func() bool
 	// BodyMemory bounds the total size of the request bodies in memory, in bytes.
 	BodyMemory int64
-	// OnPlacement is called with the prompt parts of each attempt at a replica, and
-	// whether the replica processes one of them for the first time.
+	// OnPlacement is called for each attempt of a request with prompt parts; first
+	// reports whether the replica is estimated to process one of them for the first
+	// time.
 	OnPlacement func(replica balancer.Key, parts []balancer.Part, first bool)
 	// OnUnreachable is called for a replica that accepts no connections.
 	OnUnreachable func(replica string)
 	// OnStrike is called for a request that was in flight at a replica when it crashed.
 	OnStrike func(request uint64, replica string)
-	// OnLeaveAnnounced is called once for each incarnation of a replica that announces
-	// in an answer that it leaves.
+	// OnLeaveAnnounced is called when an answer announces that an incarnation of a
+	// replica leaves, unless that is already known.
 	OnLeaveAnnounced func(incarnation string)
 	// Seed seeds the draws of traffic splits, load shedding and Retry-After delays.
 	Seed uint64
@@ -116,7 +117,7 @@
 func (entry *Entry) Run(ctx context.Context) { entry.queue.run(ctx) }
 
 // MeasureLateness measures how late the entry's timers fire, until ctx ends. Load
-// shedding goes by it.
+// shedding depends on it.
 func (entry *Entry) MeasureLateness(ctx context.Context) { entry.shedder.run(ctx) }
 
 // CloseConnections makes the entry close each connection after its next answer.
@@ -159,7 +160,7 @@
 	}
 	config := entry.settings.Config()
 	if config == nil {
-		failure := classifier.New(classifier.NotReady, "the entry has no configuration yet")
+		failure := classifier.New(classifier.NotReady, "no configuration is known yet")
 		entry.refuseUnrouted(w, r, call, failure.WithRetryAfter(timekeeper.Second))
 		return
 	}
@@ -200,8 +201,9 @@
 }
 
 const (
-	// shedRetryAfter and shedRetrySpread (in milliseconds) bound the Retry-After of a
-	// shed request: a second or more, spread so that a burst does not return at once.
+	// The Retry-After of a shed request is drawn from shedRetryAfter to
+	// shedRetryAfter + shedRetrySpread (in milliseconds), 1 to 2.5 s, so that a burst
+	// does not return at once.
 	shedRetryAfter  = timekeeper.Second
 	shedRetrySpread = 1500
 	// shedLogShare is the share of shed requests that are logged, to save the entry's
@@ -212,7 +214,7 @@
 // shed refuses a request of an overloaded entry at the least cost.
 func (entry *Entry) shed(w http.ResponseWriter, r *http.Request, call Call) {
 	draw := entry.draw()
-	failure := classifier.New(classifier.Overloaded, "the entry is overloaded")
+	failure := classifier.New(classifier.Overloaded, "the entry is behind")
 	failure = failure.WithRetryAfter(shedRetryAfter + timekeeper.Span(draw*shedRetrySpread))
 	if draw < shedLogShare {
 		entry.refuseUnrouted(w, r, call, failure)
--- a/internal/relayer/meters.go
+++ b/internal/relayer/meters.go
@@ -11,7 +11,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// buckets are the buckets of the latency histograms, from 5 ms, growing by 1.6.
+// buckets are the buckets of the latency histograms, from 5 ms, growing by a factor of 1.6.
 var buckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 1.6, 16)
 
 const (
--- a/internal/relayer/queue.go
+++ b/internal/relayer/queue.go
@@ -9,8 +9,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// dispatchInterval is the time between two dispatches without an event of this entry:
-// requests of peers end too, and replicas recover.
+// dispatchInterval is the interval at which waiting requests are dispatched even if no
+// request of this entry ends: requests of peers end too, and replicas recover.
 const dispatchInterval = 10 * timekeeper.Millisecond
 
 // minDispatchInterval is the least time between two dispatches after ended requests. Each
@@ -31,20 +31,20 @@
 	lastDispatch atomic.Int64
 
 	mu sync.Mutex
-	// decided has a channel for each waiting request, which is closed when the request
-	// is placed or rejected.
-	decided map[*balancer.Waiter]chan struct{}
+	// waiters holds, for each waiting request, the channel that is closed once it is
+	// placed or rejected.
+	waiters map[*balancer.Waiter]chan struct{}
 }
 
 func newQueue(fleet *balancer.Guarded, clock timekeeper.Clock) *queue {
-	return &queue{fleet: fleet, clock: clock, triggered: make(chan struct{}, 1), decided: map[*balancer.Waiter]chan struct{}{}}
+	return &queue{fleet: fleet, clock: clock, triggered: make(chan struct{}, 1), waiters: map[*balancer.Waiter]chan struct{}{}}
 }
 
 // place requests a replica, and waits for it until ctx ends.
 func (queue *queue) place(ctx context.Context, waiter *balancer.Waiter) {
 	wake := make(chan struct{})
 	queue.mu.Lock()
-	queue.decided[waiter] = wake
+	queue.waiters[waiter] = wake
 	queue.mu.Unlock()
 	defer queue.forget(waiter)
 	done := false
@@ -101,7 +101,7 @@
 func (queue *queue) forget(waiter *balancer.Waiter) {
 	queue.mu.Lock()
 	defer queue.mu.Unlock()
-	delete(queue.decided, waiter)
+	delete(queue.waiters, waiter)
 }
 
 // slotFreed dispatches after a request has ended, at most once in minDispatchInterval.
@@ -127,9 +127,9 @@
 	queue.mu.Lock()
 	defer queue.mu.Unlock()
 	for _, waiter := range decided {
-		if wake, found := queue.decided[waiter]; found {
+		if wake, found := queue.waiters[waiter]; found {
 			close(wake)
-			delete(queue.decided, waiter)
+			delete(queue.waiters, waiter)
 		}
 	}
 }
@@ -138,5 +138,5 @@
 func (queue *queue) hasWaiters() bool {
 	queue.mu.Lock()
 	defer queue.mu.Unlock()
-	return len(queue.decided) > 0
+	return len(queue.waiters) > 0
 }
--- a/internal/relayer/relay.go
+++ b/internal/relayer/relay.go
@@ -24,8 +24,8 @@
 	maxAnswerDrainBytes = 16 << 10
 	// copyBufferSize is the size of the buffer for reading a stream, in bytes.
 	copyBufferSize = 4 << 10
-	// maxEventBytes bounds the part of an incomplete event that is buffered, in bytes.
-	// Longer ones are forwarded as they come.
+	// maxEventBytes is the size, in bytes, above which the buffered part of an
+	// incomplete event is forwarded.
 	maxEventBytes = 256 << 10
 )
 
--- a/internal/relayer/statement.go
+++ b/internal/relayer/statement.go
@@ -24,7 +24,8 @@
 		task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.RecordReport(replica.ID, *head.Load, now) })
 	}
 	// The field is answer-to, not request-id, because the lines are about the replica:
-	// "trefoilseam explain" shows them with every request that was sent to it.
+	// "trefoilseam explain" shows them with each request that was at the replica around
+	// that time.
 	fields := logrus.Fields{
 		"answer-to": task.call.ID, labelReplica: replica.ID, "incarnation": replica.Incarnation(),
 		labelService: replica.Service, "status": status,
--- a/internal/relayer/task.go
+++ b/internal/relayer/task.go
@@ -68,7 +68,8 @@
 	// fingerprint is equal for retries of the request by its caller.
 	fingerprint uint64
 
-	// answerStarted reports whether the answer to the caller has been started.
+	// answerStarted reports whether the header of an answer was copied. The request can
+	// then only continue this answer or be aborted.
 	answerStarted bool
 	// lastEvent is the ID of the last event that was sent to the caller.
 	lastEvent string
@@ -102,7 +103,7 @@
 // run reads the request's body, relays the request and answers the caller.
 func (task *task) run() {
 	task.until = task.deadline()
-	if deadline := timekeeper.Instant(task.entry.stopsAt.Load()); deadline != 0 && task.until.Add(answerGrace) > deadline {
+	if stopsAt := timekeeper.Instant(task.entry.stopsAt.Load()); stopsAt != 0 && task.until.Add(answerGrace) > stopsAt {
 		task.finish(classifier.New(classifier.Draining, "the entry stops").WithRetryAfter(task.retryAfter()))
 		return
 	}
@@ -142,7 +143,7 @@
 		return classifier.New(classifier.BodyTooLarge, ""), false
 	}
 	if task.entry.bodyBytes.Load()+max(0, task.r.ContentLength) > task.entry.settings.BodyMemory {
-		failure := classifier.New(classifier.Overloaded, "the entry's memory for request bodies is exhausted")
+		failure := classifier.New(classifier.Overloaded, "the memory for request bodies is used up")
 		return failure.WithRetryAfter(timekeeper.Second), false
 	}
 	if task.r.ContentLength == 0 {
@@ -179,7 +180,8 @@
 	return classifier.New(classifier.SlowCaller, err.Error())
 }
 
-// serve tries replicas until one answers, the retries are used up or ctx ends.
+// serve tries replicas until one answers, none can be had, no retry is allowed or ctx
+// ends.
 func (task *task) serve(ctx context.Context) classifier.Failure {
 	for {
 		waiter := task.place(ctx)
@@ -274,7 +276,7 @@
 		kind = classifier.NoUpstream
 	}
 	if ctx.Err() != nil {
-		reason = "the deadline passed before a replica was free"
+		reason = "the time was over before a replica was free"
 	}
 	return classifier.New(kind, reason).WithRetryAfter(task.retryAfter() + max(waiter.Wait, task.backoffRemaining()))
 }
--- a/internal/router/configuration.go
+++ b/internal/router/configuration.go
@@ -15,8 +15,8 @@
 	// MemoryTokens is how many tokens running requests and cached prompt parts
 	// may occupy together.
 	MemoryTokens int
-	// TokenBytes is the memory of one token, in bytes, and LinkMegabits the bandwidth
-	// of the link between engines, per second. Zero means that engines don't transfer
+	// TokenBytes is the memory of one token in bytes, and LinkMegabits the bandwidth of
+	// the link between engines in megabits per second. Zero means that engines don't transfer
 	// cached prompt parts to each other.
 	TokenBytes, LinkMegabits float64
 }
@@ -46,7 +46,8 @@
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout bounds the time in which a caller sends the head of a request.
+	// HeaderTimeout is the operator's limit on the time in which a caller sends the
+	// head of a request. It is not applied.
 	HeaderTimeout timekeeper.Span
 	// IdleTimeout bounds the time for which a connection stays idle.
 	IdleTimeout timekeeper.Span
@@ -58,7 +59,7 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// KeyRequired states that requests need a key, except on public routes.
+	// KeyRequired reports whether requests need a key, except on public routes.
 	KeyRequired bool
 	// Teams maps a key to the team that holds it.
 	Teams map[string]Team
