--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -128,7 +128,7 @@
 		ColdRateFactor: settings.Cold.Over, ColdSlack: settings.Cold.Slack,
 	}))
 	direct.pool, release = connector.NewPool(connector.Settings{
-		Clock: direct.clock, Opened: func() { direct.scope.Counter("connections-opened").Inc(1) },
+		Clock: direct.clock, OnOpen: func() { direct.scope.Counter("connections-opened").Inc(1) },
 	})
 	direct.onRelease(release)
 	store, release := platform.NewStore(settings.Store, direct.log, direct.scope)
@@ -175,19 +175,19 @@
 	return relayer.Settings{
 		Clock: direct.clock, Log: direct.log, Scope: direct.scope, Fleet: direct.fleet, Pool: direct.pool,
 		Dialect: platform.Dialect(), Config: direct.config,
-		Retries: relayer.Retries{
+		RetryBudget: relayer.RetryBudget{
 			Window: direct.settings.Retry.Window, Ratio: direct.settings.Retry.Ratio, Extra: direct.settings.Retry.Extra,
 		},
-		Sharers:        func() int { return max(minRetryShares, retrySharesPerEntry*direct.peers.liveEntries()) },
-		Placed:         direct.peers.gossiper.SendPlacement,
-		Unreachable:    direct.peers.gossiper.SendUnreachable,
-		LeaveAnnounced: direct.peers.gossiper.SendLeaveAnnounced,
-		Struck: func(request uint64, replica string) {
+		Entries:          func() int { return max(minRetryShares, retrySharesPerEntry*direct.peers.liveEntries()) },
+		OnPlacement:      direct.peers.gossiper.SendPlacement,
+		OnUnreachable:    direct.peers.gossiper.SendUnreachable,
+		OnLeaveAnnounced: direct.peers.gossiper.SendLeaveAnnounced,
+		OnStrike: func(request uint64, replica string) {
 			direct.peers.gossiper.SendStrike(gossiper.Strike{Request: request, Replica: replica})
 		},
-		Crowded:    direct.connTracker.nearLimit,
-		BodyMemory: int64(bodyMemoryShare * float64(megabytes<<20)),
-		Seed:       newIncarnation(),
+		TooManyConnections: direct.connTracker.nearLimit,
+		BodyMemory:         int64(bodyMemoryShare * float64(megabytes<<20)),
+		Seed:               newIncarnation(),
 	}
 }
 
@@ -224,7 +224,7 @@
 	addLoop(rest, direct.replicas.Run)
 	addLoop(rest, direct.sweep)
 	addLoop(rest, direct.frontend.Run)
-	addLoop(rest, direct.frontend.Measure)
+	addLoop(rest, direct.frontend.MeasureLateness)
 	addLoop(rest, direct.watchSettings)
 	addLoop(rest, direct.peers.register)
 	addLoop(rest, direct.peers.gossiper.Run)
@@ -259,7 +259,7 @@
 // configuration sets no limit.
 func (direct *Direct) maxCallerIdle() timekeeper.Span {
 	if config := direct.config(); config != nil {
-		return config.Limits().IdleTime
+		return config.Limits().IdleTimeout
 	}
 	return 0
 }
--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -60,7 +60,7 @@
 
 // newPeers returns peers, and a function that closes its idle connections.
 func newPeers(direct *Direct, store *platform.Store, conn net.PacketConn) (*peers, func()) {
-	dialer := &net.Dialer{Timeout: fetchTimeout.Duration(), Control: connector.Guard(fetchTimeout)}
+	dialer := &net.Dialer{Timeout: fetchTimeout.Duration(), Control: connector.UserTimeoutControl(fetchTimeout)}
 	transport := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
 	peers := &peers{direct: direct, store: store, client: &http.Client{Transport: transport}}
 	peers.gossiper = gossiper.New(gossiper.Settings{
--- a/internal/assembler/direct_readers.go
+++ b/internal/assembler/direct_readers.go
@@ -115,7 +115,7 @@
 	own := addressOf(peers.direct.listeners.peer)
 	now := peers.direct.clock.Now()
 	peers.elect(func(election *election) {
-		isReader = now >= election.discoveryEnds && elector.Has(election.readers, own)
+		isReader = now >= election.discoveryEnds && elector.Contains(election.readers, own)
 	})
 	return isReader
 }
--- a/internal/follower/processes_test.go
+++ b/internal/follower/processes_test.go
@@ -216,7 +216,7 @@
 }
 
 func (node *process) isReader() bool {
-	return elector.Has(elector.Readers(node.members(), maxUnshared), node.own.Address)
+	return elector.Contains(elector.Readers(node.members(), maxUnshared), node.own.Address)
 }
 
 func (node *process) activeReaders() int {
