--- a/internal/runner/adopt.go
+++ b/internal/runner/adopt.go
@@ -93,7 +93,7 @@
 		return
 	}
 	agent.askers.note(name, revision, agent.settings.Clock.Now())
-	agent.settings.Hear(revision)
+	agent.settings.OnRevision(revision)
 }
 
 func (agent *Agent) withAskers(ask *encoder.DigestAsk, digests *encoder.Digests) *encoder.Digests {
--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -34,8 +34,8 @@
 	Scope    tally.Scope
 	// Config returns the configuration in force.
 	Config func() resolver.Config
-	// Hear takes a revision of the configuration that a peer carried; nil means it is dropped.
-	Hear func(revision uint64)
+	// OnRevision takes a revision of the configuration that a peer carried; nil means it is dropped.
+	OnRevision func(revision uint64)
 	// Configuration answers a peer that asks for it; nil means that none is given.
 	Configuration func(ask *encoder.ConfigAsk) *encoder.ConfigBody
 	// Mean returns the load of the whole service as it is known; nil means unknown.
@@ -87,8 +87,8 @@
 	if settings.Draw == nil {
 		settings.Draw = rand.New(rand.NewPCG(settings.Incarnation, 0)).Float64
 	}
-	if settings.Hear == nil {
-		settings.Hear = func(uint64) {}
+	if settings.OnRevision == nil {
+		settings.OnRevision = func(uint64) {}
 	}
 	if settings.Configuration == nil {
 		settings.Configuration = func(*encoder.ConfigAsk) *encoder.ConfigBody { return &encoder.ConfigBody{} }
