--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -70,7 +70,7 @@
 		Mean:          agent.control.exchanger.Mean,
 		Room:          func() string { return agent.control.view.Room(settings.Service, settings.Name) },
 		Digests:       agent.control.exchanger.Answer,
-		Tell:          agent.control.admitDigest,
+		AllowDigest:          agent.control.admitDigest,
 		Peers:         func() placer.Roster { return agent.control.view.Roster(settings.Service) },
 		Open:          agent.pool.Open,
 	})
--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -48,9 +48,9 @@
 	// Room names a replica of the service with room, for callers that are sent
 	// on; nil means that none is known.
 	Room func() string
-	// Tell counts a digest that is about to ride on an answer, and returns false
+	// AllowDigest counts a digest that is about to ride on an answer, and returns false
 	// when the budget has no room for it; nil means that there is always room.
-	Tell func(digest *encoder.Digest) bool
+	AllowDigest func(digest *encoder.Digest) bool
 	// Peers returns the replicas of the service that may get new work, and Open
 	// a stream to one of them; nil means that no prefix goes to or comes from
 	// another replica.
@@ -81,8 +81,8 @@
 	if settings.Room == nil {
 		settings.Room = func() string { return "" }
 	}
-	if settings.Tell == nil {
-		settings.Tell = func(*encoder.Digest) bool { return true }
+	if settings.AllowDigest == nil {
+		settings.AllowDigest = func(*encoder.Digest) bool { return true }
 	}
 	if settings.Draw == nil {
 		settings.Draw = rand.New(rand.NewPCG(settings.Incarnation, 0)).Float64
--- a/internal/runner/reported.go
+++ b/internal/runner/reported.go
@@ -57,7 +57,7 @@
 	digest := agent.digest()
 	digest.Load = load
 	digest.Running = max(1, digest.GetRunning()) - 1
-	if !agent.settings.Tell(digest) {
+	if !agent.settings.AllowDigest(digest) {
 		return nil
 	}
 	agent.reported = after
--- a/internal/runner/reported_test.go
+++ b/internal/runner/reported_test.go
@@ -38,7 +38,7 @@
 	bench := newBench(t)
 	Convey("the call that ends is not part of it, and a full budget keeps it off", t, func() {
 		for i, roomy := range []bool{true, false} {
-			bench.agent.settings.Tell = func(*encoder.Digest) bool { return roomy }
+			bench.agent.settings.AllowDigest = func(*encoder.Digest) bool { return roomy }
 			bench.agent.reported = reportedLoad{}
 			id := string(rune('a' + i))
 			stream := bench.open(&encoder.Offer{RequestId: id, Service: "orders", Team: "rig", Work: 5, Idempotent: true, RunFollows: true})
