--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -45,9 +45,9 @@
 	// Digests answers a peer's question about the service; nil means that the
 	// agent tells of itself alone.
 	Digests func(ask *encoder.DigestAsk) *encoder.Digests
-	// Room names a replica of the service with room, for callers that are sent
+	// Alternative names a replica of the service with room, for callers that are sent
 	// on; nil means that none is known.
-	Room func() string
+	Alternative func() string
 	// AllowDigest counts a digest that is about to ride on an answer, and returns false
 	// when the budget has no room for it; nil means that there is always room.
 	AllowDigest func(digest *encoder.Digest) bool
@@ -78,8 +78,8 @@
 	if settings.Mean == nil {
 		settings.Mean = func() admitter.Mean { return admitter.Mean{} }
 	}
-	if settings.Room == nil {
-		settings.Room = func() string { return "" }
+	if settings.Alternative == nil {
+		settings.Alternative = func() string { return "" }
 	}
 	if settings.AllowDigest == nil {
 		settings.AllowDigest = func(*encoder.Digest) bool { return true }
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -49,7 +49,7 @@
 	if failure.Kind != classifier.AtBound {
 		return where, ""
 	}
-	return where, agent.settings.Room()
+	return where, agent.settings.Alternative()
 }
 
 // noteChat remembers that a chat runs here.
