--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -66,7 +66,7 @@
 		Table:       agent.env.Platform.Table,
 
 		OnRevision:          agent.watcher.Hear,
-		Configuration: agent.watcher.Answer,
+		AnswerConfig: agent.watcher.Answer,
 		Mean:          agent.control.exchanger.Mean,
 		Alternative:          func() string { return agent.control.view.Room(settings.Service, settings.Name) },
 		Digests:       agent.control.exchanger.Answer,
--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -36,8 +36,8 @@
 	Config func() resolver.Config
 	// OnRevision takes a revision of the configuration that a peer carried; nil means it is dropped.
 	OnRevision func(revision uint64)
-	// Configuration answers a peer that asks for it; nil means that none is given.
-	Configuration func(ask *encoder.ConfigAsk) *encoder.ConfigBody
+	// AnswerConfig answers a peer that asks for it; nil means that none is given.
+	AnswerConfig func(ask *encoder.ConfigAsk) *encoder.ConfigBody
 	// Mean returns the load of the whole service as it is known; nil means unknown.
 	Mean func() admitter.Mean
 	// Record takes events of the fleet's record; nil means they are dropped.
@@ -90,8 +90,8 @@
 	if settings.OnRevision == nil {
 		settings.OnRevision = func(uint64) {}
 	}
-	if settings.Configuration == nil {
-		settings.Configuration = func(*encoder.ConfigAsk) *encoder.ConfigBody { return &encoder.ConfigBody{} }
+	if settings.AnswerConfig == nil {
+		settings.AnswerConfig = func(*encoder.ConfigAsk) *encoder.ConfigBody { return &encoder.ConfigBody{} }
 	}
 	if settings.Record == nil {
 		settings.Record = recorder.Drop
@@ -225,7 +225,7 @@
 	case *encoder.Frame_EngineOrder:
 		_ = stream.Write(encoder.Of(agent.carryOut(ctx, message.EngineOrder)))
 	case *encoder.Frame_ConfigAsk:
-		_ = stream.Write(encoder.Of(agent.settings.Configuration(message.ConfigAsk)))
+		_ = stream.Write(encoder.Of(agent.settings.AnswerConfig(message.ConfigAsk)))
 	default:
 		agent.settings.Log.WithField("frame", frame.String()).Warn("unexpected first frame")
 	}
