--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -62,15 +62,15 @@
 	// Table is the platform's table, where keys are claimed; a zero Table means
 	// that only minted keys can be used.
 	Table storekeeper.Table
-	// RunWait is how long a granted slot waits for its Run frame; zero means 5 seconds.
-	RunWait timekeeper.Span
+	// RunTimeout is how long a granted slot waits for its Run frame; zero means 5 seconds.
+	RunTimeout timekeeper.Span
 	// KeepRun is how long an ended run stays known; zero means 2 minutes.
 	KeepRun timekeeper.Span
 }
 
 func (settings Settings) withDefaults() Settings {
-	if settings.RunWait == 0 {
-		settings.RunWait = 5 * timekeeper.Second
+	if settings.RunTimeout == 0 {
+		settings.RunTimeout = 5 * timekeeper.Second
 	}
 	if settings.KeepRun == 0 {
 		settings.KeepRun = 2 * timekeeper.Minute
--- a/internal/runner/offer.go
+++ b/internal/runner/offer.go
@@ -148,7 +148,7 @@
 	if inbox.early != nil {
 		return agent.begin(offer, inbox.early)
 	}
-	late, stop := agent.settings.Clock.After(agent.settings.RunWait)
+	late, stop := agent.settings.Clock.After(agent.settings.RunTimeout)
 	defer stop()
 	select {
 	case in := <-inbox.frames:
@@ -158,7 +158,7 @@
 		// An agent that was paused finds the frame and the fired timer together.
 		// A frame past its time is refused here, so tombstones, which are kept
 		// far longer than RunWait, outlive every frame that they must stop.
-		if agent.settings.Clock.Now().Since(inbox.granted) > agent.settings.RunWait {
+		if agent.settings.Clock.Now().Since(inbox.granted) > agent.settings.RunTimeout {
 			return nil, classifier.New(classifier.DeadlinePassed, "the run frame did not come in time"), false
 		}
 		return agent.begin(offer, in.frame.GetRun())
