--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -64,16 +64,16 @@
 	Table storekeeper.Table
 	// RunTimeout is how long a granted slot waits for its Run frame; zero means 5 seconds.
 	RunTimeout timekeeper.Span
-	// KeepRun is how long an ended run stays known; zero means 2 minutes.
-	KeepRun timekeeper.Span
+	// RunRetention is how long an ended run stays known; zero means 2 minutes.
+	RunRetention timekeeper.Span
 }
 
 func (settings Settings) withDefaults() Settings {
 	if settings.RunTimeout == 0 {
 		settings.RunTimeout = 5 * timekeeper.Second
 	}
-	if settings.KeepRun == 0 {
-		settings.KeepRun = 2 * timekeeper.Minute
+	if settings.RunRetention == 0 {
+		settings.RunRetention = 2 * timekeeper.Minute
 	}
 	if settings.Mean == nil {
 		settings.Mean = func() admitter.Mean { return admitter.Mean{} }
--- a/internal/runner/kept.go
+++ b/internal/runner/kept.go
@@ -40,7 +40,7 @@
 // forgetOld forgets runs that ended long ago.
 func (agent *Agent) forgetOld(now timekeeper.Instant) {
 	kept := &agent.kept
-	for len(kept.order) > 0 && now.Since(kept.order[0].run.ended) > agent.settings.KeepRun {
+	for len(kept.order) > 0 && now.Since(kept.order[0].run.ended) > agent.settings.RunRetention {
 		first := kept.order[0]
 		kept.order = kept.order[1:]
 		if kept.whole > 0 {
