--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -151,7 +151,7 @@
 	started := agent.env.Clock.Now()
 	// Refuse before announcing: a peer must not receive the announcement while the
 	// replica still accepts work.
-	agent.callRunner.Refuse()
+	agent.callRunner.StopAdmitting()
 	agent.control.exchanger.Announce(ctx)
 	err := agent.callRunner.Drain(ctx)
 	took := agent.env.Clock.Now().Since(started)
--- a/internal/runner/drain.go
+++ b/internal/runner/drain.go
@@ -12,8 +12,8 @@
 // drainLook is the time between two looks at what is still in flight.
 const drainLook = 20 * timekeeper.Millisecond
 
-// Refuse refuses new work from now on.
-func (agent *Agent) Refuse() {
+// StopAdmitting refuses new work from now on.
+func (agent *Agent) StopAdmitting() {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	agent.draining = true
@@ -24,7 +24,7 @@
 // waits, and every answer that a reader still takes: an upstream that is done
 // is not enough, since a slow reader may have most of the answer before it.
 func (agent *Agent) Drain(ctx context.Context) error {
-	agent.Refuse()
+	agent.StopAdmitting()
 	agent.recordLeaving(recorder.Draining)
 	given := agent.handOver(ctx)
 	for {
