--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -170,7 +170,7 @@
 func (agent *Agent) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout.Duration())
 	defer cancel()
-	agent.callRunner.HandOver(ctx)
+	agent.callRunner.FlushKeys(ctx)
 }
 
 // linger is how long a drained agent keeps its connections open. Closing a socket
--- a/internal/runner/drain.go
+++ b/internal/runner/drain.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// HandOver tells the store what a drained agent knows of its keys: which ran,
+// FlushKeys tells the store what a drained agent knows of its keys: which ran,
 // so that their callers hear so, and which did not, so that others may run them.
-func (agent *Agent) HandOver(ctx context.Context) {
+func (agent *Agent) FlushKeys(ctx context.Context) {
 	if agent.settings.Table.Commit == nil {
 		return
 	}
