--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -123,7 +123,7 @@
 		// with the stop, granted calls that still claim would wait for it and the
 		// drain would never end; rows that were being written would name an agent
 		// that has left.
-		go agent.callRunner.Keep(ctx)
+		go agent.callRunner.Maintain(ctx)
 		go func() { failed <- agent.callRunner.Serve(ctx, agent.listener) }()
 		select {
 		case err := <-failed:
--- a/internal/runner/keys.go
+++ b/internal/runner/keys.go
@@ -180,8 +180,8 @@
 	sweepRows  = 64
 )
 
-// Keep writes claims and looks after the agent's rows until ctx ends.
-func (agent *Agent) Keep(ctx context.Context) {
+// Maintain writes claims and looks after the agent's rows until ctx ends.
+func (agent *Agent) Maintain(ctx context.Context) {
 	go agent.settings.Clock.Every(ctx, func() timekeeper.Span { return probeEvery }, agent.probe)
 	if agent.settings.Table.Commit == nil {
 		<-ctx.Done()
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -66,7 +66,7 @@
 	}
 	t.Cleanup(release)
 	made.agent = agent
-	go agent.Keep(t.Context())
+	go agent.Maintain(t.Context())
 	return made
 }
 
