--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -18,13 +18,13 @@
 	fullPercent = 70
 )
 
-// Wished returns on how many of a service's engines an adapter should be for
+// DesiredEngines returns on how many of a service's engines an adapter should be for
 // the calls that run or wait.
 //
 // The load: a team's chats come back all day and surge for seconds. Calls that
 // run or wait are counted and not calls a second, for long answers fill an
 // engine as many short ones do. Spread.WithWish decides whether a wish lasts.
-func Wished(calls, slots, engines int) int {
+func DesiredEngines(calls, slots, engines int) int {
 	const percent = 100
 	full := max(1, slots) * fullPercent
 	wish := (max(0, calls)*percent + full - 1) / full
--- a/internal/planner/demand_test.go
+++ b/internal/planner/demand_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			So(Wished(test.calls, test.slots, test.engines), ShouldEqual, test.want)
+			So(DesiredEngines(test.calls, test.slots, test.engines), ShouldEqual, test.want)
 		})
 	}
 }
