--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -167,7 +167,7 @@
 	// A team surges for ten seconds of every minute, for two hours. Its adapter
 	// must not be loaded and unloaded each time; a demand that stays is met.
 	Convey("surges move nothing, a lasting demand moves once a step", t, func() {
-		spread := Spread{}.WithWish(2, 1)
+		spread := Spread{}.WithDesired(2, 1)
 		moves := 0
 		var now timekeeper.Instant
 		for second := range 2 * 3600 {
@@ -176,7 +176,7 @@
 			if second%60 < 10 {
 				wish = 9
 			}
-			next := spread.WithWish(wish, now)
+			next := spread.WithDesired(wish, now)
 			if next.Engines != spread.Engines {
 				moves++
 			}
@@ -185,7 +185,7 @@
 		So(moves, ShouldEqual, 0)
 		for range 91 {
 			now = now.Add(timekeeper.Second)
-			spread = spread.WithWish(9, now)
+			spread = spread.WithDesired(9, now)
 		}
 		So(spread.Engines, ShouldEqual, 5)
 	})
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -65,10 +65,10 @@
 	low     timekeeper.Instant
 }
 
-// WithWish takes in on how many engines the adapter's demand would like to be
+// WithDesired takes in on how many engines the adapter's demand would like to be
 // now, and returns the spread after hysteresis. A wish counts once it has stood
 // on one side for its whole time; a wish in between starts the time anew.
-func (spread Spread) WithWish(wish int, now timekeeper.Instant) Spread {
+func (spread Spread) WithDesired(wish int, now timekeeper.Instant) Spread {
 	wish = max(1, wish)
 	switch {
 	case spread.Engines == 0:
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -224,7 +224,7 @@
 		if !known {
 			spread = Spread{Engines: holders}
 		}
-		spread = spread.WithWish(DesiredEngines(calls, service.Slots, len(engines)), now)
+		spread = spread.WithDesired(DesiredEngines(calls, service.Slots, len(engines)), now)
 		spreads[adapter] = spread
 		targets = append(targets, Target{Adapter: adapter, Engines: spread.Engines})
 	}
