--- a/internal/planner/demand_test.go
+++ b/internal/planner/demand_test.go
@@ -75,12 +75,12 @@
 func TestVersionsMoveOneEngineAtATime(t *testing.T) {
 	engines := []Engine{{Name: "a", Version: "1"}, {Name: "b", Version: "1", Role: "decode"}, {Name: "c", Version: "2"}}
 	Convey("one version, every role", t, func() {
-		So(Plan(engines, Wanted{Role: "decode", Version: "2"}), ShouldResemble, []Order{
+		So(Plan(engines, DesiredState{Role: "decode", Version: "2"}), ShouldResemble, []Order{
 			{"a", ChangeVersion, "2"}, {"a", ChangeRole, "decode"}, {"c", ChangeRole, "decode"},
 		})
 		engines[0].Version = "2"
-		So(Plan(engines, Wanted{Version: "2"}), ShouldResemble, []Order{{"b", ChangeVersion, "2"}})
-		So(Plan(engines, Wanted{}), ShouldBeEmpty)
+		So(Plan(engines, DesiredState{Version: "2"}), ShouldResemble, []Order{{"b", ChangeVersion, "2"}})
+		So(Plan(engines, DesiredState{}), ShouldBeEmpty)
 	})
 	Convey("a version takes weights, so it is held to the store's rate", t, func() {
 		So(Order{Action: ChangeVersion}.takesWeights(), ShouldBeTrue)
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -135,10 +135,10 @@
 		for adapter := range 4 {
 			targets = append(targets, Target{Adapter: fmt.Sprint("adapter-", adapter), Engines: 1 + draws.IntN(8)})
 		}
-		for _, order := range Plan(engines, Wanted{Targets: targets}) {
+		for _, order := range Plan(engines, DesiredState{Targets: targets}) {
 			engines = carriedOut(engines, order)
 		}
-		if left := Plan(engines, Wanted{Targets: targets}); len(left) > 0 {
+		if left := Plan(engines, DesiredState{Targets: targets}); len(left) > 0 {
 			t.Fatalf("seed %d: still to do: %v", seed, left)
 		}
 	}
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -49,9 +49,9 @@
 	Demands []Demand
 }
 
-// Wanted is what the engines of a service should be. An empty role or version
+// DesiredState is what the engines of a service should be. An empty role or version
 // leaves that of the engines as it is.
-type Wanted struct {
+type DesiredState struct {
 	Targets []Target
 	Role    string
 	Version string
@@ -109,7 +109,7 @@
 // the most, and of every adapter that is no target. A load is never planned
 // for an adapter that is to be unloaded in the same plan, so a plan that is
 // carried out leaves nothing to do.
-func Plan(engines []Engine, want Wanted) []Order {
+func Plan(engines []Engine, want DesiredState) []Order {
 	orders := orderStates(engines, want)
 	wanted := map[string]bool{}
 	for _, target := range want.Targets {
@@ -140,7 +140,7 @@
 }
 
 // orderStates returns the orders about roles and versions.
-func orderStates(engines []Engine, want Wanted) []Order {
+func orderStates(engines []Engine, want DesiredState) []Order {
 	var orders []Order
 	changing := false
 	for _, engine := range engines {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -189,7 +189,7 @@
 			engines = append(engines, engineOf(at.Engine, done))
 		}
 	}
-	wanted := Wanted{Targets: planner.targets(service, engines), Role: service.Role, Version: service.Version}
+	wanted := DesiredState{Targets: planner.targets(service, engines), Role: service.Role, Version: service.Version}
 	for _, order := range Plan(engines, wanted) {
 		if !planner.due(order, service) {
 			continue
