--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -178,15 +178,15 @@
 	return orders
 }
 
-// Pace keeps loads under the weight store's rate. It is an immutable value.
-type Pace struct {
+// RateLimiter keeps loads under the weight store's rate. It is an immutable value.
+type RateLimiter struct {
 	next timekeeper.Instant
 }
 
 // Allow reports whether a load may start now. Loads are spaced evenly, with no
 // burst: the weight store serves every engine of the fleet, and what one
 // service takes at once another waits for.
-func (pace Pace) Allow(perMinute int, now timekeeper.Instant) (Pace, bool) {
+func (pace RateLimiter) Allow(perMinute int, now timekeeper.Instant) (RateLimiter, bool) {
 	if now < pace.next {
 		return pace, false
 	}
@@ -196,7 +196,7 @@
 
 // After returns the pace of a planner that takes over: the holder before may
 // have started a load just now.
-func After(perMinute int, now timekeeper.Instant) Pace {
-	pace, _ := Pace{}.Allow(perMinute, now)
+func After(perMinute int, now timekeeper.Instant) RateLimiter {
+	pace, _ := RateLimiter{}.Allow(perMinute, now)
 	return pace
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -52,7 +52,7 @@
 
 	mu      sync.Mutex
 	lease   Lease
-	pace    Pace
+	pace    RateLimiter
 	busy    bool
 	spreads map[string]Spread
 }
