--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -190,7 +190,7 @@
 		So(spread.Engines, ShouldEqual, 5)
 	})
 	Convey("loads keep to the weight store's rate", t, func() {
-		pace := After(6, 0)
+		pace := NewRateLimiter(6, 0)
 		loads := 0
 		for second := range 600 {
 			next, allowed := pace.Allow(6, timekeeper.Instant(second)*timekeeper.Instant(timekeeper.Second))
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -194,9 +194,9 @@
 	return pace, true
 }
 
-// After returns the pace of a planner that takes over: the holder before may
+// NewRateLimiter returns the pace of a planner that takes over: the holder before may
 // have started a load just now.
-func After(perMinute int, now timekeeper.Instant) RateLimiter {
+func NewRateLimiter(perMinute int, now timekeeper.Instant) RateLimiter {
 	pace, _ := RateLimiter{}.Allow(perMinute, now)
 	return pace
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -154,7 +154,7 @@
 func (planner *Planner) taken(lease Lease, now timekeeper.Instant) {
 	_, service, _ := planner.terms()
 	planner.mu.Lock()
-	planner.pace = After(service.LoadsPerMinute, now)
+	planner.pace = NewRateLimiter(service.LoadsPerMinute, now)
 	// What stood before may be minutes old; the engines tell anew.
 	planner.spreads = map[string]Spread{}
 	planner.mu.Unlock()
