--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -2,10 +2,10 @@
 
 import "github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 
-// Skew is how far the clocks of two instances may be apart. The platform keeps
+// MaxClockSkew is how far the clocks of two instances may be apart. The platform keeps
 // them within milliseconds; two seconds leave room for a clock that is being
 // corrected.
-const Skew = 2 * timekeeper.Second
+const MaxClockSkew = 2 * timekeeper.Second
 
 // Lease is the row that says who plans for a service. It is an immutable value.
 type Lease struct {
@@ -57,12 +57,12 @@
 	case mine:
 		lease.Until = now.Add(terms.Span)
 		return lease, Renew
-	case lease.Fence > 0 && now < lease.Until.Add(Skew):
+	case lease.Fence > 0 && now < lease.Until.Add(MaxClockSkew):
 		return lease, Leave
 	}
 	next := Lease{Holder: me, Fence: lease.Fence + 1, Until: now.Add(terms.Span), Quiet: now}
 	if lease.Fence > 0 && !terms.EnginesCheck {
-		next.Quiet = max(lease.Until, lease.Quiet).Add(terms.LongestOrder + Skew)
+		next.Quiet = max(lease.Until, lease.Quiet).Add(terms.LongestOrder + MaxClockSkew)
 	}
 	return next, Take
 }
@@ -80,7 +80,7 @@
 	if lease.Holder == me && now < lease.Until {
 		return max(terms.Span/4, 1)
 	}
-	left := max(0, lease.Until.Add(Skew).Since(now))
+	left := max(0, lease.Until.Add(MaxClockSkew).Since(now))
 	return left + max(1, timekeeper.Span(float64(terms.Span)*draw))
 }
 
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -17,7 +17,7 @@
 	checked := terms
 	checked.EnginesCheck = true
 	held := Lease{Holder: "a", Fence: 4, Until: now.Add(terms.Span)}
-	ran := Lease{Holder: "a", Fence: 4, Until: now.Add(-Skew)}
+	ran := Lease{Holder: "a", Fence: 4, Until: now.Add(-MaxClockSkew)}
 	tests := []struct {
 		name  string
 		lease Lease
@@ -76,7 +76,7 @@
 		pause := func() timekeeper.Span {
 			return timekeeper.Span(draws.IntN(int(3*terms.Span))) * timekeeper.Span(draws.IntN(2))
 		}
-		skew := func() timekeeper.Span { return timekeeper.Span(draws.IntN(int(Skew/2))) - Skew/4 }
+		skew := func() timekeeper.Span { return timekeeper.Span(draws.IntN(int(MaxClockSkew/2))) - MaxClockSkew/4 }
 		clocks := [entries]timekeeper.Span{}
 		for i := range clocks {
 			clocks[i] = skew()
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -250,7 +250,7 @@
 
 func (planner *Planner) send(ctx context.Context, terms Terms, at Address, order Order) (*encoder.EngineOrderDone, error) {
 	lease := planner.held()
-	ctx, cancel := context.WithTimeout(ctx, (terms.LongestOrder + Skew).Duration())
+	ctx, cancel := context.WithTimeout(ctx, (terms.LongestOrder + MaxClockSkew).Duration())
 	defer cancel()
 	done, err := planner.settings.Send(ctx, at.Address, &encoder.EngineOrder{
 		Service:    planner.settings.Service,
