--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -22,8 +22,8 @@
 type Terms struct {
 	// Span is how long a lease lasts without being renewed.
 	Span timekeeper.Span
-	// LongestOrder bounds an order at an engine; agents cut it off then.
-	LongestOrder timekeeper.Span
+	// OrderTimeout bounds an order at an engine; agents cut it off then.
+	OrderTimeout timekeeper.Span
 	// EnginesCheck says that engines refuse an order with a lower number.
 	EnginesCheck bool
 }
@@ -62,7 +62,7 @@
 	}
 	next := Lease{Holder: me, Fence: lease.Fence + 1, Until: now.Add(terms.Span), Quiet: now}
 	if lease.Fence > 0 && !terms.EnginesCheck {
-		next.Quiet = max(lease.Until, lease.Quiet).Add(terms.LongestOrder + MaxClockSkew)
+		next.Quiet = max(lease.Until, lease.Quiet).Add(terms.OrderTimeout + MaxClockSkew)
 	}
 	return next, Take
 }
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -10,7 +10,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-var terms = Terms{Span: 30 * timekeeper.Second, LongestOrder: 20 * timekeeper.Second}
+var terms = Terms{Span: 30 * timekeeper.Second, OrderTimeout: 20 * timekeeper.Second}
 
 func TestWhatIsDoneAboutALease(t *testing.T) {
 	const now = timekeeper.Instant(1_000_000)
@@ -30,10 +30,10 @@
 		{"nobody ever held it", Lease{}, "a", terms, Take, 1, 0},
 		{"mine, and fresh", held, "a", terms, Leave, 4, 0},
 		{"mine, and half over", Lease{Holder: "a", Fence: 4, Until: now.Add(terms.Span / 2)}, "a", terms, Renew, 4, 0},
-		{"mine, but it ran out: the number grows", ran, "a", terms, Take, 5, terms.LongestOrder},
+		{"mine, but it ran out: the number grows", ran, "a", terms, Take, 5, terms.OrderTimeout},
 		{"another's", held, "b", terms, Leave, 4, 0},
 		{"another's, over by less than the clocks may differ", Lease{Holder: "a", Fence: 4, Until: now}, "b", terms, Leave, 4, 0},
-		{"another's, over; engines check no numbers", ran, "b", terms, Take, 5, terms.LongestOrder},
+		{"another's, over; engines check no numbers", ran, "b", terms, Take, 5, terms.OrderTimeout},
 		{"another's, over; engines check numbers", ran, "b", checked, Take, 5, 0},
 	}
 	for _, test := range tests {
@@ -105,7 +105,7 @@
 			order := row
 			at := now.Add(pause())
 			if _, verdict := (Gate{}).Check(order.Fence, order.Until, at.Add(skew())); verdict == Pass {
-				end := at.Add(timekeeper.Span(draws.IntN(int(terms.LongestOrder))))
+				end := at.Add(timekeeper.Span(draws.IntN(int(terms.OrderTimeout))))
 				done = append(done, execution{fence: order.Fence, start: at, end: end})
 			}
 		}
@@ -208,7 +208,7 @@
 	// The time of day jumps two minutes ahead at the entry that does not hold the lease,
 	// and later back. By the time of day it would take the lease while its holder gives
 	// orders; a clock that is not set lets it wait until the lease has run out.
-	terms := Terms{Span: 15 * timekeeper.Second, LongestOrder: 5 * timekeeper.Second}
+	terms := Terms{Span: 15 * timekeeper.Second, OrderTimeout: 5 * timekeeper.Second}
 	const jump = 2 * timekeeper.Minute
 	tests := []struct {
 		name string
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -81,7 +81,7 @@
 	service, ok := config.Service(planner.settings.Service)
 	terms := Terms{
 		Span:         config.Limits.WithDefaults().OrderLease,
-		LongestOrder: service.LongestOrder,
+		OrderTimeout: service.LongestOrder,
 		EnginesCheck: service.ChecksOrders,
 	}
 	return terms, service, ok && service.Ordered()
@@ -250,7 +250,7 @@
 
 func (planner *Planner) send(ctx context.Context, terms Terms, at Address, order Order) (*encoder.EngineOrderDone, error) {
 	lease := planner.held()
-	ctx, cancel := context.WithTimeout(ctx, (terms.LongestOrder + MaxClockSkew).Duration())
+	ctx, cancel := context.WithTimeout(ctx, (terms.OrderTimeout + MaxClockSkew).Duration())
 	defer cancel()
 	done, err := planner.settings.Send(ctx, at.Address, &encoder.EngineOrder{
 		Service:    planner.settings.Service,
