--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -24,8 +24,8 @@
 	Span timekeeper.Span
 	// OrderTimeout bounds an order at an engine; agents cut it off then.
 	OrderTimeout timekeeper.Span
-	// EnginesCheck says that engines refuse an order with a lower number.
-	EnginesCheck bool
+	// EnginesCheckFence says that engines refuse an order with a lower number.
+	EnginesCheckFence bool
 }
 
 // Step is what to do about a lease.
@@ -61,7 +61,7 @@
 		return lease, Leave
 	}
 	next := Lease{Holder: me, Fence: lease.Fence + 1, Until: now.Add(terms.Span), Quiet: now}
-	if lease.Fence > 0 && !terms.EnginesCheck {
+	if lease.Fence > 0 && !terms.EnginesCheckFence {
 		next.Quiet = max(lease.Until, lease.Quiet).Add(terms.OrderTimeout + MaxClockSkew)
 	}
 	return next, Take
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -15,7 +15,7 @@
 func TestWhatIsDoneAboutALease(t *testing.T) {
 	const now = timekeeper.Instant(1_000_000)
 	checked := terms
-	checked.EnginesCheck = true
+	checked.EnginesCheckFence = true
 	held := Lease{Holder: "a", Fence: 4, Until: now.Add(terms.Span)}
 	ran := Lease{Holder: "a", Fence: 4, Until: now.Add(-MaxClockSkew)}
 	tests := []struct {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -82,7 +82,7 @@
 	terms := Terms{
 		Span:         config.Limits.WithDefaults().OrderLease,
 		OrderTimeout: service.LongestOrder,
-		EnginesCheck: service.ChecksOrders,
+		EnginesCheckFence: service.ChecksOrders,
 	}
 	return terms, service, ok && service.Ordered()
 }
