--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -13,9 +13,9 @@
 	// Fence grows by one whenever the lease is taken anew, by whomever.
 	Fence uint64             `json:"fence"`
 	Until timekeeper.Instant `json:"until"`
-	// Quiet is until when the holder gives no orders, since an order of the
+	// NoOrdersBefore is until when the holder gives no orders, since an order of the
 	// holder before may still run at an engine that checks no numbers.
-	Quiet timekeeper.Instant `json:"quiet"`
+	NoOrdersBefore timekeeper.Instant `json:"quiet"`
 }
 
 // Terms are how a service's lease is held.
@@ -60,16 +60,16 @@
 	case lease.Fence > 0 && now < lease.Until.Add(MaxClockSkew):
 		return lease, Leave
 	}
-	next := Lease{Holder: me, Fence: lease.Fence + 1, Until: now.Add(terms.Span), Quiet: now}
+	next := Lease{Holder: me, Fence: lease.Fence + 1, Until: now.Add(terms.Span), NoOrdersBefore: now}
 	if lease.Fence > 0 && !terms.EnginesCheckFence {
-		next.Quiet = max(lease.Until, lease.Quiet).Add(terms.OrderTimeout + MaxClockSkew)
+		next.NoOrdersBefore = max(lease.Until, lease.NoOrdersBefore).Add(terms.OrderTimeout + MaxClockSkew)
 	}
 	return next, Take
 }
 
 // MayOrder reports whether the holder may give an order now.
 func (lease Lease) MayOrder(me string, now timekeeper.Instant) bool {
-	return lease.Holder == me && now >= lease.Quiet && now < lease.Until
+	return lease.Holder == me && now >= lease.NoOrdersBefore && now < lease.Until
 }
 
 // LookIn returns the time to the next look at the row. The holder looks in time
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -43,7 +43,7 @@
 			So(next.Fence, ShouldEqual, test.fence)
 			So(next.MayOrder(test.me, now), ShouldEqual, next.Holder == test.me && test.quiet == 0)
 			if test.quiet > 0 {
-				So(next.Quiet.Since(now), ShouldEqual, test.quiet)
+				So(next.NoOrdersBefore.Since(now), ShouldEqual, test.quiet)
 			}
 		})
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -159,7 +159,7 @@
 	planner.spreads = map[string]Spread{}
 	planner.mu.Unlock()
 	planner.settings.Log.WithFields(logrus.Fields{
-		"service": planner.settings.Service, "fence": lease.Fence, "quiet": lease.Quiet.Since(now).String(),
+		"service": planner.settings.Service, "fence": lease.Fence, "quiet": lease.NoOrdersBefore.Since(now).String(),
 	}).Info("planner")
 }
 
