--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -72,11 +72,11 @@
 	return lease.Holder == me && now >= lease.NoOrdersBefore && now < lease.Until
 }
 
-// LookIn returns the time to the next look at the row. The holder looks in time
+// NextCheck returns the time to the next look at the row. The holder looks in time
 // to renew. Others look once the lease must have run out, each at a time of its
 // own in one span, so that hundreds of entries cost the store little and one of
 // them is early. draw is from [0, 1).
-func (lease Lease) LookIn(me string, terms Terms, draw float64, now timekeeper.Instant) timekeeper.Span {
+func (lease Lease) NextCheck(me string, terms Terms, draw float64, now timekeeper.Instant) timekeeper.Span {
 	if lease.Holder == me && now < lease.Until {
 		return max(terms.Span/4, 1)
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -103,7 +103,7 @@
 	if lease.MayOrder(planner.settings.Holder, now) {
 		planner.give(ctx, terms, service)
 	}
-	return lease.LookIn(planner.settings.Holder, terms, planner.draws.Float64(), now)
+	return lease.NextCheck(planner.settings.Holder, terms, planner.draws.Float64(), now)
 }
 
 // keep reads the row and renews or takes the lease when it is time. A write
