--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -28,13 +28,13 @@
 	EnginesCheckFence bool
 }
 
-// Step is what to do about a lease.
-type Step uint8
+// LeaseAction is what to do about a lease.
+type LeaseAction uint8
 
 // The steps.
 const (
 	// Leave it: another holds it, or it is renewed early enough.
-	Leave Step = iota + 1
+	Leave LeaseAction = iota + 1
 	// Renew it under the same number.
 	Renew
 	// Take it under the next number.
@@ -49,7 +49,7 @@
 // under a new number like any other, since somebody may have held it between.
 // Where engines check no numbers, orders wait until the last one of the holder
 // before must have ended: it was sent before Until and took LongestOrder.
-func (lease Lease) Next(me string, terms Terms, now timekeeper.Instant) (Lease, Step) {
+func (lease Lease) Next(me string, terms Terms, now timekeeper.Instant) (Lease, LeaseAction) {
 	mine := lease.Holder == me && now < lease.Until
 	switch {
 	case mine && lease.Until.Since(now) > terms.Span/2:
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -23,7 +23,7 @@
 		lease Lease
 		me    string
 		terms Terms
-		step  Step
+		step  LeaseAction
 		fence uint64
 		quiet timekeeper.Span
 	}{
