--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -33,8 +33,8 @@
 
 // The steps.
 const (
-	// Leave it: another holds it, or it is renewed early enough.
-	Leave LeaseAction = iota + 1
+	// NoAction it: another holds it, or it is renewed early enough.
+	NoAction LeaseAction = iota + 1
 	// Renew it under the same number.
 	Renew
 	// Take it under the next number.
@@ -53,12 +53,12 @@
 	mine := lease.Holder == me && now < lease.Until
 	switch {
 	case mine && lease.Until.Since(now) > terms.Span/2:
-		return lease, Leave
+		return lease, NoAction
 	case mine:
 		lease.Until = now.Add(terms.Span)
 		return lease, Renew
 	case lease.Fence > 0 && now < lease.Until.Add(MaxClockSkew):
-		return lease, Leave
+		return lease, NoAction
 	}
 	next := Lease{Holder: me, Fence: lease.Fence + 1, Until: now.Add(terms.Span), NoOrdersBefore: now}
 	if lease.Fence > 0 && !terms.EnginesCheckFence {
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -28,11 +28,11 @@
 		quiet timekeeper.Span
 	}{
 		{"nobody ever held it", Lease{}, "a", terms, Take, 1, 0},
-		{"mine, and fresh", held, "a", terms, Leave, 4, 0},
+		{"mine, and fresh", held, "a", terms, NoAction, 4, 0},
 		{"mine, and half over", Lease{Holder: "a", Fence: 4, Until: now.Add(terms.Span / 2)}, "a", terms, Renew, 4, 0},
 		{"mine, but it ran out: the number grows", ran, "a", terms, Take, 5, terms.OrderTimeout},
-		{"another's", held, "b", terms, Leave, 4, 0},
-		{"another's, over by less than the clocks may differ", Lease{Holder: "a", Fence: 4, Until: now}, "b", terms, Leave, 4, 0},
+		{"another's", held, "b", terms, NoAction, 4, 0},
+		{"another's, over by less than the clocks may differ", Lease{Holder: "a", Fence: 4, Until: now}, "b", terms, NoAction, 4, 0},
 		{"another's, over; engines check no numbers", ran, "b", terms, Take, 5, terms.OrderTimeout},
 		{"another's, over; engines check numbers", ran, "b", checked, Take, 5, 0},
 	}
@@ -94,7 +94,7 @@
 			next, step := row.Next(me, terms, now.Add(clocks[i]))
 			wrote := now.Add(pause())
 			// The compare-and-set: the row is as it was read, also after the pause.
-			if step != Leave && read == version && wrote >= writtenAt {
+			if step != NoAction && read == version && wrote >= writtenAt {
 				row, writtenAt = next, wrote
 				version++
 				now = max(now, wrote)
@@ -228,10 +228,10 @@
 		Convey(test.name, t, func() {
 			row, taken := Lease{}, false
 			for now := timekeeper.Instant(1_000_000); now < 1_060_000; now = now.Add(500) {
-				if next, step := row.Next("holder", terms, now); step != Leave && row.Holder != "other" {
+				if next, step := row.Next("holder", terms, now); step != NoAction && row.Holder != "other" {
 					row = next
 				}
-				if next, step := row.Next("other", terms, test.other(now)); step != Leave {
+				if next, step := row.Next("other", terms, test.other(now)); step != NoAction {
 					row, taken = next, true
 				}
 			}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -121,7 +121,7 @@
 	}
 	now := planner.settings.Clock.Now()
 	next, step := lease.Next(planner.settings.Holder, terms, now)
-	if step == Leave {
+	if step == NoAction {
 		return planner.hold(lease), nil
 	}
 	value, err := json.Marshal(next)
