--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -37,8 +37,8 @@
 	NoAction LeaseAction = iota + 1
 	// Renew it under the same number.
 	Renew
-	// Take it under the next number.
-	Take
+	// Acquire it under the next number.
+	Acquire
 )
 
 // Next decides about a lease as it was read, and returns the row to write.
@@ -64,7 +64,7 @@
 	if lease.Fence > 0 && !terms.EnginesCheckFence {
 		next.NoOrdersBefore = max(lease.Until, lease.NoOrdersBefore).Add(terms.OrderTimeout + MaxClockSkew)
 	}
-	return next, Take
+	return next, Acquire
 }
 
 // MayOrder reports whether the holder may give an order now.
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -27,14 +27,14 @@
 		fence uint64
 		quiet timekeeper.Span
 	}{
-		{"nobody ever held it", Lease{}, "a", terms, Take, 1, 0},
+		{"nobody ever held it", Lease{}, "a", terms, Acquire, 1, 0},
 		{"mine, and fresh", held, "a", terms, NoAction, 4, 0},
 		{"mine, and half over", Lease{Holder: "a", Fence: 4, Until: now.Add(terms.Span / 2)}, "a", terms, Renew, 4, 0},
-		{"mine, but it ran out: the number grows", ran, "a", terms, Take, 5, terms.OrderTimeout},
+		{"mine, but it ran out: the number grows", ran, "a", terms, Acquire, 5, terms.OrderTimeout},
 		{"another's", held, "b", terms, NoAction, 4, 0},
 		{"another's, over by less than the clocks may differ", Lease{Holder: "a", Fence: 4, Until: now}, "b", terms, NoAction, 4, 0},
-		{"another's, over; engines check no numbers", ran, "b", terms, Take, 5, terms.OrderTimeout},
-		{"another's, over; engines check numbers", ran, "b", checked, Take, 5, 0},
+		{"another's, over; engines check no numbers", ran, "b", terms, Acquire, 5, terms.OrderTimeout},
+		{"another's, over; engines check numbers", ran, "b", checked, Acquire, 5, 0},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -132,7 +132,7 @@
 	if err := planner.settings.Table.Commit(ctx, []storekeeper.Write{write}); err != nil {
 		return planner.hold(lease), err
 	}
-	if step == Take {
+	if step == Acquire {
 		planner.taken(next, now)
 	}
 	return planner.hold(next), nil
