--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -96,8 +96,8 @@
 // The verdicts.
 const (
 	Pass Verdict = iota + 1
-	// Lower says that a later holder has given orders.
-	Lower
+	// StaleFence says that a later holder has given orders.
+	StaleFence
 	// Lapsed says that the order's lease has run out.
 	Lapsed
 )
@@ -107,7 +107,7 @@
 // paused, or may have waited for an order before.
 func (gate Gate) Check(fence uint64, until, now timekeeper.Instant) (Gate, Verdict) {
 	if fence < gate.Highest {
-		return gate, Lower
+		return gate, StaleFence
 	}
 	gate.Highest = fence
 	if now >= until {
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -51,7 +51,7 @@
 		gate, verdict := Gate{}.Check(5, now+1, now)
 		So(verdict, ShouldEqual, Pass)
 		_, verdict = gate.Check(4, now+1, now)
-		So(verdict, ShouldEqual, Lower)
+		So(verdict, ShouldEqual, StaleFence)
 		gate, verdict = gate.Check(6, now, now)
 		So(verdict, ShouldEqual, Lapsed)
 		So(gate.Highest, ShouldEqual, 6)
--- a/internal/runner/orders.go
+++ b/internal/runner/orders.go
@@ -46,7 +46,7 @@
 	gate, verdict := agent.orders.gate.Check(order.GetFence(), until, agent.settings.Clock.Now())
 	agent.orders.gate = gate
 	switch verdict {
-	case planner.Lower:
+	case planner.StaleFence:
 		return classifier.New(classifier.Fenced, "an order with a higher number came before"), false
 	case planner.Lapsed:
 		return classifier.New(classifier.Fenced, "the lease of the order has run out"), false
