--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -98,8 +98,8 @@
 	Pass Verdict = iota + 1
 	// StaleFence says that a later holder has given orders.
 	StaleFence
-	// Lapsed says that the order's lease has run out.
-	Lapsed
+	// LeaseExpired says that the order's lease has run out.
+	LeaseExpired
 )
 
 // Check decides about an order. It is asked when the order comes and again at
@@ -111,7 +111,7 @@
 	}
 	gate.Highest = fence
 	if now >= until {
-		return gate, Lapsed
+		return gate, LeaseExpired
 	}
 	return gate, Pass
 }
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -53,7 +53,7 @@
 		_, verdict = gate.Check(4, now+1, now)
 		So(verdict, ShouldEqual, StaleFence)
 		gate, verdict = gate.Check(6, now, now)
-		So(verdict, ShouldEqual, Lapsed)
+		So(verdict, ShouldEqual, LeaseExpired)
 		So(gate.Highest, ShouldEqual, 6)
 	})
 }
--- a/internal/runner/orders.go
+++ b/internal/runner/orders.go
@@ -48,7 +48,7 @@
 	switch verdict {
 	case planner.StaleFence:
 		return classifier.New(classifier.Fenced, "an order with a higher number came before"), false
-	case planner.Lapsed:
+	case planner.LeaseExpired:
 		return classifier.New(classifier.Fenced, "the lease of the order has run out"), false
 	}
 	return classifier.Failure{}, true
