--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -65,14 +65,14 @@
 		Record:      agent.record.Record,
 		Table:       agent.env.Platform.Table,
 
-		OnRevision:          agent.watcher.Hear,
+		OnRevision:   agent.watcher.Hear,
 		AnswerConfig: agent.watcher.Answer,
-		Mean:          agent.control.exchanger.Mean,
-		Alternative:          func() string { return agent.control.view.Room(settings.Service, settings.Name) },
-		Digests:       agent.control.exchanger.Answer,
-		AllowDigest:          agent.control.admitDigest,
-		Peers:         func() placer.Roster { return agent.control.view.Roster(settings.Service) },
-		Open:          agent.pool.Open,
+		Mean:         agent.control.exchanger.Mean,
+		Alternative:  func() string { return agent.control.view.Room(settings.Service, settings.Name) },
+		Digests:      agent.control.exchanger.Answer,
+		AllowDigest:  agent.control.admitDigest,
+		Peers:        func() placer.Roster { return agent.control.view.Roster(settings.Service) },
+		Open:         agent.pool.Open,
 	})
 	if err != nil {
 		agent.release()
