--- a/internal/runner/adapters.go
+++ b/internal/runner/adapters.go
@@ -9,30 +9,30 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// adapters are what is asked of the engine by adapter, and what it holds. It is
-// guarded by Agent.mu. Only calls that the controller has taken are in it, so the
-// slots and the queue bound it, whatever callers name.
+// adapters counts the calls for each adapter and keeps what the engine has loaded.
+// Agent.mu guards it. It holds only calls that the controller has accepted, so slots plus
+// queue length bound its size whatever adapter names callers send.
 type adapters struct {
-	// calls are the adapters of the calls that run or wait, by request.
+	// calls maps the ids of running and waiting requests to their adapters.
 	calls map[string]string
-	// loaded is what the engine last said that it holds; known is set once it has.
-	loaded []string
-	known  bool
+	// loaded is what the engine last reported; answered is set once it has reported.
+	loaded   []string
+	answered bool
 }
 
-// lacks reports whether the engine is known not to hold the adapter.
-func (adapters *adapters) lacks(adapter string) bool {
-	return adapter != "" && adapters.known && !slices.Contains(adapters.loaded, adapter)
+// isMissing reports whether the engine has reported and doesn't have the adapter loaded.
+func (adapters *adapters) isMissing(adapter string) bool {
+	return adapter != "" && adapters.answered && !slices.Contains(adapters.loaded, adapter)
 }
 
-// adapterAway refuses a call whose adapter was unloaded while the entry still
-// took this engine for one that holds it. Nothing ran, so others are tried.
-func adapterAway() classifier.Failure {
+// adapterUnloaded refuses a call whose adapter the engine has unloaded, when the entry did
+// not know so yet. Nothing ran, so the entry tries other replicas.
+func adapterUnloaded() classifier.Failure {
 	return classifier.New(classifier.NotReady, "the upstream does not hold the adapter").WithRetryAfter(timekeeper.Second)
 }
 
-// noteAdapter takes in a call that the controller has taken; Agent.mu must be held.
-func (agent *Agent) noteAdapter(offer *encoder.Offer, decision admitter.Decision) {
+// trackAdapter counts a call that the controller has accepted; Agent.mu must be held.
+func (agent *Agent) trackAdapter(offer *encoder.Offer, decision admitter.Decision) {
 	if decision.Outcome == admitter.Refused || !slices.Contains(agent.service.Adapters, offer.GetAdapter()) {
 		return
 	}
@@ -42,13 +42,13 @@
 	agent.adapters.calls[offer.GetRequestId()] = offer.GetAdapter()
 }
 
-// demands returns the calls for each adapter of the configuration, and notes
-// what the engine holds when it has said so.
-func (agent *Agent) demands(state engineState, said bool) []*encoder.Demand {
+// demands returns the number of calls for each configured adapter. When ok is set, it also
+// stores the adapters that the engine reported as loaded.
+func (agent *Agent) demands(state engineState, ok bool) []*encoder.Demand {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	if said {
-		agent.adapters.loaded, agent.adapters.known = slices.Sorted(slices.Values(state.Loaded)), true
+	if ok {
+		agent.adapters.loaded, agent.adapters.answered = slices.Sorted(slices.Values(state.Loaded)), true
 	}
 	demands := make([]*encoder.Demand, 0, len(agent.service.Adapters))
 	for _, adapter := range agent.service.Adapters {
--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -21,7 +21,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Settings set up an agent. All fields without a stated default must be set.
+// Settings configures an agent. All fields without a stated default must be set.
 type Settings struct {
 	Name        string
 	Service     string
@@ -34,26 +34,27 @@
 	Scope    tally.Scope
 	// Config returns the configuration in force.
 	Config func() resolver.Config
-	// OnRevision takes a revision of the configuration that a peer carried; nil means it is dropped.
+	// OnRevision receives the configuration revision in a peer's message; nil ignores it.
 	OnRevision func(revision uint64)
-	// AnswerConfig answers a peer that asks for it; nil means that none is given.
+	// AnswerConfig answers a peer's request for the configuration; nil means an empty
+	// answer.
 	AnswerConfig func(ask *encoder.ConfigAsk) *encoder.ConfigBody
-	// Mean returns the load of the whole service as it is known; nil means unknown.
+	// Mean returns the estimated load of the whole service; nil means unknown.
 	Mean func() admitter.Mean
-	// Record takes events of the fleet's record; nil means they are dropped.
+	// Record takes events for the fleet's record; nil means they are dropped.
 	Record func(event recorder.Event)
-	// Digests answers a peer's question about the service; nil means that the
-	// agent tells of itself alone.
+	// Digests answers a peer's query about the service; nil means that the agent answers
+	// with its own digest only.
 	Digests func(ask *encoder.DigestAsk) *encoder.Digests
-	// Alternative names a replica of the service with room, for callers that are sent
-	// on; nil means that none is known.
+	// Alternative names a replica of the service with free capacity, which refusals at the
+	// load bound suggest to the caller; nil means that none is known.
 	Alternative func() string
-	// AllowDigest counts a digest that is about to ride on an answer, and returns false
-	// when the budget has no room for it; nil means that there is always room.
+	// AllowDigest charges a digest that is about to be sent with an answer to the
+	// control-traffic budget, and returns false when the budget is used up; nil means no
+	// limit.
 	AllowDigest func(digest *encoder.Digest) bool
-	// Peers returns the replicas of the service that may get new work, and Open
-	// a stream to one of them; nil means that no prefix goes to or comes from
-	// another replica.
+	// Peers returns the replicas of the service that may get new work, and Open opens a
+	// stream to one of them; nil disables prefix transfers between replicas.
 	Peers func() placer.Roster
 	Open  func(ctx context.Context, address string) (net.Conn, error)
 	// Draw returns random numbers in [0, 1) for jitter; nil means a source
@@ -64,7 +65,7 @@
 	Table storekeeper.Table
 	// RunTimeout is how long a granted slot waits for its Run frame; zero means 5 seconds.
 	RunTimeout timekeeper.Span
-	// RunRetention is how long an ended run stays known; zero means 2 minutes.
+	// RunRetention is how long an ended run can be looked up; zero means 2 minutes.
 	RunRetention timekeeper.Span
 }
 
@@ -99,7 +100,7 @@
 	return settings
 }
 
-// Agent owns one upstream instance.
+// Agent is the only process that talks to its upstream instance.
 type Agent struct {
 	settings Settings
 	upstream *upstream
@@ -109,31 +110,31 @@
 	orders   orders
 	adapters adapters
 
-	// service is as in the configuration of revision; mu guards both.
+	// service is the service's configuration in revision; mu guards both.
 	service  resolver.Service
 	revision uint64
 
 	mu         sync.Mutex
 	controller *admitter.Controller
 	demand     admitter.Demand
-	queue      map[string]chan verdict
-	places     *placer.Directory
-	born       timekeeper.Instant
+	queue      map[string]chan slotResult
+	directory  *placer.Directory
+	startedAt  timekeeper.Instant
 	runs       map[string]*run
-	kept       endedRuns
+	retained   endedRuns
 	bySerial   map[uint64]*run
 	serial     uint64
-	weighed    map[string]weighing
+	admissions map[string]admission
 	draining   bool
 	sequence   uint64
 	reported   reportedLoad
 	calls      sync.WaitGroup
-	// transfers has a place for each prefix that is under way at once.
+	// transfers limits concurrent prefix transfers: each holds one element.
 	transfers chan struct{}
 }
 
-// New returns an agent and a function that releases what it holds. It returns
-// an error when the configuration doesn't know the agent's service.
+// New returns an agent and a function that releases its resources. It returns an error
+// when the configuration doesn't contain the agent's service.
 func New(settings Settings) (*Agent, func(), error) {
 	settings = settings.withDefaults()
 	service, ok := settings.Config().Service(settings.Service)
@@ -145,17 +146,17 @@
 		service:    service,
 		revision:   settings.Config().Revision,
 		upstream:   newUpstream(settings.Upstream, service),
-		controller: admitter.NewController(limitsOf(service, settings.Draw)),
-		queue:      map[string]chan verdict{},
-		places:     placer.NewDirectory(placer.DirectorySettings{Self: settings.Name, CacheTokens: service.CacheTokens}),
-		born:       settings.Clock.Now(),
+		controller: admitter.NewController(controllerLimits(service, settings.Draw)),
+		queue:      map[string]chan slotResult{},
+		directory:  placer.NewDirectory(placer.DirectorySettings{Self: settings.Name, CacheTokens: service.CacheTokens}),
+		startedAt:  settings.Clock.Now(),
 		keys:       newKeys(settings),
 		strikes:    newStrikes(settings),
 		runs:       map[string]*run{},
 		bySerial:   map[uint64]*run{},
-		weighed:    map[string]weighing{},
+		admissions: map[string]admission{},
 
-		transfers: make(chan struct{}, mostTransfers),
+		transfers: make(chan struct{}, maxTransfers),
 	}
 	return agent, agent.upstream.close, nil
 }
@@ -193,7 +194,7 @@
 	}
 }
 
-// serveStream reads the first frame of a stream and hands it to its handler.
+// serveStream reads the first frame of a stream and dispatches on its type.
 func (agent *Agent) serveStream(ctx context.Context, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	stream := encoder.NewStream(conn)
@@ -205,25 +206,25 @@
 	case *encoder.Frame_Hello:
 		_ = stream.Write(encoder.Of(&encoder.Welcome{Instance: agent.settings.Name, Incarnation: agent.settings.Incarnation}))
 	case *encoder.Frame_Offer:
-		agent.heard(message.Offer.GetEntry(), message.Offer.GetRevision())
+		agent.recordRevision(message.Offer.GetEntry(), message.Offer.GetRevision())
 		agent.serveOffer(ctx, stream, message.Offer)
 	case *encoder.Frame_Lookup:
 		agent.serveLookup(ctx, stream, message.Lookup)
 	case *encoder.Frame_PointerPut:
-		agent.notePointer(message.PointerPut)
+		agent.recordPointer(message.PointerPut)
 	case *encoder.Frame_PrefixAsk:
-		_ = stream.Write(encoder.Of(agent.givePrefix(ctx, message.PrefixAsk)))
+		_ = stream.Write(encoder.Of(agent.servePrefix(ctx, message.PrefixAsk)))
 	case *encoder.Frame_PrefixBody:
-		_ = stream.Write(encoder.Of(agent.takePrefix(ctx, message.PrefixBody)))
+		_ = stream.Write(encoder.Of(agent.acceptPrefix(ctx, message.PrefixBody)))
 	case *encoder.Frame_MintAsk:
 		agent.serveMint(stream, message.MintAsk)
 	case *encoder.Frame_Cancel:
 		agent.serveCancel(stream, message.Cancel)
 	case *encoder.Frame_DigestAsk:
-		agent.heard(message.DigestAsk.GetAsker(), message.DigestAsk.GetRevision())
+		agent.recordRevision(message.DigestAsk.GetAsker(), message.DigestAsk.GetRevision())
 		_ = stream.Write(encoder.Of(agent.withAskers(message.DigestAsk, agent.digests(message.DigestAsk))))
 	case *encoder.Frame_EngineOrder:
-		_ = stream.Write(encoder.Of(agent.carryOut(ctx, message.EngineOrder)))
+		_ = stream.Write(encoder.Of(agent.executeOrder(ctx, message.EngineOrder)))
 	case *encoder.Frame_ConfigAsk:
 		_ = stream.Write(encoder.Of(agent.settings.AnswerConfig(message.ConfigAsk)))
 	default:
@@ -231,7 +232,7 @@
 	}
 }
 
-// Digest returns what the agent says about itself.
+// Digest returns the agent's current state and load.
 func (agent *Agent) Digest() *encoder.Digest {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -263,7 +264,7 @@
 }
 
 func (agent *Agent) digests(ask *encoder.DigestAsk) *encoder.Digests {
-	// A question that names no service and no size is about the agent alone.
+	// A query without a service and a limit asks for this agent's digest only.
 	if agent.settings.Digests != nil && (ask.GetService() != "" || ask.GetLimit() > 0) {
 		return agent.settings.Digests(ask)
 	}
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -8,60 +8,60 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// elsewhere returns a refusal when the chat's prefix is at another replica;
-// the lock must be held.
-func (agent *Agent) elsewhere(offer *encoder.Offer, now timekeeper.Instant) (classifier.Failure, bool) {
+// redirect returns a refusal when another replica holds the chat's prefix; the lock must
+// be held.
+func (agent *Agent) redirect(offer *encoder.Offer, now timekeeper.Instant) (classifier.Failure, bool) {
 	if agent.service.Kind != resolver.KindModel {
 		return classifier.Failure{}, false
 	}
-	if !agent.places.ShouldRedirect(agent.visit(offer, now)) {
+	if !agent.directory.ShouldRedirect(agent.chatOffer(offer, now)) {
 		return classifier.Failure{}, false
 	}
 	return classifier.New(classifier.Moved, "the chat last ran at another replica"), true
 }
 
-// visit returns an offer as the directory sees it; the lock must be held.
-func (agent *Agent) visit(offer *encoder.Offer, now timekeeper.Instant) placer.ChatOffer {
+// chatOffer converts an offer for the directory; the lock must be held.
+func (agent *Agent) chatOffer(offer *encoder.Offer, now timekeeper.Instant) placer.ChatOffer {
 	return placer.ChatOffer{
 		Chat:            offer.GetChat(),
 		Attempt:         int(offer.GetAttempt()),
 		Ranked:          offer.GetCandidates(),
 		OnlyIfCached:    offer.GetSeek(),
-		RecentlyStarted: now.Since(agent.born) < *agent.service.SettleTime,
-		CanFetch:        agent.fetches(),
+		RecentlyStarted: now.Since(agent.startedAt) < *agent.service.SettleTime,
+		CanFetch:        agent.canFetch(),
 	}
 }
 
-// hints returns where the caller of a refused offer should go: to the replica
-// that the chat last ran at, else to one with room.
-func (agent *Agent) hints(offer *encoder.Offer, failure classifier.Failure) (where, room string) {
+// hints returns the replicas that a refused caller should try: the one that last ran the
+// chat, or else one with free capacity.
+func (agent *Agent) hints(offer *encoder.Offer, failure classifier.Failure) (holder, alternative string) {
 	if !classifier.AnswerOf(failure.Kind).Elsewhere {
 		return "", ""
 	}
 	agent.mu.Lock()
-	where = agent.places.Locate(offer.GetChat())
+	holder = agent.directory.Locate(offer.GetChat())
 	agent.mu.Unlock()
-	if where == agent.settings.Name {
-		where = ""
+	if holder == agent.settings.Name {
+		holder = ""
 	}
-	// Only a refusal by the bound names a replica with room: then some replica
-	// has less than the mean, while a full queue may be one of many.
+	// Only a refusal at the load bound names an alternative: then some replica must be
+	// below the mean. A full queue may be one of many.
 	if failure.Kind != classifier.AtBound {
-		return where, ""
+		return holder, ""
 	}
-	return where, agent.settings.Alternative()
+	return holder, agent.settings.Alternative()
 }
 
-// noteChat remembers that a chat runs here.
-func (agent *Agent) noteChat(chat uint64, tokens int64) {
+// recordChat records that a chat runs on this replica.
+func (agent *Agent) recordChat(chat uint64, tokens int64) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	agent.places.Record(chat, agent.settings.Name, tokens)
+	agent.directory.Record(chat, agent.settings.Name, tokens)
 }
 
-// notePointer remembers that a chat whose home is here ran elsewhere.
-func (agent *Agent) notePointer(put *encoder.PointerPut) {
+// recordPointer records that a chat whose home is this replica ran on another one.
+func (agent *Agent) recordPointer(put *encoder.PointerPut) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	agent.places.Record(put.GetChat(), put.GetInstance(), put.GetTokens())
+	agent.directory.Record(put.GetChat(), put.GetInstance(), put.GetTokens())
 }
--- a/internal/runner/drain.go
+++ b/internal/runner/drain.go
@@ -9,8 +9,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// drainLook is the time between two looks at what is still in flight.
-const drainLook = 20 * timekeeper.Millisecond
+// drainInterval is the time between two checks of what is still in flight.
+const drainInterval = 20 * timekeeper.Millisecond
 
 // StopAdmitting refuses new work from now on.
 func (agent *Agent) StopAdmitting() {
@@ -19,55 +19,56 @@
 	agent.draining = true
 }
 
-// Drain refuses new work at once and returns when nothing is in flight, or
-// with an error when ctx ends first. In flight is every call that runs or
-// waits, and every answer that a reader still takes: an upstream that is done
-// is not enough, since a slow reader may have most of the answer before it.
+// Drain refuses new work at once and returns when nothing is in flight, or with an error
+// when ctx ends first. In flight are running and waiting calls, and answers that a reader
+// is still receiving: when the upstream has finished, a slow reader may still have most of
+// the answer to come.
 func (agent *Agent) Drain(ctx context.Context) error {
 	agent.StopAdmitting()
-	agent.recordLeaving(recorder.Draining)
-	given := agent.handOver(ctx)
+	agent.recordDrain(recorder.Draining)
+	finishHandOver := agent.handOver(ctx)
 	for {
-		left := agent.inFlight()
-		if left == 0 {
-			given()
-			agent.recordLeaving(recorder.Drained)
+		remaining := agent.inFlight()
+		if remaining == 0 {
+			finishHandOver()
+			agent.recordDrain(recorder.Drained)
 			return nil
 		}
-		if err := agent.settings.Clock.Sleep(ctx, drainLook); err != nil {
-			return eris.Errorf("the longest drain has passed with %d calls in flight", left)
+		if err := agent.settings.Clock.Sleep(ctx, drainInterval); err != nil {
+			return eris.Errorf("the longest drain has passed with %d calls in flight", remaining)
 		}
 	}
 }
 
-// FlushKeys tells the store what a drained agent knows of its keys: which ran,
-// so that their callers hear so, and which did not, so that others may run them.
+// FlushKeys writes the state of a drained agent's keys to the store: it marks the keys
+// that ran, so that their callers get that answer, and releases unused claims, so that
+// other agents may run them.
 func (agent *Agent) FlushKeys(ctx context.Context) {
 	if agent.settings.Table.Commit == nil {
 		return
 	}
 	agent.mu.Lock()
-	done := agent.keys.book.TakeDone(mostMarks)
+	done := agent.keys.book.TakeDone(maxMarks)
 	unused := agent.keys.book.TakeUnused()
 	agent.mu.Unlock()
 	if err := agent.keys.committer.Release(ctx, unused); err != nil {
-		agent.settings.Log.WithError(err).WithField("rows", len(unused)).Info("unused claims not given back")
+		agent.settings.Log.WithError(err).WithField("rows", len(unused)).Info("unused claims not released")
 	}
 	if err := agent.keys.committer.Mark(ctx, done); err != nil {
 		agent.settings.Log.WithError(err).WithField("rows", len(done)).Info("runs not marked as done")
 	}
 }
 
-// inFlight returns how many calls run, wait, or are still read.
+// inFlight returns how many calls run or wait, or have answers with readers.
 func (agent *Agent) inFlight() int {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	load := agent.controller.Load()
-	left := load.Running + load.Waiting
+	remaining := load.Running + load.Waiting
 	for _, run := range agent.runs {
-		if run.ended != 0 && run.readers > 0 {
-			left++
+		if run.endedAt != 0 && run.readers > 0 {
+			remaining++
 		}
 	}
-	return left
+	return remaining
 }
--- a/internal/runner/fetch.go
+++ b/internal/runner/fetch.go
@@ -11,42 +11,43 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// fetches reports whether prefixes can come from other replicas; the lock must
-// be held.
-func (agent *Agent) fetches() bool {
+// canFetch reports whether prefixes can be fetched from other replicas; the lock must be
+// held.
+func (agent *Agent) canFetch() bool {
 	return agent.settings.Open != nil && agent.settings.Peers != nil && agent.upstream.service.CachePath != ""
 }
 
-// fetchShare is the part of a call's time to its first byte that fetching may
-// take: a call that fetched in vain still has time to read its prompt.
-const fetchShare = 4
+// fetchDivisor limits a fetch to 1/fetchDivisor of the call's time to first byte, which
+// leaves time for a full prefill after a failed fetch.
+const fetchDivisor = 4
 
-// fetch brings the prefix of an admitted offer here while the offer waits for
-// its slot; the channel closes when it is here or the time for it has passed.
-// The load is a replica that joined, or a home at its bound: the harm is a long
-// prompt that is computed again though it lies cached at a neighbour. A failure
-// costs the span of the limit and a cold prefix, and never the call.
+// fetch gets the prefix of an admitted offer from another replica while the offer waits
+// for its slot. The channel closes when the prefix has been imported or the timeout has
+// passed. It serves chats that come to a replica that has just joined, or that spill
+// because their home is at its bound: without it, a long prompt is computed again although
+// a peer has it cached. A failed fetch costs at most the timeout and a cold prefill, and
+// never fails the call.
 func (agent *Agent) fetch(ctx context.Context, offer *encoder.Offer, arrived timekeeper.Instant) <-chan struct{} {
 	done := make(chan struct{})
 	agent.mu.Lock()
-	source, longest := "", agent.service.LongestFetch
-	if agent.fetches() {
-		source = agent.places.FetchSource(agent.visit(offer, arrived))
+	source, timeout := "", agent.service.LongestFetch
+	if agent.canFetch() {
+		source = agent.directory.FetchSource(agent.chatOffer(offer, arrived))
 	}
 	agent.mu.Unlock()
 	if deadline := timekeeper.Span(offer.GetDeadline()); deadline > 0 {
-		longest = min(longest, deadline/fetchShare)
+		timeout = min(timeout, deadline/fetchDivisor)
 	}
-	end, free := agent.beginTransfer()
-	if source == "" || !free {
-		end()
+	release, acquired := agent.acquireTransfer()
+	if source == "" || !acquired {
+		release()
 		close(done)
 		return done
 	}
 	agent.calls.Go(func() {
 		defer close(done)
-		defer end()
-		ctx, cancel := context.WithTimeout(ctx, longest.Duration())
+		defer release()
+		ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 		defer cancel()
 		home := len(offer.GetCandidates()) > 0 && offer.GetCandidates()[0] == agent.settings.Name
 		from, err := agent.fetchFrom(ctx, source, offer.GetChat(), home)
@@ -55,14 +56,15 @@
 	return done
 }
 
-// fetchFrom asks the source, and once the replica that it points to. A home
-// has the prefix released elsewhere; a replica that a chat spilled to copies it.
+// fetchFrom requests the prefix from source and, if source names another holder, once from
+// that one. When this replica is the chat's home, the holder releases its copy; a replica
+// that the chat spilled to only copies it.
 func (agent *Agent) fetchFrom(ctx context.Context, source string, chat uint64, home bool) (string, error) {
 	ask := &encoder.PrefixAsk{Chat: chat, Service: agent.settings.Service, Release: home, Asker: agent.settings.Name}
-	body, err := agent.askPrefix(ctx, source, ask)
+	body, err := agent.requestPrefix(ctx, source, ask)
 	if err == nil && body.GetKind() != "" && body.GetWhere() != "" && body.GetWhere() != agent.settings.Name {
 		source = body.GetWhere()
-		body, err = agent.askPrefix(ctx, source, ask)
+		body, err = agent.requestPrefix(ctx, source, ask)
 	}
 	if err != nil {
 		return source, err
@@ -73,27 +75,27 @@
 	if err := agent.upstream.importPrefix(ctx, body.GetBody()); err != nil {
 		return source, err
 	}
-	agent.noteChat(chat, body.GetTokens())
+	agent.recordChat(chat, body.GetTokens())
 	return source, nil
 }
 
-// askPrefix asks a replica for the prefix of a chat.
-func (agent *Agent) askPrefix(ctx context.Context, name string, ask *encoder.PrefixAsk) (*encoder.PrefixBody, error) {
+// requestPrefix requests the prefix of a chat from a replica.
+func (agent *Agent) requestPrefix(ctx context.Context, name string, ask *encoder.PrefixAsk) (*encoder.PrefixBody, error) {
 	replica, ok := agent.settings.Peers().Find(name)
 	if !ok {
 		return nil, errNoPeer
 	}
-	frame, err := agent.askPeer(ctx, replica, ask)
+	frame, err := agent.callPeer(ctx, replica, ask)
 	if err != nil {
 		return nil, err
 	}
 	return frame.GetPrefixBody(), nil
 }
 
-var errNoPeer = eris.New("no such replica in the service")
+var errNoPeer = eris.New("the source of the prefix is not among the service's replicas")
 
-// askPeer sends a replica a message and reads its answer, until ctx ends.
-func (agent *Agent) askPeer(ctx context.Context, replica placer.Replica, message any) (*encoder.Frame, error) {
+// callPeer sends a message to a replica and reads its answer, until ctx ends.
+func (agent *Agent) callPeer(ctx context.Context, replica placer.Replica, message any) (*encoder.Frame, error) {
 	conn, err := agent.settings.Open(ctx, replica.Address)
 	if err != nil {
 		return nil, err
--- a/internal/runner/fetch_test.go
+++ b/internal/runner/fetch_test.go
@@ -19,15 +19,15 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// trio is a service of replicas a, b and c. They reach each other by pipes, but
-// for one that may be silent: it takes a message and never answers.
+// trio is a service of replicas a, b and c, which reach each other by pipes. One of them
+// may be unresponsive: it takes a message and never answers.
 type trio struct {
-	agents  map[string]*Agent
-	engines map[string]string
-	silent  string
+	agents       map[string]*Agent
+	engines      map[string]string
+	unresponsive string
 }
 
-// newTrio returns replicas with engines of their own.
+// newTrio returns three replicas, each with its own engine.
 func newTrio(t *testing.T, service resolver.Service) *trio {
 	t.Helper()
 	made := &trio{agents: map[string]*Agent{}, engines: map[string]string{}}
@@ -54,7 +54,7 @@
 
 func (trio *trio) open(ctx context.Context, address string) (net.Conn, error) {
 	near, far := net.Pipe()
-	if address == trio.silent {
+	if address == trio.unresponsive {
 		go func() { _, _ = io.Copy(io.Discard, far) }()
 		return near, nil
 	}
@@ -62,11 +62,11 @@
 	return near, nil
 }
 
-// turnDeadline is when the caller of a turn has waited enough.
+// turnDeadline is the deadline of a turn's call.
 const turnDeadline = 2 * timekeeper.Second
 
-// turn makes one turn of the chat at a replica, with the ranking given, and
-// returns how many tokens were cached, or "refused".
+// turn makes one turn of the chat at a replica, with the ranking given, and returns how
+// many tokens were cached, or "refused".
 func (trio *trio) turn(t *testing.T, at string, ranked ...string) string {
 	t.Helper()
 	near, far := net.Pipe()
@@ -104,26 +104,26 @@
 }
 
 func TestAReplicaFetchesThePrefixOfACallThatItTook(t *testing.T) {
-	// Whatever becomes of the fetch, the caller gets an answer in time; only
-	// where a replica has the prefix and answers is the answer quick as well.
-	// The chat ran at b. Replica a, which started lately, becomes its home and
-	// asks b, or is told of b by c. In the last cases b never answers, or its
-	// engine has evicted the prefix without a word; then b forgets it too,
-	// but not while a turn of the chat runs: its prefix is yet to be cached.
+	// Guards against a call that fails or is late because its fetch failed. The chat ran
+	// at b. Replica a, which started recently, becomes its home and requests the prefix
+	// from b, or from c, which points to b. Only a prefix that is there and arrives makes
+	// the answer quick. In the last cases b never answers, or its engine has evicted the
+	// prefix without reporting it; then b forgets it too, but not while a turn of the chat
+	// runs, whose prefix is not cached yet.
 	const cold, warm = "0", "8"
 	tests := []struct {
-		name    string
-		ranked  []string
-		silent  string
-		evicted bool
-		// running says that another turn of the chat still runs at b.
+		name         string
+		ranked       []string
+		unresponsive string
+		evicted      bool
+		// running is true if another turn of the chat still runs at b.
 		running bool
 		cached  string
 	}{
-		{"from the runner-up", []string{"a", "b", "c"}, "", false, false, warm},
-		{"where the runner-up points", []string{"a", "c", "b"}, "", false, false, warm},
-		{"a silent source", []string{"a", "b", "c"}, "b", false, false, cold},
-		{"an eviction that was never told", []string{"a", "b", "c"}, "", true, false, cold},
+		{"from the second-ranked replica", []string{"a", "b", "c"}, "", false, false, warm},
+		{"from the replica that the second-ranked one points to", []string{"a", "c", "b"}, "", false, false, warm},
+		{"an unresponsive source", []string{"a", "b", "c"}, "b", false, false, cold},
+		{"an unreported eviction", []string{"a", "b", "c"}, "", true, false, cold},
 		{"a turn that still runs", []string{"a", "b", "c"}, "", true, true, cold},
 	}
 	for _, test := range tests {
@@ -133,29 +133,29 @@
 			}
 			trio := newTrio(t, service)
 			So(trio.turn(t, "b", "b", "a", "c"), ShouldEqual, cold)
-			trio.agents["c"].notePointer(&encoder.PointerPut{Chat: 7, Instance: "b", Tokens: 9})
-			trio.silent = test.silent
+			trio.agents["c"].recordPointer(&encoder.PointerPut{Chat: 7, Instance: "b", Tokens: 9})
+			trio.unresponsive = test.unresponsive
 			if test.evicted {
 				trio.agents["b"].upstream.base += "/emptied"
 			}
 			if test.running {
 				trio.agents["b"].runs["other"] = &run{chat: 7}
 			}
-			begun := timekeeper.Wall().Now()
+			start := timekeeper.Wall().Now()
 			So(trio.turn(t, "a", test.ranked...), ShouldEqual, test.cached)
-			So(timekeeper.Wall().Now().Since(begun), ShouldBeLessThan, turnDeadline)
+			So(timekeeper.Wall().Now().Since(start), ShouldBeLessThan, turnDeadline)
 			if test.evicted {
-				So(trio.agents["b"].places.Locate(7) == "b", ShouldEqual, test.running)
+				So(trio.agents["b"].directory.Locate(7) == "b", ShouldEqual, test.running)
 			}
 		})
 	}
 }
 
 func TestAHandOverStaysWithinItsBounds(t *testing.T) {
-	// A chat of a replica that leaves is as quick as before, unless no other has
-	// room; a replica that doesn't answer delays the leaving to its limit only.
-	// Replica b leaves. Its chat goes to the first of the others that has room,
-	// and with no bytes allowed, or with all silent, nothing moves.
+	// Guards against cold chats after a replica has left, and against a slow leave.
+	// Replica b leaves, and its chat goes to the first of the other replicas with room.
+	// With no bytes allowed, or with all other replicas unresponsive, nothing moves, and
+	// the leave takes no longer than its limit.
 	tests := []struct {
 		name  string
 		bytes int64
@@ -173,27 +173,27 @@
 				HandOverBytes: test.bytes,
 			})
 			trio.turn(t, "b", "b", "a", "c")
-			trio.agents["b"].noteChat(7, 100)
+			trio.agents["b"].recordChat(7, 100)
 			for _, name := range []string{"a", "c"} {
-				trio.agents[name].places.Resize(test.room)
+				trio.agents[name].directory.Resize(test.room)
 			}
 			So(trio.agents["b"].Drain(t.Context()), ShouldBeNil)
-			taken := trio.agents["a"].places.Locate(7) == "a" || trio.agents["c"].places.Locate(7) == "c"
+			taken := trio.agents["a"].directory.Locate(7) == "a" || trio.agents["c"].directory.Locate(7) == "c"
 			So(taken, ShouldEqual, test.taken)
 		})
 	}
-	Convey("others that never answer", t, func() {
+	Convey("an unresponsive receiver", t, func() {
 		trio := newTrio(t, resolver.Service{Kind: resolver.KindModel, CachePath: "/cache"})
 		trio.turn(t, "b", "b", "a", "c")
 		trio.agents["b"].settings.Peers = func() placer.Roster {
 			return placer.NewRoster([]placer.Replica{{Name: "a", Address: "a"}})
 		}
-		trio.silent = "a"
+		trio.unresponsive = "a"
 		const limit = 50 * timekeeper.Millisecond
 		ctx, cancel := context.WithTimeout(t.Context(), limit.Duration())
 		defer cancel()
-		begun := timekeeper.Wall().Now()
+		start := timekeeper.Wall().Now()
 		So(trio.agents["b"].Drain(ctx), ShouldBeNil)
-		So(timekeeper.Wall().Now().Since(begun), ShouldBeLessThan, longestHandOver/2)
+		So(timekeeper.Wall().Now().Since(start), ShouldBeLessThan, handOverTimeout/2)
 	})
 }
--- a/internal/runner/keys.go
+++ b/internal/runner/keys.go
@@ -15,14 +15,13 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// keys joins the book of claims with the store and the mint. The book is
-// guarded by Agent.mu, so that a claim, a tombstone and a start are one
-// decision each.
+// keys combines the book of claims with the store and the mint. Agent.mu guards the book,
+// so that a claim, a tombstone and a start are each atomic.
 type keys struct {
 	book      *claimer.Book
 	committer *claimer.Committer
 	mint      *minter.Mint
-	// owners is whom refused requests are to be led to, by request.
+	// owners holds the owner of the key for each refused request, by request id.
 	owners map[string]claimer.Owner
 }
 
@@ -35,13 +34,13 @@
 	}
 }
 
-// keyed reports whether the call may run only once for its key.
+// keyed reports whether the offer has a key under which it may run only once.
 func keyed(offer *encoder.Offer) bool {
 	return offer.GetKey() != "" && !offer.GetIdempotent()
 }
 
-// askOf returns the ask of a keyed offer, or why its key is not sound.
-func (keys *keys) askOf(offer *encoder.Offer) (claimer.Ask, classifier.Failure, bool) {
+// claimAsk returns the claim of a keyed offer, or a failure when its key is invalid.
+func (keys *keys) claimAsk(offer *encoder.Offer) (claimer.Ask, classifier.Failure, bool) {
 	ask := claimer.Ask{
 		Key:         claimer.RowKey(offer.GetTeam(), offer.GetService(), offer.GetKey()),
 		Request:     offer.GetRequestId(),
@@ -55,13 +54,13 @@
 	return ask, failure, ok
 }
 
-// bound refuses an offer whose key is bound already, before it waits for a
-// slot; Agent.mu must be held.
-func (agent *Agent) bound(offer *encoder.Offer) (classifier.Failure, bool) {
+// checkKey refuses an offer whose key is already bound, before it waits for a slot;
+// Agent.mu must be held.
+func (agent *Agent) checkKey(offer *encoder.Offer) (classifier.Failure, bool) {
 	if !keyed(offer) {
 		return classifier.Failure{}, false
 	}
-	ask, failure, ok := agent.keys.askOf(offer)
+	ask, failure, ok := agent.keys.claimAsk(offer)
 	if !ok {
 		return failure, true
 	}
@@ -69,31 +68,31 @@
 	if !refused {
 		return classifier.Failure{}, false
 	}
-	agent.leadTo(ask.Request, verdict)
+	agent.recordOwner(ask.Request, verdict)
 	return verdict.Failure, true
 }
 
-func (agent *Agent) leadTo(request string, verdict claimer.Verdict) {
+func (agent *Agent) recordOwner(request string, verdict claimer.Verdict) {
 	if verdict.Owner.Agent != "" {
 		agent.keys.owners[request] = verdict.Owner
 	}
 }
 
-// claim binds the key of an offer that holds a slot to this incarnation. It
-// returns false when the call must not run here. The claim stands before the
-// grant, so that until the Run frame is sent nothing has run.
+// claim binds the key of an offer that holds a slot to this incarnation. It returns false
+// when the call must not run here. The claim is made before the grant, so nothing has run
+// until the Run frame is sent.
 func (agent *Agent) claim(ctx context.Context, offer *encoder.Offer) (classifier.Failure, bool) {
 	if !keyed(offer) {
 		return classifier.Failure{}, true
 	}
-	ask, failure, ok := agent.keys.askOf(offer)
+	ask, failure, ok := agent.keys.claimAsk(offer)
 	if !ok {
 		return failure, false
 	}
-	verdict := agent.ask(ask)
+	verdict := agent.decideClaim(ask)
 	if verdict.Step == claimer.Insert {
 		result := agent.keys.committer.Claim(ctx, verdict.Row)
-		verdict = agent.settle(ask, result)
+		verdict = agent.resolveClaim(ask, result)
 	}
 	if verdict.Step != claimer.Proceed {
 		return verdict.Failure, false
@@ -102,41 +101,41 @@
 	return classifier.Failure{}, true
 }
 
-func (agent *Agent) ask(ask claimer.Ask) claimer.Verdict {
+func (agent *Agent) decideClaim(ask claimer.Ask) claimer.Verdict {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	now := agent.settings.Clock.Now()
 	if ask.Minted && !now.Before(ask.Expires) {
-		// Its page may be gone, so whether it ran before is not known here.
+		// The book may have dropped the key, so whether it has run is unknown here.
 		return claimer.Verdict{Step: claimer.Refuse, Failure: classifier.New(classifier.KeyExpired, "")}
 	}
 	verdict := agent.keys.book.Ask(ask, now)
-	agent.leadTo(ask.Request, verdict)
+	agent.recordOwner(ask.Request, verdict)
 	return verdict
 }
 
-func (agent *Agent) settle(ask claimer.Ask, result claimer.Result) claimer.Verdict {
+func (agent *Agent) resolveClaim(ask claimer.Ask, result claimer.Result) claimer.Verdict {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	verdict := agent.keys.book.Settle(ask, result)
-	agent.leadTo(ask.Request, verdict)
+	agent.recordOwner(ask.Request, verdict)
 	return verdict
 }
 
-// mayStart reports whether a committed call may go to the upstream; Agent.mu
-// must be held. For a keyed call it answers true once for each key.
+// mayStart reports whether a committed call may go to the upstream; Agent.mu must be held.
+// It returns true only once for each key.
 func (agent *Agent) mayStart(offer *encoder.Offer) bool {
 	return !keyed(offer) || agent.keys.book.Start(offer.GetRequestId(), agent.settings.Clock.Now())
 }
 
-// endKey notes the end of a run for its key; Agent.mu must be held.
+// endKey records the end of a run for its key; Agent.mu must be held.
 func (agent *Agent) endKey(ended *run) {
 	end := ended.answer.End()
 	agent.keys.book.End(ended.id, end.GetComplete(), end.GetDigest())
 }
 
-// lead adds to a refusal whom the key is bound to.
-func (agent *Agent) lead(refused *encoder.Refused) *encoder.Refused {
+// addOwner adds the key's owner to a refusal.
+func (agent *Agent) addOwner(refused *encoder.Refused) *encoder.Refused {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	if owner, ok := agent.keys.owners[refused.GetRequestId()]; ok {
@@ -148,8 +147,8 @@
 	return refused
 }
 
-// serveMint makes keys that only this incarnation will run. A draining agent
-// makes none: they would expire with it.
+// serveMint mints keys that only this incarnation can run. A draining agent mints none,
+// since they would expire when it stops.
 func (agent *Agent) serveMint(stream *encoder.Stream, ask *encoder.MintAsk) {
 	agent.mu.Lock()
 	draining := agent.draining
@@ -166,63 +165,63 @@
 }
 
 const (
-	// markEvery is the time between two writes that mark runs as done. Marks
-	// are not urgent: they matter once the owner is gone.
-	markEvery = 10 * timekeeper.Second
-	// mostMarks bounds one such write, and so the reads before it: 6 a second
-	// for each agent, which covers the design size many times over.
-	mostMarks = 64
-	// sweepEvery is the mean time between two sweeps of expired claims, and
-	// sweepRows how many rows each looks at. With 500 agents that is 533 rows
-	// a second, ten times the claims made a second at the design size, for
-	// nine reads a second.
-	sweepEvery = timekeeper.Minute
-	sweepRows  = 64
+	// markInterval is the time between two writes that mark runs as done. Marks are not
+	// urgent: they are only read after the owner has stopped.
+	markInterval = 10 * timekeeper.Second
+	// maxMarks bounds the marks of one write, and so the reads that precede it: 6 a second
+	// for each agent, many times the design load.
+	maxMarks = 64
+	// sweepInterval is the mean time between two sweeps of expired claims, and sweepRows
+	// how many rows each sweep reads. With 500 agents that is 533 rows a second, ten times
+	// the claims made a second at the design load, for nine reads a second.
+	sweepInterval = timekeeper.Minute
+	sweepRows     = 64
 )
 
-// Maintain writes claims and looks after the agent's rows until ctx ends.
+// Maintain probes the upstream while it is down, writes claims, marks and sweeps rows,
+// until ctx ends.
 func (agent *Agent) Maintain(ctx context.Context) {
-	go agent.settings.Clock.Every(ctx, func() timekeeper.Span { return probeEvery }, agent.probe)
+	go agent.settings.Clock.Every(ctx, func() timekeeper.Span { return probeInterval }, agent.probe)
 	if agent.settings.Table.Commit == nil {
 		<-ctx.Done()
 		return
 	}
-	go agent.settings.Clock.Every(ctx, func() timekeeper.Span { return markEvery }, agent.mark)
-	go agent.settings.Clock.Every(ctx, agent.sweepPause, agent.sweep)
+	go agent.settings.Clock.Every(ctx, func() timekeeper.Span { return markInterval }, agent.markDone)
+	go agent.settings.Clock.Every(ctx, agent.nextSweep, agent.sweep)
 	agent.keys.committer.Run(ctx)
 }
 
-func (agent *Agent) mark(ctx context.Context) {
+func (agent *Agent) markDone(ctx context.Context) {
 	agent.mu.Lock()
-	rows := agent.keys.book.TakeDone(mostMarks)
+	rows := agent.keys.book.TakeDone(maxMarks)
 	agent.mu.Unlock()
 	if err := agent.keys.committer.Mark(ctx, rows); err != nil {
 		agent.settings.Log.WithError(err).WithField("rows", len(rows)).Info("runs not marked as done")
 	}
 }
 
-// draw returns a pseudo-random number from the incarnation and the time, which
-// keeps agents that started together from acting together.
-func (agent *Agent) draw() uint64 {
+// random returns a pseudo-random number from the incarnation and the time, so that agents
+// that started together don't act at the same time.
+func (agent *Agent) random() uint64 {
 	var digest xxhash.Digest
 	digest.ResetWithSeed(agent.settings.Incarnation)
 	_, _ = digest.WriteString(agent.settings.Clock.Now().String())
 	return digest.Sum64()
 }
 
-func (agent *Agent) sweepPause() timekeeper.Span {
-	return sweepEvery/2 + timekeeper.Span(agent.draw()%uint64(sweepEvery))
+func (agent *Agent) nextSweep() timekeeper.Span {
+	return sweepInterval/2 + timekeeper.Span(agent.random()%uint64(sweepInterval))
 }
 
-// sweep looks at a stretch of rows at a random place. Agents don't agree on
-// who sweeps what; a row that two of them delete at once is deleted once.
+// sweep deletes the expired claims among some rows at a random position. Agents don't
+// coordinate sweeps; a row that two agents delete at once is deleted once.
 func (agent *Agent) sweep(ctx context.Context) {
 	agent.mu.Lock()
 	claims := agent.keys.book.Len()
 	agent.mu.Unlock()
 	if claims == 0 {
-		// Whoever makes claims clears them away: the many agents of model
-		// engines make none, and would cost the store a read each.
+		// Only agents that make claims sweep: the many agents of model engines make none,
+		// and each would cost the store a read.
 		return
 	}
 	after := claimer.RowKey("", "", agent.settings.Clock.Now().String()+agent.settings.Name)
--- a/internal/runner/offer.go
+++ b/internal/runner/offer.go
@@ -17,36 +17,37 @@
 	err   error
 }
 
-// inbox is what a caller sends on its stream. A Run frame that came while the
-// offer was still queued waits in early.
+// inbox holds what a caller sends on its stream. A Run frame that arrives while the offer
+// is still queued is kept in earlyRun.
 type inbox struct {
-	frames <-chan incoming
-	early  *encoder.Run
-	// granted is when the slot was given; the Run frame must follow in time.
-	granted timekeeper.Instant
+	frames   <-chan incoming
+	earlyRun *encoder.Run
+	// grantedAt is when the slot was granted; the Run frame must follow within
+	// Settings.RunTimeout.
+	grantedAt timekeeper.Instant
 }
 
-// gone reports whether a frame means that the caller has left. It keeps an
+// callerLeft reports whether a frame or error means that the caller has left. It keeps an
 // early Run frame.
-func (inbox *inbox) gone(in incoming) bool {
+func (inbox *inbox) callerLeft(in incoming) bool {
 	if commit := in.frame.GetRun(); commit != nil && in.err == nil {
-		inbox.early = commit
+		inbox.earlyRun = commit
 		return false
 	}
 	return in.err != nil || in.frame.GetCancel() != nil
 }
 
-// serveOffer carries one call from its offer to the end of its answer.
+// serveOffer handles one call from its offer to the end of its answer.
 func (agent *Agent) serveOffer(ctx context.Context, stream *encoder.Stream, offer *encoder.Offer) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	inbox := &inbox{frames: pump(ctx, stream)}
+	inbox := &inbox{frames: readFrames(ctx, stream)}
 	failure, ok := agent.admit(ctx, stream, offer, inbox)
 	if !ok {
 		_ = stream.Write(encoder.Of(agent.refusal(offer, failure)))
 		return
 	}
-	run, failure, ok := agent.await(ctx, offer, inbox)
+	run, failure, ok := agent.awaitRun(ctx, offer, inbox)
 	if !ok {
 		agent.release(offer.GetRequestId())
 		_ = stream.Write(encoder.Of(agent.refusal(offer, failure)))
@@ -55,9 +56,9 @@
 	agent.follow(ctx, stream, run, 0, inbox.frames)
 }
 
-// pump reads frames in the background, so that a call can wait for its caller
-// and for its slot together.
-func pump(ctx context.Context, stream *encoder.Stream) <-chan incoming {
+// readFrames reads frames in the background, so that a call can wait for its caller and
+// for its slot at the same time.
+func readFrames(ctx context.Context, stream *encoder.Stream) <-chan incoming {
 	out := make(chan incoming)
 	go func() {
 		for {
@@ -75,8 +76,8 @@
 	return out
 }
 
-// admit decides about the offer and waits in the queue if need be. When it
-// returns true the caller holds a slot.
+// admit decides about the offer and, if it is queued, waits for a slot. When it returns
+// true, the caller holds a slot.
 func (agent *Agent) admit(
 	ctx context.Context, stream *encoder.Stream, offer *encoder.Offer, inbox *inbox,
 ) (classifier.Failure, bool) {
@@ -98,7 +99,7 @@
 		return failure, false
 	}
 	<-fetched
-	if failure, ok := agent.enter(ctx, offer); !ok {
+	if failure, ok := agent.enterGate(ctx, offer); !ok {
 		agent.release(offer.GetRequestId())
 		return failure, false
 	}
@@ -107,11 +108,11 @@
 		return failure, false
 	}
 	agent.recordGrant(offer)
-	inbox.granted = agent.settings.Clock.Now()
+	inbox.grantedAt = agent.settings.Clock.Now()
 	if offer.GetRunFollows() {
 		return classifier.Failure{}, true
 	}
-	waited := inbox.granted.Since(arrived)
+	waited := inbox.grantedAt.Since(arrived)
 	err := stream.Write(encoder.Of(&encoder.Granted{
 		RequestId:   offer.GetRequestId(),
 		Incarnation: agent.settings.Incarnation,
@@ -124,8 +125,8 @@
 	return classifier.Failure{}, true
 }
 
-// unfit returns the reason why this replica can't take the offer at all.
-func (agent *Agent) unfit(offer *encoder.Offer) (classifier.Failure, bool) {
+// ineligible returns a failure when this replica can't take the offer at all.
+func (agent *Agent) ineligible(offer *encoder.Offer) (classifier.Failure, bool) {
 	switch {
 	case offer.GetService() != agent.settings.Service:
 		return classifier.New(classifier.WrongService, ""), true
@@ -134,62 +135,62 @@
 	case agent.draining:
 		return classifier.New(classifier.Draining, "").WithRetryAfter(timekeeper.Second), true
 	case agent.strikes.ledger.Down():
-		return agent.engineAway(), true
-	case agent.adapters.lacks(offer.GetAdapter()):
-		return adapterAway(), true
+		return agent.engineDown(), true
+	case agent.adapters.isMissing(offer.GetAdapter()):
+		return adapterUnloaded(), true
 	case agent.runs[offer.GetRequestId()] != nil || agent.controller.Holds(offer.GetRequestId()):
-		return agent.runs[offer.GetRequestId()].again(), true
+		return agent.runs[offer.GetRequestId()].duplicateFailure(), true
 	}
 	return classifier.Failure{}, false
 }
 
-// await waits for the Run frame of a granted offer and starts it.
-func (agent *Agent) await(ctx context.Context, offer *encoder.Offer, inbox *inbox) (*run, classifier.Failure, bool) {
-	if inbox.early != nil {
-		return agent.begin(offer, inbox.early)
+// awaitRun waits for the Run frame of a granted offer and starts the run.
+func (agent *Agent) awaitRun(ctx context.Context, offer *encoder.Offer, inbox *inbox) (*run, classifier.Failure, bool) {
+	if inbox.earlyRun != nil {
+		return agent.beginRun(offer, inbox.earlyRun)
 	}
-	late, stop := agent.settings.Clock.After(agent.settings.RunTimeout)
+	expired, stop := agent.settings.Clock.After(agent.settings.RunTimeout)
 	defer stop()
 	select {
 	case in := <-inbox.frames:
 		if in.err != nil {
 			return nil, classifier.New(classifier.CallerGone, "no run frame came"), false
 		}
-		// An agent that was paused finds the frame and the fired timer together.
-		// A frame past its time is refused here, so tombstones, which are kept
-		// far longer than RunWait, outlive every frame that they must stop.
-		if agent.settings.Clock.Now().Since(inbox.granted) > agent.settings.RunTimeout {
+		// After a pause of the agent, the frame and the expired timer may both be ready.
+		// Late frames are refused here, so that tombstones, which are kept far longer than
+		// RunTimeout, outlive every frame that they must stop.
+		if agent.settings.Clock.Now().Since(inbox.grantedAt) > agent.settings.RunTimeout {
 			return nil, classifier.New(classifier.DeadlinePassed, "the run frame did not come in time"), false
 		}
-		return agent.begin(offer, in.frame.GetRun())
-	case <-late:
+		return agent.beginRun(offer, in.frame.GetRun())
+	case <-expired:
 		return nil, classifier.New(classifier.DeadlinePassed, "the run frame did not come in time"), false
 	case <-ctx.Done():
 		return nil, classifier.New(classifier.Draining, "the agent stops"), false
 	}
 }
 
-// begin starts the run when the frame belongs to the offer.
-func (agent *Agent) begin(offer *encoder.Offer, commit *encoder.Run) (*run, classifier.Failure, bool) {
+// beginRun starts the run when the frame belongs to the offer.
+func (agent *Agent) beginRun(offer *encoder.Offer, commit *encoder.Run) (*run, classifier.Failure, bool) {
 	if commit == nil || commit.GetRequestId() != offer.GetRequestId() {
 		return nil, classifier.New(classifier.Protocol, "no run frame for this offer"), false
 	}
-	return agent.start(offer, commit)
+	return agent.startRun(offer, commit)
 }
 
 func (agent *Agent) refusal(offer *encoder.Offer, failure classifier.Failure) *encoder.Refused {
-	where, room := agent.hints(offer, failure)
-	// An offer that is sent on may come back and run here: it was not refused.
+	holder, alternative := agent.hints(offer, failure)
+	// A redirected offer may come back and run here, so it isn't recorded as refused.
 	if failure.Kind != classifier.Moved {
 		agent.recordRefusal(offer, failure)
 	}
 	agent.mu.Lock()
 	digest := agent.digest()
-	digest.Strikes = agent.strikesOf(offer.GetFingerprint())
+	digest.Strikes = agent.strikesFor(offer.GetFingerprint())
 	agent.mu.Unlock()
-	return agent.lead(&encoder.Refused{
-		Where:       where,
-		Room:        room,
+	return agent.addOwner(&encoder.Refused{
+		Where:       holder,
+		Room:        alternative,
 		RequestId:   offer.GetRequestId(),
 		Kind:        failure.Kind.String(),
 		Detail:      failure.Detail,
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -20,31 +20,32 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// bench is an agent before an upstream that counts its runs.
-type bench struct {
+// harness is an agent with an upstream that counts its runs.
+type harness struct {
 	t        testing.TB
 	agent    *Agent
 	runs     atomic.Int64
 	upstream *httptest.Server
-	// hold keeps requests for /slow at the upstream; inside is how many are there.
-	hold   chan struct{}
-	inside atomic.Int64
-	// ahead moves the agent's clock without firing its timers, as a pause of
-	// the whole process does.
-	ahead atomic.Int64
+	// releaseSlow blocks requests for /slow at the upstream until it is closed; atUpstream
+	// is how many requests are there.
+	releaseSlow chan struct{}
+	atUpstream  atomic.Int64
+	// clockOffset moves the agent's clock without firing its timers, like a pause of the
+	// whole process.
+	clockOffset atomic.Int64
 }
 
-func newBench(t testing.TB) *bench {
+func newHarness(t testing.TB) *harness {
 	t.Helper()
-	made := &bench{t: t, hold: make(chan struct{})}
+	made := &harness{t: t, releaseSlow: make(chan struct{})}
 	made.upstream = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		made.runs.Add(1)
-		made.inside.Add(1)
-		defer made.inside.Add(-1)
+		made.atUpstream.Add(1)
+		defer made.atUpstream.Add(-1)
 		if r.URL.Path == "/slow" {
-			<-made.hold
+			<-made.releaseSlow
 		}
-		w.Header().Set("Beside", strconv.FormatInt(made.inside.Load()-1, 10))
+		w.Header().Set("Beside", strconv.FormatInt(made.atUpstream.Load()-1, 10))
 		_, _ = io.WriteString(w, "done")
 	}))
 	t.Cleanup(made.upstream.Close)
@@ -57,7 +58,7 @@
 		Config: func() resolver.Config { return config },
 		Table:  imitator.NewPlatform(wall).Seams().Table,
 		Clock: timekeeper.Clock{
-			Now:   func() timekeeper.Instant { return wall.Now().Add(timekeeper.Span(made.ahead.Load())) },
+			Now:   func() timekeeper.Instant { return wall.Now().Add(timekeeper.Span(made.clockOffset.Load())) },
 			After: wall.After,
 		},
 	})
@@ -70,28 +71,29 @@
 	return made
 }
 
-// open starts a stream with its first frame.
-func (bench *bench) open(first any) *encoder.Stream {
-	bench.t.Helper()
+// open opens a stream and sends its first frame.
+func (harness *harness) open(first any) *encoder.Stream {
+	harness.t.Helper()
 	near, far := net.Pipe()
-	bench.t.Cleanup(func() { _ = near.Close() })
-	go bench.agent.serveStream(bench.t.Context(), far)
+	harness.t.Cleanup(func() { _ = near.Close() })
+	go harness.agent.serveStream(harness.t.Context(), far)
 	stream := encoder.NewStream(near)
-	bench.send(stream, first)
+	harness.send(stream, first)
 	return stream
 }
 
-func (bench *bench) send(stream *encoder.Stream, message any) {
+func (harness *harness) send(stream *encoder.Stream, message any) {
 	if err := stream.Write(encoder.Of(message)); err != nil {
-		bench.t.Error(err)
+		harness.t.Error(err)
 	}
 }
 
-func (bench *bench) offer(request, key string) *encoder.Stream {
-	return bench.open(&encoder.Offer{RequestId: request, Service: "orders", Team: "rig", Key: key})
+func (harness *harness) offer(request, key string) *encoder.Stream {
+	return harness.open(&encoder.Offer{RequestId: request, Service: "orders", Team: "rig", Key: key})
 }
 
-// refusalOf reads frames until a refusal, and returns its kind, or "" for an answer.
+// refusalOf reads frames up to a refusal or the end of an answer and returns the kind of
+// failure, or "" if there is none.
 func refusalOf(stream *encoder.Stream) string {
 	for {
 		frame, err := stream.Read()
@@ -106,97 +108,98 @@
 	}
 }
 
-func TestALateRunFrameDoesNotRunWhatWasCalledNotRun(t *testing.T) {
-	// The caller was told "not run", so its order must not appear afterwards.
-	// The slot is granted and the connection breaks; the entry looks the
-	// request up and leaves a tombstone; the Run frame arrives only then, or
-	// it arrives at an agent that was paused past the time that it waits.
-	Convey("a frame behind a tombstone is refused", t, func() {
-		bench := newBench(t)
-		stream := bench.offer("late", "key")
+func TestLateRunFrameIsRefused(t *testing.T) {
+	// Guards against an order that runs after its caller got "not run". The slot is
+	// granted and the connection breaks; the entry looks the request up and leaves a
+	// tombstone. The Run frame arrives after that, or it arrives at an agent that was
+	// paused for longer than RunTimeout.
+	Convey("a Run frame after a tombstone is refused", t, func() {
+		harness := newHarness(t)
+		stream := harness.offer("late", "key")
 		_, err := encoder.ReadAs(stream, (*encoder.Frame).GetGranted)
 		So(err, ShouldBeNil)
 		found, err := encoder.ReadAs(
-			bench.open(&encoder.Lookup{RequestId: "late", Team: "rig", Incarnation: 7, Tombstone: true}), (*encoder.Frame).GetFound)
+			harness.open(&encoder.Lookup{RequestId: "late", Team: "rig", Incarnation: 7, Tombstone: true}), (*encoder.Frame).GetFound)
 		So(err, ShouldBeNil)
 		So(found.GetState(), ShouldEqual, encoder.RunState_RUN_STATE_NEVER_SEEN)
-		_, err = encoder.ReadAs(bench.offer("resend", "key"), (*encoder.Frame).GetGranted)
+		_, err = encoder.ReadAs(harness.offer("resend", "key"), (*encoder.Frame).GetGranted)
 		So(err, ShouldBeNil)
-		bench.send(stream, &encoder.Run{RequestId: "late", Method: "POST", Path: "/orders"})
+		harness.send(stream, &encoder.Run{RequestId: "late", Method: "POST", Path: "/orders"})
 		So(refusalOf(stream), ShouldEqual, "tombstoned")
-		So(bench.runs.Load(), ShouldEqual, 0)
+		So(harness.runs.Load(), ShouldEqual, 0)
 	})
-	Convey("a frame that a paused agent finds is refused", t, func() {
-		bench := newBench(t)
-		stream := bench.offer("paused", "")
+	Convey("a Run frame after a pause past RunTimeout is refused", t, func() {
+		harness := newHarness(t)
+		stream := harness.offer("paused", "")
 		_, err := encoder.ReadAs(stream, (*encoder.Frame).GetGranted)
 		So(err, ShouldBeNil)
-		bench.ahead.Store(int64(timekeeper.Hour))
-		bench.send(stream, &encoder.Run{RequestId: "paused", Method: "POST", Path: "/orders"})
+		harness.clockOffset.Store(int64(timekeeper.Hour))
+		harness.send(stream, &encoder.Run{RequestId: "paused", Method: "POST", Path: "/orders"})
 		So(refusalOf(stream), ShouldEqual, "deadline-passed")
-		So(bench.runs.Load(), ShouldEqual, 0)
+		So(harness.runs.Load(), ShouldEqual, 0)
 	})
 }
 
-func TestAnUpstreamThatCantBeReachedHasNotRun(t *testing.T) {
-	// The caller sees "not ready, not run", and the same key runs later.
-	// The upstream's port is closed, so nothing of the request was sent. The
-	// claim stays with the agent and is free for the resend.
-	bench := newBench(t)
-	address := bench.upstream.Listener.Addr().String()
-	bench.upstream.Close()
-	Convey("the key is free again", t, func() {
+func TestUnreachableUpstreamFreesTheKey(t *testing.T) {
+	// Guards against an order that is lost or charged twice because its upstream is down.
+	// The upstream's port is closed, so nothing of the request was sent: the caller gets
+	// "not ready, not run". The claim stays with the agent, and a resend with the same key
+	// runs.
+	harness := newHarness(t)
+	address := harness.upstream.Listener.Addr().String()
+	harness.upstream.Close()
+	Convey("a resend with the same key runs", t, func() {
 		for request, want := range []string{"not-ready", ""} {
-			stream := bench.offer(string(rune('a'+request)), "key")
+			stream := harness.offer(string(rune('a'+request)), "key")
 			granted, err := encoder.ReadAs(stream, (*encoder.Frame).GetGranted)
 			So(err, ShouldBeNil)
-			bench.send(stream, &encoder.Run{RequestId: granted.GetRequestId(), Method: "POST", Path: "/orders"})
+			harness.send(stream, &encoder.Run{RequestId: granted.GetRequestId(), Method: "POST", Path: "/orders"})
 			So(refusalOf(stream), ShouldEqual, want)
 			if want != "" {
-				bench.restart(address)
+				harness.restart(address)
 			}
 		}
-		So(bench.runs.Load(), ShouldEqual, 1)
+		So(harness.runs.Load(), ShouldEqual, 1)
 	})
 }
 
-// restart waits until the agent knows that the upstream is away, serves it
-// again, and waits until the agent has seen it.
-func (bench *bench) restart(address string) {
-	bench.until(func() bool { return bench.agent.Digest().GetState() == encoder.ReplicaState_REPLICA_STATE_DOWN })
+// restart waits until the agent has detected that the upstream is down, starts it again,
+// and waits until the agent has detected that.
+func (harness *harness) restart(address string) {
+	harness.until(func() bool { return harness.agent.Digest().GetState() == encoder.ReplicaState_REPLICA_STATE_DOWN })
 	listener, err := net.Listen("tcp", address) //nolint:noctx // A test's listener has no deadline.
 	if err != nil {
-		bench.t.Fatal(err)
+		harness.t.Fatal(err)
 	}
-	server := &http.Server{Handler: bench.upstream.Config.Handler} //nolint:gosec // Loopback, in a test.
-	bench.t.Cleanup(func() { _ = server.Close() })
+	server := &http.Server{Handler: harness.upstream.Config.Handler} //nolint:gosec // Loopback, in a test.
+	harness.t.Cleanup(func() { _ = server.Close() })
 	go func() { _ = server.Serve(listener) }()
-	bench.until(func() bool { return bench.agent.Digest().GetState() != encoder.ReplicaState_REPLICA_STATE_DOWN })
-	bench.runs.Store(0)
+	harness.until(func() bool { return harness.agent.Digest().GetState() != encoder.ReplicaState_REPLICA_STATE_DOWN })
+	harness.runs.Store(0)
 }
 
-func TestASuspectRunsAlone(t *testing.T) {
-	// The suspect's caller waits until the engine is empty, newcomers wait for
-	// the suspect, and all get their answers.
-	// Should the engine crash again, only one request can be to blame.
-	bench := newBench(t)
-	Convey("nothing runs beside it", t, func() {
-		slow := bench.offer("slow", "")
+func TestRequestWithStrikeRunsAlone(t *testing.T) {
+	// Guards against a second crash that strikes innocent requests. A request with a
+	// strike waits until the engine is empty, and later requests wait for it, so only that
+	// request can be to blame. All get their answers.
+	harness := newHarness(t)
+	Convey("no other request runs beside it", t, func() {
+		slow := harness.offer("slow", "")
 		_, err := encoder.ReadAs(slow, (*encoder.Frame).GetGranted)
 		So(err, ShouldBeNil)
-		bench.send(slow, &encoder.Run{RequestId: "slow", Method: "POST", Path: "/slow"})
-		bench.until(func() bool { return bench.inside.Load() == 1 })
-		suspect := bench.open(&encoder.Offer{
+		harness.send(slow, &encoder.Run{RequestId: "slow", Method: "POST", Path: "/slow"})
+		harness.until(func() bool { return harness.atUpstream.Load() == 1 })
+		suspect := harness.open(&encoder.Offer{
 			RequestId: "suspect", Service: "orders", Team: "rig", Fingerprint: 9, Strikes: 1, Idempotent: true, RunFollows: true,
 		})
-		go bench.send(suspect, &encoder.Run{RequestId: "suspect", Method: "GET", Path: "/orders"})
-		bench.until(func() bool {
-			bench.agent.mu.Lock()
-			defer bench.agent.mu.Unlock()
-			return bench.agent.strikes.gate.Busy("") || bench.runs.Load() == 2
+		go harness.send(suspect, &encoder.Run{RequestId: "suspect", Method: "GET", Path: "/orders"})
+		harness.until(func() bool {
+			harness.agent.mu.Lock()
+			defer harness.agent.mu.Unlock()
+			return harness.agent.strikes.gate.Busy("") || harness.runs.Load() == 2
 		})
-		newcomer := bench.offer("newcomer", "")
-		close(bench.hold)
+		newcomer := harness.offer("newcomer", "")
+		close(harness.releaseSlow)
 		So(refusalOf(slow), ShouldEqual, "")
 		head, err := encoder.ReadAs(suspect, (*encoder.Frame).GetHead)
 		So(err, ShouldBeNil)
@@ -211,23 +214,23 @@
 	})
 }
 
-// until waits for a condition; it ends with the test.
-func (bench *bench) until(condition func() bool) {
+// until waits for a condition, at most to the end of the test.
+func (harness *harness) until(condition func() bool) {
 	for !condition() {
-		if timekeeper.Wall().Sleep(bench.t.Context(), 1) != nil {
+		if timekeeper.Wall().Sleep(harness.t.Context(), 1) != nil {
 			return
 		}
 	}
 }
 
-func TestOldAnswersAreDroppedAndNeverCalledNotRun(t *testing.T) {
-	// A caller who comes back too late sees "no longer kept", not "not run".
-	// Ended answers fill the memory that the agent may use for them; the oldest
-	// bodies go, and their runs stay known.
-	bench := newBench(t)
-	agent := bench.agent
+func TestDroppedAnswersAreNotReportedAsNotRun(t *testing.T) {
+	// Guards against "not run" for a request that ran. Ended answers exceed the memory
+	// that the agent may use for them; the oldest bodies are dropped, and their runs stay
+	// known, so that a late caller gets "no longer kept".
+	harness := newHarness(t)
+	agent := harness.agent
 	const each = 1 << 20
-	for i := range mostKept/each + 1 {
+	for i := range maxRetainedBytes/each + 1 {
 		id := "run-" + strconv.Itoa(i)
 		ended := &run{id: id, team: "rig", answer: replayer.New(replayer.Settings{})}
 		ended.answer.Drain()
@@ -236,58 +239,58 @@
 		}
 		agent.mu.Lock()
 		agent.runs[id] = ended
-		agent.keep(ended, timekeeper.Instant(i+1))
+		agent.retain(ended, timekeeper.Instant(i+1))
 		agent.mu.Unlock()
 	}
-	Convey("the oldest is forgotten, the newest is kept", t, func() {
-		oldest, _ := agent.find(&encoder.Lookup{RequestId: "run-0", Team: "rig"})
+	Convey("the oldest body is dropped, the newest is kept", t, func() {
+		oldest, _ := agent.findRun(&encoder.Lookup{RequestId: "run-0", Team: "rig"})
 		So(oldest.GetState(), ShouldEqual, encoder.RunState_RUN_STATE_FORGOTTEN)
-		newest, _ := agent.find(&encoder.Lookup{RequestId: "run-32", Team: "rig"})
+		newest, _ := agent.findRun(&encoder.Lookup{RequestId: "run-32", Team: "rig"})
 		So(newest.GetState(), ShouldEqual, encoder.RunState_RUN_STATE_DONE)
 		total := 0
-		for _, kept := range agent.runs {
-			total += kept.answer.Held()
+		for _, retained := range agent.runs {
+			total += retained.answer.Held()
 		}
-		So(total, ShouldEqual, mostKept)
+		So(total, ShouldEqual, maxRetainedBytes)
 	})
-	Convey("after their time all are gone", t, func() {
+	Convey("all runs are removed after RunRetention", t, func() {
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
-		agent.forgetOld(timekeeper.Instant(timekeeper.Hour))
-		So(len(agent.runs)+len(agent.kept.order)+agent.kept.bytes, ShouldEqual, 0)
+		agent.expireRuns(timekeeper.Instant(timekeeper.Hour))
+		So(len(agent.runs)+len(agent.retained.order)+agent.retained.bytes, ShouldEqual, 0)
 	})
 }
 
-// BenchmarkOneOrder measures an order at the agent: plain, with a claim in a
-// table that answers at once, and with a minted key. The difference is what
-// the claim costs beside the store's own time.
+// BenchmarkOneOrder measures an order at the agent: without a key, with a claim in a table
+// that answers at once, and with a minted key. The difference is the cost of the claim
+// without the store's own time.
 func BenchmarkOneOrder(b *testing.B) {
 	tests := []struct {
 		name string
-		key  func(bench *bench, i int) string
+		key  func(harness *harness, i int) string
 	}{
-		{"unkeyed", func(*bench, int) string { return "" }},
-		{"claimed", func(_ *bench, i int) string { return "key-" + strconv.Itoa(i) }},
-		{"minted", func(bench *bench, _ int) string {
-			keys, _ := bench.agent.keys.mint.Make("rig", "orders", 1, bench.agent.settings.Clock.Now())
+		{"unkeyed", func(*harness, int) string { return "" }},
+		{"claimed", func(_ *harness, i int) string { return "key-" + strconv.Itoa(i) }},
+		{"minted", func(harness *harness, _ int) string {
+			keys, _ := harness.agent.keys.mint.Make("rig", "orders", 1, harness.agent.settings.Clock.Now())
 			return keys[0]
 		}},
 	}
 	for _, test := range tests {
 		b.Run(test.name, func(b *testing.B) {
-			bench := newBench(b)
+			harness := newHarness(b)
 			for i := 0; b.Loop(); i++ {
 				id := "request-" + strconv.Itoa(i)
-				stream := bench.offer(id, test.key(bench, i))
+				stream := harness.offer(id, test.key(harness, i))
 				if _, err := encoder.ReadAs(stream, (*encoder.Frame).GetGranted); err != nil {
 					b.Fatal(err)
 				}
-				bench.send(stream, &encoder.Run{RequestId: id, Method: "POST", Path: "/orders", Body: []byte("{}")})
+				harness.send(stream, &encoder.Run{RequestId: id, Method: "POST", Path: "/orders", Body: []byte("{}")})
 				if kind := refusalOf(stream); kind != "" {
 					b.Fatal(kind)
 				}
 			}
-			b.ReportMetric(float64(bench.runs.Load())/float64(b.N), "runs/order")
+			b.ReportMetric(float64(harness.runs.Load())/float64(b.N), "runs/order")
 		})
 	}
 }
--- a/internal/runner/orders.go
+++ b/internal/runner/orders.go
@@ -16,30 +16,29 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// orders let one order at a time through to the engine.
-// Lock order: turn before mu.
+// orders serialises the orders to the engine. Lock order: sending before mu.
 type orders struct {
-	turn sync.Mutex
+	sending sync.Mutex
 
 	mu   sync.Mutex
 	gate planner.Gate
 }
 
-// engineOrder is an order as the engine takes it.
+// engineOrder is the body of an order to the engine.
 type engineOrder struct {
 	Fence   uint64 `json:"fence"`
 	Action  string `json:"action"`
 	Subject string `json:"subject"`
 }
 
-// engineState is what the engine answers.
+// engineState is the engine's answer to an order.
 type engineState struct {
 	Loaded  []string `json:"loaded"`
 	Role    string   `json:"role"`
 	Version string   `json:"version"`
 }
 
-func (agent *Agent) check(order *encoder.EngineOrder) (classifier.Failure, bool) {
+func (agent *Agent) checkFence(order *encoder.EngineOrder) (classifier.Failure, bool) {
 	until := timekeeper.Instant(order.GetLeaseUntil())
 	agent.orders.mu.Lock()
 	defer agent.orders.mu.Unlock()
@@ -54,18 +53,17 @@
 	return classifier.Failure{}, true
 }
 
-// carryOut takes an order to the engine.
+// executeOrder sends an order to the engine.
 //
-// The failure: the holder of the lease, or this agent, is paused, and wakes
-// after another has taken over. The symptom: an old order undoes a new one.
-// The order is checked when it comes, so that a later holder is known at once,
-// and again when its turn has come, with nothing but the sending after it. An
-// order is cut off after the longest order, and its number goes along for
-// engines that check it; for those that don't a new holder waits for that long
-// past the lease before its first order.
-func (agent *Agent) carryOut(ctx context.Context, order *encoder.EngineOrder) *encoder.EngineOrderDone {
+// It guards against a stale order that undoes a newer one: the holder of the lease, or
+// this agent, is paused and resumes after another holder has taken over. The fence is
+// checked when the order arrives, so that a later holder is known at once, and again
+// immediately before the order is sent. An order times out after the longest order, and
+// its fencing token is sent along for engines that check it. For engines that don't, a new
+// holder waits that long past the old lease before its first order.
+func (agent *Agent) executeOrder(ctx context.Context, order *encoder.EngineOrder) *encoder.EngineOrderDone {
 	done := &encoder.EngineOrderDone{OrderId: order.GetOrderId()}
-	state, failure, ok := agent.pass(ctx, order)
+	state, failure, ok := agent.forwardOrder(ctx, order)
 	if !ok {
 		done.Kind, done.Detail = failure.Kind.String(), failure.Detail
 	}
@@ -88,31 +86,31 @@
 	return done
 }
 
-func (agent *Agent) pass(ctx context.Context, order *encoder.EngineOrder) (engineState, classifier.Failure, bool) {
+func (agent *Agent) forwardOrder(ctx context.Context, order *encoder.EngineOrder) (engineState, classifier.Failure, bool) {
 	if order.GetService() != agent.settings.Service {
 		return engineState{}, classifier.New(classifier.WrongService, ""), false
 	}
 	if order.GetAction() == planner.Show {
 		return agent.upstream.order(ctx, http.MethodGet, nil)
 	}
-	if failure, ok := agent.check(order); !ok {
+	if failure, ok := agent.checkFence(order); !ok {
 		return engineState{}, failure, false
 	}
 	body, err := json.Marshal(engineOrder{Fence: order.GetFence(), Action: order.GetAction(), Subject: order.GetSubject()})
 	if err != nil {
 		return engineState{}, classifier.New(classifier.Internal, err.Error()), false
 	}
-	agent.orders.turn.Lock()
-	defer agent.orders.turn.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, agent.serviceNow().LongestOrder.Duration())
+	agent.orders.sending.Lock()
+	defer agent.orders.sending.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, agent.currentService().LongestOrder.Duration())
 	defer cancel()
-	if failure, ok := agent.check(order); !ok {
+	if failure, ok := agent.checkFence(order); !ok {
 		return engineState{}, failure, false
 	}
 	return agent.upstream.order(ctx, http.MethodPost, body)
 }
 
-// order speaks to the engine's address for orders.
+// order sends a request to the engine's endpoint for orders.
 func (up *upstream) order(ctx context.Context, method string, body []byte) (engineState, classifier.Failure, bool) {
 	var state engineState
 	request, err := http.NewRequestWithContext(ctx, method, up.base+"/orders", bytes.NewReader(body))
@@ -120,7 +118,7 @@
 		return state, classifier.New(classifier.Internal, err.Error()), false
 	}
 	request.GetBody = nil
-	response, err := up.fresh.RoundTrip(request)
+	response, err := up.singleUse.RoundTrip(request)
 	if err != nil {
 		return state, classifier.New(classifier.UpstreamBroken, err.Error()), false
 	}
--- a/internal/runner/orders_test.go
+++ b/internal/runner/orders_test.go
@@ -14,100 +14,101 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// heedless is an engine that carries out every order, whatever its number. It
-// tells of each that begins, and ends it once let.
-type heedless struct {
-	begun chan engineOrder
-	let   chan struct{}
+// unfencedEngine is an engine that executes every order, whatever its fencing token. It
+// reports each order that starts, and ends it on a send to finish.
+type unfencedEngine struct {
+	started chan engineOrder
+	finish  chan struct{}
 
-	mu      sync.Mutex
-	carried []engineOrder
+	mu       sync.Mutex
+	executed []engineOrder
 }
 
-func newHeedless(t *testing.T, bench *bench) *heedless {
+func newUnfencedEngine(t *testing.T, harness *harness) *unfencedEngine {
 	t.Helper()
-	engine := &heedless{begun: make(chan engineOrder, 8), let: make(chan struct{}, 8)}
+	engine := &unfencedEngine{started: make(chan engineOrder, 8), finish: make(chan struct{}, 8)}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var order engineOrder
 		_ = json.NewDecoder(r.Body).Decode(&order)
 		if r.Method == http.MethodPost {
-			engine.begun <- order
-			<-engine.let
+			engine.started <- order
+			<-engine.finish
 			engine.mu.Lock()
-			engine.carried = append(engine.carried, order)
+			engine.executed = append(engine.executed, order)
 			engine.mu.Unlock()
 		}
 		_ = json.NewEncoder(w).Encode(engineState{Loaded: []string{"vans"}})
 	}))
 	t.Cleanup(server.Close)
-	bench.agent.upstream.base = server.URL
+	harness.agent.upstream.base = server.URL
 	return engine
 }
 
-func (engine *heedless) fences() []uint64 {
+func (engine *unfencedEngine) fences() []uint64 {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	fences := make([]uint64, 0, len(engine.carried))
-	for _, order := range engine.carried {
+	fences := make([]uint64, 0, len(engine.executed))
+	for _, order := range engine.executed {
 		fences = append(fences, order.Fence)
 	}
 	return fences
 }
 
-func TestTheAgentGuardsAnEngineThatIgnoresNumbers(t *testing.T) {
-	// The engine does whatever it is told, so the agent alone keeps old orders
-	// away: one with a lower number, one whose lease has run out, and one whose
-	// lease ran out, or that a later holder overtook, while it waited its turn.
-	bench := newBench(t)
-	engine := newHeedless(t, bench)
-	now := func() timekeeper.Instant { return bench.agent.settings.Clock.Now() }
+func TestAgentRejectsStaleOrdersForEngineWithoutFencing(t *testing.T) {
+	// Guards against stale orders at an engine that doesn't check fencing tokens. The
+	// agent must reject an order with a lower token, one whose lease has expired, and one
+	// whose lease expired, or that a later holder overtook, while it waited for the order
+	// in progress.
+	harness := newHarness(t)
+	engine := newUnfencedEngine(t, harness)
+	now := func() timekeeper.Instant { return harness.agent.settings.Clock.Now() }
 	order := func(fence uint64, left timekeeper.Span) *encoder.EngineOrder {
 		return &encoder.EngineOrder{
 			Service: "orders", Fence: fence, LeaseUntil: int64(now().Add(left)), Action: planner.Load, Subject: "vans",
 		}
 	}
-	give := func(order *encoder.EngineOrder) <-chan *encoder.EngineOrderDone {
+	execute := func(order *encoder.EngineOrder) <-chan *encoder.EngineOrderDone {
 		done := make(chan *encoder.EngineOrderDone, 1)
-		go func() { done <- bench.agent.carryOut(t.Context(), order) }()
+		go func() { done <- harness.agent.executeOrder(t.Context(), order) }()
 		return done
 	}
-	Convey("an order in time goes through, with its number", t, func() {
-		engine.let <- struct{}{}
-		So((<-give(order(5, timekeeper.Minute))).GetKind(), ShouldBeEmpty)
-		So((<-engine.begun).Fence, ShouldEqual, 5)
+	Convey("an order within its lease reaches the engine, with its fencing token", t, func() {
+		engine.finish <- struct{}{}
+		So((<-execute(order(5, timekeeper.Minute))).GetKind(), ShouldBeEmpty)
+		So((<-engine.started).Fence, ShouldEqual, 5)
 	})
-	Convey("a lower number and a lease that has run out never reach the engine", t, func() {
-		So((<-give(order(4, timekeeper.Minute))).GetKind(), ShouldEqual, "fenced")
-		So((<-give(order(6, 0))).GetKind(), ShouldEqual, "fenced")
-		So((<-give(order(5, timekeeper.Minute))).GetKind(), ShouldEqual, "fenced")
+	Convey("an order with a lower token or an expired lease never reaches the engine", t, func() {
+		So((<-execute(order(4, timekeeper.Minute))).GetKind(), ShouldEqual, "fenced")
+		So((<-execute(order(6, 0))).GetKind(), ShouldEqual, "fenced")
+		So((<-execute(order(5, timekeeper.Minute))).GetKind(), ShouldEqual, "fenced")
 		So(engine.fences(), ShouldResemble, []uint64{5})
 	})
-	// waiting gives an order and returns once it has passed the look at its arrival.
-	waiting := func(fence uint64, left timekeeper.Span) <-chan *encoder.EngineOrderDone {
-		done := give(order(fence, left))
-		waitFor(t, bench, func() bool {
-			bench.agent.orders.mu.Lock()
-			defer bench.agent.orders.mu.Unlock()
-			return bench.agent.orders.gate.Highest == fence
+	// queued sends an order and returns once it has passed the check at its arrival.
+	queued := func(fence uint64, left timekeeper.Span) <-chan *encoder.EngineOrderDone {
+		done := execute(order(fence, left))
+		waitFor(t, harness, func() bool {
+			harness.agent.orders.mu.Lock()
+			defer harness.agent.orders.mu.Unlock()
+			return harness.agent.orders.gate.Highest == fence
 		})
 		return done
 	}
-	Convey("a lease that runs out while its order waits", t, func() {
-		first := waiting(7, timekeeper.Hour)
-		<-engine.begun
-		lapses := waiting(8, timekeeper.Minute)
-		bench.ahead.Add(int64(2 * timekeeper.Minute))
-		engine.let <- struct{}{}
+	Convey("a lease that expires while its order waits", t, func() {
+		first := queued(7, timekeeper.Hour)
+		<-engine.started
+		expired := queued(8, timekeeper.Minute)
+		harness.clockOffset.Add(int64(2 * timekeeper.Minute))
+		engine.finish <- struct{}{}
 		So((<-first).GetKind(), ShouldBeEmpty)
-		So((<-lapses).GetKind(), ShouldEqual, "fenced")
+		So((<-expired).GetKind(), ShouldEqual, "fenced")
 	})
 	Convey("an order that a later holder overtakes while it waits", t, func() {
-		first := waiting(9, timekeeper.Hour)
-		<-engine.begun
-		overtaken := waiting(10, timekeeper.Hour)
-		later := waiting(11, timekeeper.Hour)
-		engine.let <- struct{}{}
-		engine.let <- struct{}{}
+		first := queued(9, timekeeper.Hour)
+		<-engine.started
+		overtaken := queued(10, timekeeper.Hour)
+		later := queued(11, timekeeper.Hour)
+		engine.finish <- struct{}{}
+		engine.finish <- struct{}{}
 		So((<-first).GetKind(), ShouldBeEmpty)
 		So((<-later).GetKind(), ShouldBeEmpty)
 		So((<-overtaken).GetKind(), ShouldEqual, "fenced")
@@ -115,43 +116,43 @@
 	})
 }
 
-func waitFor(t *testing.T, bench *bench, condition func() bool) {
+func waitFor(t *testing.T, harness *harness, condition func() bool) {
 	t.Helper()
 	for range 5000 {
 		if condition() {
 			return
 		}
-		_ = bench.agent.settings.Clock.Sleep(t.Context(), timekeeper.Millisecond)
+		_ = harness.agent.settings.Clock.Sleep(t.Context(), timekeeper.Millisecond)
 	}
-	t.Fatal("never came true")
+	t.Fatal("the condition did not hold within 5000 checks")
 }
 
 func TestDemandIsCountedByAdapter(t *testing.T) {
-	bench := newBench(t)
-	newHeedless(t, bench)
-	bench.agent.service.Adapters = []string{"vans", "menus"}
+	harness := newHarness(t)
+	newUnfencedEngine(t, harness)
+	harness.agent.service.Adapters = []string{"vans", "menus"}
 	show := func() *encoder.EngineOrderDone {
-		return bench.agent.carryOut(t.Context(), &encoder.EngineOrder{Service: "orders", Action: planner.Show})
+		return harness.agent.executeOrder(t.Context(), &encoder.EngineOrder{Service: "orders", Action: planner.Show})
 	}
 	offer := func(id, adapter string) {
-		bench.agent.decide(&encoder.Offer{RequestId: id, Service: "orders", Adapter: adapter}, 1)
+		harness.agent.decide(&encoder.Offer{RequestId: id, Service: "orders", Adapter: adapter}, 1)
 	}
-	Convey("calls that run or wait count, other names and refused calls don't", t, func() {
+	Convey("running and waiting calls count, unknown adapters and refused calls don't", t, func() {
 		for i, adapter := range []string{"vans", "vans", "", "strangers"} {
 			offer(string(rune('a'+i)), adapter)
 		}
 		So(show().GetDemands()[0].GetCalls(), ShouldEqual, 2)
-		So(bench.agent.adapters.calls, ShouldHaveLength, 2)
-		So(bench.agent.Digest().GetLoaded(), ShouldResemble, []string{"vans"})
-		Convey("an adapter that the engine is known not to hold is refused, and nothing ran", func() {
-			decision, _ := bench.agent.decide(&encoder.Offer{RequestId: "x", Service: "orders", Adapter: "menus"}, 1)
+		So(harness.agent.adapters.calls, ShouldHaveLength, 2)
+		So(harness.agent.Digest().GetLoaded(), ShouldResemble, []string{"vans"})
+		Convey("a call for an adapter that the engine has not loaded is refused, and nothing ran", func() {
+			decision, _ := harness.agent.decide(&encoder.Offer{RequestId: "x", Service: "orders", Adapter: "menus"}, 1)
 			So(decision.Failure.Kind.String(), ShouldEqual, "not-ready")
 			So(show().GetDemands()[1].GetCalls(), ShouldEqual, 0)
 		})
-		Convey("a call that is over leaves nothing behind", func() {
-			bench.agent.release("a")
-			bench.agent.release("b")
-			So(bench.agent.adapters.calls, ShouldBeEmpty)
+		Convey("a released call is no longer counted", func() {
+			harness.agent.release("a")
+			harness.agent.release("b")
+			So(harness.agent.adapters.calls, ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/runner/prefix.go
+++ b/internal/runner/prefix.go
@@ -14,21 +14,21 @@
 	"github.com/trefoilseam/trefoilseam/internal/encoder"
 )
 
-// longestPrefix bounds an exported prefix in bytes, so that it fits a frame. An
-// engine whose cache is larger exports a ticket by which the other engine
-// fetches the cache itself; what is in the body is the engines' affair.
-const longestPrefix = encoder.MaxBody
+// maxPrefixBytes bounds an exported prefix, so that it fits a frame. An engine with a
+// larger cache exports a ticket by which the other engine fetches the cache itself; the
+// agent doesn't interpret the body.
+const maxPrefixBytes = encoder.MaxBody
 
-// prefixOrder asks an engine for the prefix of a chat.
-type prefixOrder struct {
+// prefixRequest requests the prefix of a chat from an engine.
+type prefixRequest struct {
 	Chat string `json:"chat"`
-	// Release makes the copy the next to be evicted.
+	// Release makes the engine's copy the next to be evicted.
 	Release bool `json:"release"`
 }
 
 var (
-	errNoPrefix   = eris.New("the engine has no prefix of the chat")
-	errPrefixLong = eris.New("the exported prefix is over the limit")
+	errNoPrefix      = eris.New("the engine has no prefix of the chat")
+	errPrefixTooLong = eris.New("the exported prefix doesn't fit a frame")
 )
 
 func chatName(chat uint64) string {
@@ -36,42 +36,42 @@
 	return strconv.FormatUint(chat, hexadecimal)
 }
 
-// nameChat tells an engine that exports its cache which chat a request is of.
-func (up *upstream) nameChat(request *http.Request, chat uint64) {
+// setChatHeader sends the chat's name to an engine that exports its cache.
+func (up *upstream) setChatHeader(request *http.Request, chat uint64) {
 	request.Header.Del(encoder.CacheChatHeader)
 	if up.service.CachePath != "" && chat != 0 {
 		request.Header.Set(encoder.CacheChatHeader, chatName(chat))
 	}
 }
 
-// exportPrefix returns the prefix of a chat as the engine writes it, or
-// errNoPrefix when the engine has none.
+// exportPrefix returns the prefix of a chat in the engine's format, or errNoPrefix when
+// the engine has none.
 func (up *upstream) exportPrefix(ctx context.Context, chat uint64, release bool) ([]byte, error) {
-	order, err := json.Marshal(prefixOrder{Chat: chatName(chat), Release: release})
+	order, err := json.Marshal(prefixRequest{Chat: chatName(chat), Release: release})
 	if err != nil {
 		return nil, err
 	}
-	return up.askCache(ctx, "/export", order)
+	return up.callCache(ctx, "/export", order)
 }
 
-// importPrefix gives the engine what another has exported.
+// importPrefix sends the engine a prefix that another engine has exported.
 func (up *upstream) importPrefix(ctx context.Context, body []byte) error {
-	_, err := up.askCache(ctx, "/import", body)
+	_, err := up.callCache(ctx, "/import", body)
 	return err
 }
 
-func (up *upstream) askCache(ctx context.Context, action string, body []byte) ([]byte, error) {
+func (up *upstream) callCache(ctx context.Context, action string, body []byte) ([]byte, error) {
 	address := up.base + up.service.CachePath + action
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, address, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	response, err := up.reused.RoundTrip(request)
+	response, err := up.pooled.RoundTrip(request)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	got, err := io.ReadAll(io.LimitReader(response.Body, longestPrefix+1))
+	exported, err := io.ReadAll(io.LimitReader(response.Body, maxPrefixBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
@@ -79,18 +79,19 @@
 		return nil, errNoPrefix
 	case response.StatusCode != http.StatusOK:
 		return nil, eris.Errorf("the engine answered %d", response.StatusCode)
-	case len(got) > longestPrefix:
-		return nil, errPrefixLong
+	case len(exported) > maxPrefixBytes:
+		return nil, errPrefixTooLong
 	}
-	return got, nil
+	return exported, nil
 }
 
-// mostTransfers is how many prefixes an agent moves at once. Each holds a frame
-// in memory, and a burst past it is better served cold than late.
-const mostTransfers = 8
+// maxTransfers is how many prefixes an agent transfers at once. Each takes a frame of
+// memory; in a larger burst, a cold prefill is better than a late answer.
+const maxTransfers = 8
 
-// beginTransfer takes a place among the transfers, if one is free.
-func (agent *Agent) beginTransfer() (func(), bool) {
+// acquireTransfer reserves a transfer if fewer than maxTransfers are in progress. It
+// returns a function that releases it.
+func (agent *Agent) acquireTransfer() (func(), bool) {
 	select {
 	case agent.transfers <- struct{}{}:
 		return func() { <-agent.transfers }, true
@@ -99,77 +100,77 @@
 	}
 }
 
-// busy reports whether a call of the chat runs, so that its prefix is not cached
-// yet; the lock must be held.
-func (agent *Agent) busy(chat uint64) bool {
+// hasRunningCall reports whether a call of the chat runs, in which case its prefix is not
+// cached yet; the lock must be held.
+func (agent *Agent) hasRunningCall(chat uint64) bool {
 	for _, run := range agent.runs {
-		if run.chat == chat && run.ended == 0 && !run.tomb {
+		if run.chat == chat && run.endedAt == 0 && !run.tombstone {
 			return true
 		}
 	}
 	return false
 }
 
-// givePrefix answers a replica that asks for the prefix of a chat.
-func (agent *Agent) givePrefix(ctx context.Context, ask *encoder.PrefixAsk) *encoder.PrefixBody {
+// servePrefix answers a replica that requests the prefix of a chat.
+func (agent *Agent) servePrefix(ctx context.Context, ask *encoder.PrefixAsk) *encoder.PrefixBody {
 	agent.mu.Lock()
-	where, tokens := agent.places.Locate(ask.GetChat()), agent.places.PrefixTokens(ask.GetChat())
-	longest, able := agent.service.LongestFetch, agent.upstream.service.CachePath != ""
+	holder, tokens := agent.directory.Locate(ask.GetChat()), agent.directory.PrefixTokens(ask.GetChat())
+	timeout, enabled := agent.service.LongestFetch, agent.upstream.service.CachePath != ""
 	agent.mu.Unlock()
 	none := &encoder.PrefixBody{Chat: ask.GetChat(), Kind: classifier.NotFound.String()}
-	if where != agent.settings.Name {
-		none.Where = where
+	if holder != agent.settings.Name {
+		none.Where = holder
 		return none
 	}
-	end, free := agent.beginTransfer()
-	defer end()
-	if !able || !free || ask.GetService() != agent.settings.Service {
+	release, acquired := agent.acquireTransfer()
+	defer release()
+	if !enabled || !acquired || ask.GetService() != agent.settings.Service {
 		return none
 	}
-	ctx, cancel := context.WithTimeout(ctx, longest.Duration())
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	body, err := agent.upstream.exportPrefix(ctx, ask.GetChat(), ask.GetRelease())
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	switch {
 	case eris.Is(err, errNoPrefix):
-		if !agent.busy(ask.GetChat()) {
-			agent.places.Forget(ask.GetChat())
+		if !agent.hasRunningCall(ask.GetChat()) {
+			agent.directory.Forget(ask.GetChat())
 		}
 		return none
 	case err != nil:
 		return none
 	case ask.GetRelease():
-		agent.places.RecordTransfer(ask.GetChat(), ask.GetAsker())
+		agent.directory.RecordTransfer(ask.GetChat(), ask.GetAsker())
 	}
 	return &encoder.PrefixBody{Chat: ask.GetChat(), Body: body, Tokens: tokens}
 }
 
-// takePrefix takes the prefix that a leaving replica hands over, when it fits.
-// The answer names this replica when it was taken. A prefix that doesn't fit
-// would cost another chat its own.
-func (agent *Agent) takePrefix(ctx context.Context, body *encoder.PrefixBody) *encoder.PointerAnswer {
+// acceptPrefix imports the prefix that a leaving replica hands over, if it fits: a prefix
+// that doesn't fit would evict another chat's. The answer names this replica when the
+// import has succeeded.
+func (agent *Agent) acceptPrefix(ctx context.Context, body *encoder.PrefixBody) *encoder.PointerAnswer {
 	answer := &encoder.PointerAnswer{Chat: body.GetChat()}
 	agent.mu.Lock()
-	able := agent.upstream.service.CachePath != "" && !agent.draining && agent.places.Fits(body.GetTokens())
-	known := agent.places.Locate(body.GetChat()) == agent.settings.Name
-	longest := agent.service.LongestFetch
-	if able {
-		// Noted before the import, so that hand-overs side by side don't all
-		// see the same room.
-		agent.places.Record(body.GetChat(), agent.settings.Name, body.GetTokens())
+	enabled := agent.upstream.service.CachePath != "" && !agent.draining && agent.directory.Fits(body.GetTokens())
+	held := agent.directory.Locate(body.GetChat()) == agent.settings.Name
+	timeout := agent.service.LongestFetch
+	if enabled {
+		// Recorded before the import, so that concurrent hand-overs don't all count on the
+		// same free space.
+		agent.directory.Record(body.GetChat(), agent.settings.Name, body.GetTokens())
 	}
 	agent.mu.Unlock()
-	if !able {
+	if !enabled {
 		return answer
 	}
-	ctx, cancel := context.WithTimeout(ctx, longest.Duration())
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	if err := agent.upstream.importPrefix(ctx, body.GetBody()); err != nil {
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
-		if !known {
-			agent.places.Forget(body.GetChat())
+		if !held {
+			agent.directory.Forget(body.GetChat())
 		}
 		return answer
 	}
--- a/internal/runner/record.go
+++ b/internal/runner/record.go
@@ -9,7 +9,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// event returns an event about an offer, with what most kinds share.
+// event returns an event about an offer, with the fields that most kinds share.
 func (agent *Agent) event(kind recorder.Kind, offer *encoder.Offer) recorder.Event {
 	return recorder.Event{
 		At:          agent.settings.Clock.Now(),
@@ -25,18 +25,19 @@
 	}
 }
 
-// weighing is what the controller went by when it took an offer.
-type weighing struct {
+// admission is the load and bound by which the controller accepted an offer.
+type admission struct {
 	at     timekeeper.Instant
 	load   int64
 	bound  int64
 	factor float64
 }
 
-// noteLoad notes by which load and bound the controller took an offer; the lock must
-// be held. The slot may be given later, from the queue, when both are others.
-func (agent *Agent) noteLoad(offer *encoder.Offer, decision admitter.Decision) {
-	agent.weighed[offer.GetRequestId()] = weighing{
+// recordAdmission records the load and bound by which the controller accepted an offer;
+// the lock must be held. The slot may be granted later, from the queue, when both have
+// changed.
+func (agent *Agent) recordAdmission(offer *encoder.Offer, decision admitter.Decision) {
+	agent.admissions[offer.GetRequestId()] = admission{
 		at:     agent.settings.Clock.Now(),
 		load:   decision.Load,
 		bound:  decision.Bound,
@@ -44,38 +45,38 @@
 	}
 }
 
-// weighingOf returns and forgets what was noted for an offer.
-func (agent *Agent) weighingOf(offer *encoder.Offer) weighing {
+// takeAdmission returns and deletes the recorded admission of an offer.
+func (agent *Agent) takeAdmission(offer *encoder.Offer) admission {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	noted := agent.weighed[offer.GetRequestId()]
-	delete(agent.weighed, offer.GetRequestId())
-	return noted
+	recorded := agent.admissions[offer.GetRequestId()]
+	delete(agent.admissions, offer.GetRequestId())
+	return recorded
 }
 
-// recordGrant records a slot that was given, with the load and the bound by
-// which the offer was taken.
+// recordGrant records a granted slot, with the load and the bound by which the offer was
+// accepted.
 func (agent *Agent) recordGrant(offer *encoder.Offer) {
-	noted := agent.weighingOf(offer)
+	recorded := agent.takeAdmission(offer)
 	event := agent.event(recorder.Granted, offer)
 	event.Work = offer.GetWork()
-	event.Load, event.Bound, event.Factor = noted.load, noted.bound, noted.factor
-	if noted.at < event.At {
-		event.Taken = noted.at
+	event.Load, event.Bound, event.Factor = recorded.load, recorded.bound, recorded.factor
+	if recorded.at < event.At {
+		event.Taken = recorded.at
 	}
 	agent.settings.Record(event)
 }
 
-// recordRefusal records what the agent told the entry.
+// recordRefusal records the refusal that the agent sends to the entry.
 func (agent *Agent) recordRefusal(offer *encoder.Offer, failure classifier.Failure) {
-	agent.weighingOf(offer)
+	agent.takeAdmission(offer)
 	event := agent.event(recorder.Refused, offer)
 	event.Reason = failure.Kind.String()
 	event.Ran = string(classifier.AnswerOf(failure.Kind).Ran)
 	agent.settings.Record(event)
 }
 
-// recordEnd records how a run ended; the load is what stays when it is gone.
+// recordEnd records how a run ended; the recorded load excludes the run.
 func (agent *Agent) recordEnd(offer *encoder.Offer, answer *replayer.Answer) {
 	event := agent.event(recorder.Ended, offer)
 	end := answer.End()
@@ -92,13 +93,12 @@
 	agent.settings.Record(event)
 }
 
-// recordLeaving records that the agent drains, or that it has drained.
-func (agent *Agent) recordLeaving(kind recorder.Kind) {
+// recordDrain records that the agent drains, or that it has drained.
+func (agent *Agent) recordDrain(kind recorder.Kind) {
 	agent.settings.Record(agent.event(kind, nil))
 }
 
-// Sample returns the event that tells the agent's load beside the mean of its
-// service.
+// Sample returns an event with the agent's load and the bound from the service's mean.
 func (agent *Agent) Sample() recorder.Event {
 	event := agent.event(recorder.Sampled, nil)
 	mean := agent.settings.Mean()
@@ -108,7 +108,7 @@
 	agent.mu.Unlock()
 	event.Load = load.Work
 	event.Count = int64(load.Running + load.Waiting)
-	event.Factor = agent.serviceNow().LoadFactor
+	event.Factor = agent.currentService().LoadFactor
 	event.Revision = agent.settings.Config().Revision
 	return event
 }
--- a/internal/runner/reported.go
+++ b/internal/runner/reported.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// tellEvery is how often an answer brings what the agent is now, though
-	// nothing much has changed: as often as a round of membership.
-	tellEvery = timekeeper.Second
-	// tellShare is the part of the load last told by which the load must have
-	// changed for an answer to bring it sooner.
-	tellShare = 4
+	// reportInterval is how often an answer carries the agent's digest although the load
+	// has hardly changed: as often as a membership round.
+	reportInterval = timekeeper.Second
+	// reportDivisor is the inverse of the relative change of the load that makes an answer
+	// carry a digest sooner: a quarter.
+	reportDivisor = 4
 )
 
-// reportedLoad is what the agent's answers have last brought of its load.
+// reportedLoad is the load that the agent's answers last reported.
 //
-// It is made for an agent that ends many short calls a second: a digest of a
-// hundred bytes on each would cost more control traffic than all rounds. The
-// harm of bringing none is an entry that goes by loads of some seconds ago and
-// is refused by the agent for it. So an answer brings it when a second has
-// passed, or when the load has changed by a quarter since it was last reported.
+// An agent may end many short calls a second, and a digest of a hundred bytes on each
+// would cost more control traffic than all membership rounds. Without any digest, an entry
+// would place calls by loads that are seconds old, and the agent would refuse them. So an
+// answer carries a digest when a second has passed, or when the load has changed by a
+// quarter since the last report.
 type reportedLoad struct {
 	at   timekeeper.Instant
 	load int64
 }
 
-// due reports whether an answer should bring the load, and what was reported after it.
+// due reports whether an answer should carry the load, and returns the new state.
 func (reported reportedLoad) due(now timekeeper.Instant, load int64) (bool, reportedLoad) {
 	change := load - reported.load
 	if change < 0 {
 		change = -change
 	}
-	much := change > 0 && change*tellShare >= reported.load
-	if reported.at != 0 && now.Since(reported.at) < tellEvery && !much {
+	significant := change > 0 && change*reportDivisor >= reported.load
+	if reported.at != 0 && now.Since(reported.at) < reportInterval && !significant {
 		return false, reported
 	}
 	return true, reported.with(now, load)
@@ -44,13 +44,13 @@
 	return reported
 }
 
-// atEnd returns what the answer to an offer brings of the agent, or nil. The
-// call that ends is not part of the load any more.
-func (agent *Agent) atEnd(offer *encoder.Offer) *encoder.Digest {
+// endDigest returns the digest to send with the end of an answer, or nil. The load in it
+// excludes the call that ends.
+func (agent *Agent) endDigest(offer *encoder.Offer) *encoder.Digest {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	load := agent.controller.Load().Work - offer.GetWork()
-	due, after := agent.reported.due(agent.settings.Clock.Now(), load)
+	due, next := agent.reported.due(agent.settings.Clock.Now(), load)
 	if !due {
 		return nil
 	}
@@ -60,6 +60,6 @@
 	if !agent.settings.AllowDigest(digest) {
 		return nil
 	}
-	agent.reported = after
+	agent.reported = next
 	return digest
 }
--- a/internal/runner/reported_test.go
+++ b/internal/runner/reported_test.go
@@ -9,7 +9,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-func TestAnAnswerBringsTheLoadOnlyWhenItIsNews(t *testing.T) {
+func TestAnswerCarriesLoadOnlyWhenItChanged(t *testing.T) {
 	tests := []struct {
 		name     string
 		reported reportedLoad
@@ -23,7 +23,7 @@
 		{"much more", reportedLoad{1000, 400}, 10, 500, true},
 		{"much less", reportedLoad{1000, 400}, 10, 300, true},
 		{"an idle agent stays idle", reportedLoad{1000, 0}, 10, 0, false},
-		{"a second has passed", reportedLoad{1000, 400}, tellEvery, 400, true},
+		{"a second has passed", reportedLoad{1000, 400}, reportInterval, 400, true},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -34,28 +34,28 @@
 	}
 }
 
-func TestTheEndOfAnAnswerTellsTheLoadWithoutTheCall(t *testing.T) {
-	bench := newBench(t)
-	Convey("the call that ends is not part of it, and a full budget keeps it off", t, func() {
-		for i, roomy := range []bool{true, false} {
-			bench.agent.settings.AllowDigest = func(*encoder.Digest) bool { return roomy }
-			bench.agent.reported = reportedLoad{}
+func TestEndOfAnswerReportsLoadWithoutTheCall(t *testing.T) {
+	harness := newHarness(t)
+	Convey("the load excludes the call, and an exhausted budget suppresses it", t, func() {
+		for i, allowed := range []bool{true, false} {
+			harness.agent.settings.AllowDigest = func(*encoder.Digest) bool { return allowed }
+			harness.agent.reported = reportedLoad{}
 			id := string(rune('a' + i))
-			stream := bench.open(&encoder.Offer{RequestId: id, Service: "orders", Team: "rig", Work: 5, Idempotent: true, RunFollows: true})
-			bench.send(stream, &encoder.Run{RequestId: id, Method: "GET", Path: "/orders"})
-			now := lastFrame(bench, stream).GetNow()
-			So(now != nil, ShouldEqual, roomy)
+			stream := harness.open(&encoder.Offer{RequestId: id, Service: "orders", Team: "rig", Work: 5, Idempotent: true, RunFollows: true})
+			harness.send(stream, &encoder.Run{RequestId: id, Method: "GET", Path: "/orders"})
+			now := lastFrame(harness, stream).GetNow()
+			So(now != nil, ShouldEqual, allowed)
 			So(now.GetLoad(), ShouldEqual, 0)
 		}
 	})
 }
 
 // lastFrame reads frames up to the end of an answer.
-func lastFrame(bench *bench, stream *encoder.Stream) *encoder.End {
+func lastFrame(harness *harness, stream *encoder.Stream) *encoder.End {
 	for {
 		frame, err := stream.Read()
 		if err != nil {
-			bench.t.Fatal(err)
+			harness.t.Fatal(err)
 		}
 		if frame.GetEnd() != nil {
 			return frame.GetEnd()
--- a/internal/runner/resume.go
+++ b/internal/runner/resume.go
@@ -10,7 +10,7 @@
 	"github.com/trefoilseam/trefoilseam/internal/marker"
 )
 
-// follow relays a run's answer until its end or until the reader is gone.
+// follow relays a run's answer until the answer ends or the reader leaves.
 func (agent *Agent) follow(
 	ctx context.Context, stream *encoder.Stream, run *run, offset uint64, frames <-chan incoming,
 ) {
@@ -20,14 +20,14 @@
 	defer agent.detach(run)
 	go func() {
 		defer cancel()
-		agent.watch(ctx, run, frames)
+		agent.watchReader(ctx, run, frames)
 	}()
 	_ = run.answer.Follow(ctx, stream, offset)
 }
 
-// watch returns when the reader is gone. A yamux stream whose far side was
-// closed still takes writes for a while, so only reading tells.
-func (agent *Agent) watch(ctx context.Context, run *run, frames <-chan incoming) {
+// watchReader returns when the reader has left. A yamux stream whose remote side has
+// closed still accepts writes for a while, so only a read detects it.
+func (agent *Agent) watchReader(ctx context.Context, run *run, frames <-chan incoming) {
 	for {
 		select {
 		case in := <-frames:
@@ -52,36 +52,35 @@
 	}
 }
 
-// detach notes that a reader has gone. The failure: a caller's connection
-// breaks in the middle of a stream. Two symptoms pull apart: ending the run at
-// once makes a resume impossible, and running on works for nobody while the
-// slot stays taken. So an idempotent run goes on for the service's resume
-// grace and ends when nobody has come back by then. A run that is not
-// idempotent is never ended by its reader's leaving: half an order is worse
-// than an order whose answer waits to be looked up. Its answer is drained.
+// detach records that a reader has left, for example because a caller's connection broke
+// in the middle of a stream. Ending the run at once would make a resume impossible;
+// running on would hold the slot for nobody. So an idempotent run goes on for the
+// service's resume grace and ends if no reader has come back by then. A run that is not
+// idempotent is never ended when its reader leaves, since half an order is worse than an
+// order whose answer must be looked up. Its answer is drained.
 func (agent *Agent) detach(run *run) {
 	agent.mu.Lock()
 	run.readers--
-	run.left++
-	left := run.left
-	alone := run.readers == 0 && run.ended == 0
-	abandoned := alone && run.idempotent
-	if alone && !run.idempotent {
+	run.detaches++
+	detaches := run.detaches
+	unread := run.readers == 0 && run.endedAt == 0
+	abandoned := unread && run.idempotent
+	if unread && !run.idempotent {
 		run.answer.Drain()
 	}
 	agent.mu.Unlock()
 	if abandoned {
-		go agent.endAbandoned(run, left)
+		go agent.cancelAbandoned(run, detaches)
 	}
 }
 
-// endAbandoned ends the run after the grace unless a reader has come since.
-func (agent *Agent) endAbandoned(run *run, left int) {
-	fired, release := agent.settings.Clock.After(agent.serviceNow().ResumeGrace)
+// cancelAbandoned cancels the run after the grace unless a reader has come since.
+func (agent *Agent) cancelAbandoned(run *run, detaches int) {
+	fired, release := agent.settings.Clock.After(agent.currentService().ResumeGrace)
 	defer release()
 	<-fired
 	agent.mu.Lock()
-	abandoned := run.readers == 0 && run.left == left && run.ended == 0
+	abandoned := run.readers == 0 && run.detaches == detaches && run.endedAt == 0
 	agent.mu.Unlock()
 	if abandoned {
 		agent.cancelRun(run, "nobody resumed the stream")
@@ -96,8 +95,8 @@
 	run.cancel()
 }
 
-// resolveEventID replaces an event id in a look-up by the run and offset that
-// it names. It returns false when this incarnation knows no such run.
+// resolveEventID sets the run and offset that the event id of a look-up names. It returns
+// false when this incarnation doesn't know the run.
 func (agent *Agent) resolveEventID(lookup *encoder.Lookup) (classifier.Failure, bool) {
 	if lookup.GetEventId() == "" {
 		return classifier.Failure{}, true
@@ -106,17 +105,17 @@
 	if err != nil {
 		return classifier.New(classifier.BadRequest, err.Error()), false
 	}
-	known := agent.runOf(id)
-	if known == nil {
+	target := agent.runByEvent(id)
+	if target == nil {
 		return classifier.New(classifier.ResumeLost, ""), false
 	}
-	lookup.RequestId = known.id
+	lookup.RequestId = target.id
 	lookup.Offset = id.Offset
 	lookup.Incarnation = agent.settings.Incarnation
 	return classifier.Failure{}, true
 }
 
-func (agent *Agent) runOf(id marker.EventID) *run {
+func (agent *Agent) runByEvent(id marker.EventID) *run {
 	if id.Instance != agent.settings.Name || id.Mark != marker.MarkOf(agent.settings.Incarnation) {
 		return nil
 	}
@@ -125,14 +124,14 @@
 	return agent.bySerial[id.Serial]
 }
 
-// serveCancel ends a run at the word of its team.
+// serveCancel cancels a run at the request of its team.
 func (agent *Agent) serveCancel(stream *encoder.Stream, cancel *encoder.Cancel) {
 	found := &encoder.Found{State: encoder.RunState_RUN_STATE_FORGOTTEN, Incarnation: agent.settings.Incarnation}
 	id, err := marker.ParseEventID(cancel.GetEventId())
 	if err == nil {
-		if known := agent.runOf(id); known != nil && known.team == cancel.GetTeam() {
-			agent.cancelRun(known, "its caller canceled it")
-			found.RequestId = known.id
+		if target := agent.runByEvent(id); target != nil && target.team == cancel.GetTeam() {
+			agent.cancelRun(target, "its caller canceled it")
+			found.RequestId = target.id
 			found.State = encoder.RunState_RUN_STATE_RUNNING
 		}
 	}
--- a/internal/runner/run.go
+++ b/internal/runner/run.go
@@ -10,38 +10,38 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// run is what the agent knows about one committed request, or, with tomb set,
-// about one that was declared not run.
+// run is the agent's state of a committed request or, with tombstone set, of one that was
+// declared not run.
 type run struct {
 	id         string
 	team       string
 	chat       uint64
 	serial     uint64
 	idempotent bool
-	tomb       bool
+	tombstone  bool
 	answer     *replayer.Answer
 	cancel     context.CancelFunc
-	ended      timekeeper.Instant
-	// readers is how many streams follow the answer now, and left counts how
-	// often the last of them has gone.
-	readers int
-	left    int
+	endedAt    timekeeper.Instant
+	// readers is how many streams follow the answer now; detaches counts the readers that
+	// have left.
+	readers  int
+	detaches int
 }
 
-// again returns the failure of an offer whose request id is known already.
-// Only a tombstone proves that the request did not run.
-func (known *run) again() classifier.Failure {
-	if known != nil && known.tomb {
+// duplicateFailure returns the failure of an offer whose request id is already known. Only
+// a tombstone proves that the request did not run.
+func (existing *run) duplicateFailure() classifier.Failure {
+	if existing != nil && existing.tombstone {
 		return classifier.New(classifier.Tombstoned, "")
 	}
 	return classifier.New(classifier.OutcomeUnknown, "the request id is in use here already")
 }
 
-// start registers the run and calls the upstream in the background.
-func (agent *Agent) start(offer *encoder.Offer, commit *encoder.Run) (*run, classifier.Failure, bool) {
-	// The run outlives the stream it came on: a caller whose connection broke
-	// finds it by look-up. The longest call bounds it.
-	ctx, cancel := context.WithTimeout(context.Background(), agent.serviceNow().LongestCall.Duration())
+// startRun registers the run and calls the upstream in the background.
+func (agent *Agent) startRun(offer *encoder.Offer, commit *encoder.Run) (*run, classifier.Failure, bool) {
+	// The run outlives its stream: a caller whose connection broke finds it by look-up.
+	// The longest call bounds it.
+	ctx, cancel := context.WithTimeout(context.Background(), agent.currentService().LongestCall.Duration())
 	started := &run{
 		id:         offer.GetRequestId(),
 		team:       offer.GetTeam(),
@@ -50,14 +50,14 @@
 		cancel:     cancel,
 	}
 	started.answer = replayer.New(replayer.Settings{
-		Opened: func() { agent.opened(started.id) },
-		Now:    func() *encoder.Digest { return agent.atEnd(offer) },
+		Opened: func() { agent.recordFirstByte(started.id) },
+		Now:    func() *encoder.Digest { return agent.endDigest(offer) },
 	})
 	agent.mu.Lock()
-	if known := agent.runs[started.id]; known != nil {
+	if existing := agent.runs[started.id]; existing != nil {
 		agent.mu.Unlock()
 		cancel()
-		return nil, known.again(), false
+		return nil, existing.duplicateFailure(), false
 	}
 	if !agent.mayStart(offer) {
 		agent.mu.Unlock()
@@ -68,33 +68,33 @@
 	started.serial = agent.serial
 	agent.runs[started.id] = started
 	agent.bySerial[started.serial] = started
-	agent.takeOff(offer)
+	agent.recordStart(offer)
 	agent.mu.Unlock()
 	agent.settings.Record(agent.event(recorder.Committed, offer))
-	agent.noteChat(offer.GetChat(), offer.GetWork())
+	agent.recordChat(offer.GetChat(), offer.GetWork())
 	go func() {
 		defer cancel()
 		whole, failure := agent.upstream.call(ctx, agent.settings, offer, commit, started)
-		agent.landed(started, ctx.Err() != nil, whole, failure)
+		agent.recordOutcome(started, ctx.Err() != nil, whole, failure)
 		started.answer.Close(started.id, whole, failure)
 		agent.recordEnd(offer, started.answer)
-		agent.hold(ctx)
+		agent.holdSlot(ctx)
 		agent.finish(started)
 	}()
 	return started, classifier.Failure{}, true
 }
 
-// finish gives the slot back and forgets runs that ended long ago.
+// finish releases the slot and keeps the ended run for look-ups.
 func (agent *Agent) finish(ended *run) {
 	agent.release(ended.id)
 	now := agent.settings.Clock.Now()
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	agent.endKey(ended)
-	agent.keep(ended, now)
+	agent.retain(ended, now)
 }
 
-// serveLookup tells what became of a request, and follows its answer if asked.
+// serveLookup answers with a request's state, and follows its answer if requested.
 func (agent *Agent) serveLookup(ctx context.Context, stream *encoder.Stream, lookup *encoder.Lookup) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -102,16 +102,16 @@
 		_ = stream.Write(encoder.Of(&encoder.Found{State: encoder.RunState_RUN_STATE_FORGOTTEN, Kind: failure.Kind.String()}))
 		return
 	}
-	found, known := agent.find(lookup)
+	found, existing := agent.findRun(lookup)
 	if err := stream.Write(encoder.Of(found)); err != nil {
 		return
 	}
-	if lookup.GetFollow() && known != nil {
-		agent.follow(ctx, stream, known, lookup.GetOffset(), pump(ctx, stream))
+	if lookup.GetFollow() && existing != nil {
+		agent.follow(ctx, stream, existing, lookup.GetOffset(), readFrames(ctx, stream))
 	}
 }
 
-func (agent *Agent) find(lookup *encoder.Lookup) (*encoder.Found, *run) {
+func (agent *Agent) findRun(lookup *encoder.Lookup) (*encoder.Found, *run) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	found := &encoder.Found{RequestId: lookup.GetRequestId(), Incarnation: agent.settings.Incarnation}
@@ -119,41 +119,41 @@
 		found.State = encoder.RunState_RUN_STATE_FORGOTTEN
 		return found, nil
 	}
-	known := agent.runs[lookup.GetRequestId()]
+	existing := agent.runs[lookup.GetRequestId()]
 	switch {
-	case known == nil || known.tomb:
+	case existing == nil || existing.tombstone:
 		found.State = encoder.RunState_RUN_STATE_NEVER_SEEN
-		agent.bury(lookup)
+		agent.leaveTombstone(lookup)
 		return found, nil
-	case known.team != lookup.GetTeam():
+	case existing.team != lookup.GetTeam():
 		found.State = encoder.RunState_RUN_STATE_FORGOTTEN
 		return found, nil
-	case known.ended != 0:
+	case existing.endedAt != 0:
 		found.State = encoder.RunState_RUN_STATE_DONE
 	default:
 		found.State = encoder.RunState_RUN_STATE_RUNNING
 	}
-	if !known.answer.Resumable(lookup.GetOffset()) {
+	if !existing.answer.Resumable(lookup.GetOffset()) {
 		found.State = encoder.RunState_RUN_STATE_FORGOTTEN
 		return found, nil
 	}
 	found.Offset = lookup.GetOffset()
-	return found, known
+	return found, existing
 }
 
-// bury leaves a tombstone. The failure: the connection broke after the Run
-// frame was sent, and the frame is still on its way. The symptom: the caller
-// was told "not run", and then it ran. A run frame that comes after the
-// tombstone is refused under the same lock, so one of the two always wins.
-func (agent *Agent) bury(lookup *encoder.Lookup) {
+// leaveTombstone writes a tombstone if the look-up asks for one. It guards against a Run
+// frame that is still in transit when the connection breaks: without it, the caller gets
+// "not run" and the request runs afterwards. A Run frame that arrives after the tombstone
+// is refused under the same lock, so exactly one of the two takes effect.
+func (agent *Agent) leaveTombstone(lookup *encoder.Lookup) {
 	if lookup.GetTombstone() {
 		now := agent.settings.Clock.Now()
-		tomb := &run{id: lookup.GetRequestId(), tomb: true}
-		agent.runs[tomb.id] = tomb
-		agent.keep(tomb, now)
-		// The key is free for the resend at once, not only when the agent has
-		// noticed that the first request's connection is gone.
-		agent.keys.book.Abandon(tomb.id)
+		tombstone := &run{id: lookup.GetRequestId(), tombstone: true}
+		agent.runs[tombstone.id] = tombstone
+		agent.retain(tombstone, now)
+		// This frees the key for the resend at once, instead of when the agent detects
+		// that the first request's connection is gone.
+		agent.keys.book.Abandon(tombstone.id)
 		agent.settings.Record(recorder.Event{
 			At: now, Kind: recorder.Buried, Request: lookup.GetRequestId(), Service: agent.settings.Service,
 			Team: lookup.GetTeam(), Instance: agent.settings.Name, Incarnation: agent.settings.Incarnation,
--- a/internal/runner/slot.go
+++ b/internal/runner/slot.go
@@ -11,14 +11,14 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// verdict is what became of an offer that waited for a slot.
-type verdict struct {
+// slotResult is the outcome of an offer that waited for a slot.
+type slotResult struct {
 	granted bool
 	failure classifier.Failure
 }
 
-// limitsOf returns the limits of a service's controllers.
-func limitsOf(service resolver.Service, draw func() float64) admitter.Limits {
+// controllerLimits returns the controller's limits for a service.
+func controllerLimits(service resolver.Service, draw func() float64) admitter.Limits {
 	return admitter.Limits{
 		Slots:       service.Slots,
 		QueueLength: service.QueueLength,
@@ -31,33 +31,33 @@
 	}
 }
 
-// decide asks the controller about an offer under the agent's lock.
-func (agent *Agent) decide(offer *encoder.Offer, arrived timekeeper.Instant) (admitter.Decision, <-chan verdict) {
+// decide makes the admission decision about an offer under the agent's lock.
+func (agent *Agent) decide(offer *encoder.Offer, arrived timekeeper.Instant) (admitter.Decision, <-chan slotResult) {
 	mean := agent.settings.Mean()
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	agent.adopt()
+	agent.applyConfig()
 	agent.demand.Record(offer.GetEntry(), offer.GetUnderWay(), arrived)
 	mean = agent.demand.Raise(mean, arrived)
-	if failure, ok := agent.bound(offer); ok {
+	if failure, ok := agent.checkKey(offer); ok {
 		return admitter.Decision{Outcome: admitter.Refused, Failure: failure}, nil
 	}
-	if failure, ok := agent.unfit(offer); ok {
+	if failure, ok := agent.ineligible(offer); ok {
 		return admitter.Decision{Outcome: admitter.Refused, Failure: failure}, nil
 	}
-	if failure, ok := agent.elsewhere(offer, arrived); ok {
+	if failure, ok := agent.redirect(offer, arrived); ok {
 		return admitter.Decision{Outcome: admitter.Refused, Failure: failure}, nil
 	}
 	decision := agent.controller.Offer(agent.ticket(offer, arrived), mean)
-	agent.noteLoad(offer, decision)
-	agent.noteAdapter(offer, decision)
+	agent.recordAdmission(offer, decision)
+	agent.trackAdapter(offer, decision)
 	for _, ticket := range decision.Displaced {
-		agent.tell(ticket.ID, verdict{failure: agent.controller.DisplacedFailure()})
+		agent.sendResult(ticket.ID, slotResult{failure: agent.controller.DisplacedFailure()})
 	}
-	slot := make(chan verdict, 1)
+	slot := make(chan slotResult, 1)
 	switch decision.Outcome {
 	case admitter.Granted:
-		slot <- verdict{granted: true}
+		slot <- slotResult{granted: true}
 	case admitter.Queued:
 		agent.queue[offer.GetRequestId()] = slot
 	}
@@ -73,7 +73,7 @@
 		Class:       uint8(min(offer.GetClass(), lastClass)),
 		Work:        offer.GetWork(),
 		LastAttempt: offer.GetAttempt() >= placer.MaxOffers-1,
-		PrefixMiss:  agent.places.PrefixMiss(offer.GetChat(), int(offer.GetAttempt())),
+		PrefixMiss:  agent.directory.PrefixMiss(offer.GetChat(), int(offer.GetAttempt())),
 		Arrived:     arrived,
 	}
 	if offer.GetDeadline() > 0 {
@@ -82,15 +82,15 @@
 	return ticket
 }
 
-// tell gives a waiting offer its verdict; the lock must be held.
-func (agent *Agent) tell(id string, verdict verdict) {
+// sendResult sends a waiting offer its result; the lock must be held.
+func (agent *Agent) sendResult(id string, result slotResult) {
 	if slot := agent.queue[id]; slot != nil {
 		delete(agent.queue, id)
-		slot <- verdict
+		slot <- result
 	}
 }
 
-// release gives a slot or a place in the queue back and wakes who gets it.
+// release frees a slot or a place in the queue and grants the slots that become free.
 func (agent *Agent) release(id string) {
 	now := agent.settings.Clock.Now()
 	agent.mu.Lock()
@@ -99,38 +99,38 @@
 	delete(agent.adapters.calls, id)
 	agent.keys.book.Abandon(id)
 	agent.leaveGate(id)
-	agent.wake(agent.controller.Finish(id, now))
+	agent.grantSlots(agent.controller.Finish(id, now))
 }
 
-// wake tells the tickets that got a slot; the lock must be held.
-func (agent *Agent) wake(tickets []admitter.Ticket) {
+// grantSlots notifies the waiting offers that got a slot; the lock must be held.
+func (agent *Agent) grantSlots(tickets []admitter.Ticket) {
 	for _, ticket := range tickets {
-		agent.tell(ticket.ID, verdict{granted: true})
+		agent.sendResult(ticket.ID, slotResult{granted: true})
 	}
 }
 
-// waitForSlot waits until the offer has its verdict. It returns false when
-// the caller leaves, its deadline passes, or the agent stops before. An offer
-// past its deadline is refused at that instant: nobody waits for it any more,
-// and its place is worth something to others.
+// waitForSlot waits for the offer's result. It returns false when the offer is displaced
+// from the queue, the caller leaves, the deadline passes or the agent stops first. An
+// offer is refused as soon as its deadline passes: nobody waits for it any more, and
+// others can use its place in the queue.
 func (agent *Agent) waitForSlot(
-	ctx context.Context, offer *encoder.Offer, slot <-chan verdict, inbox *inbox,
+	ctx context.Context, offer *encoder.Offer, slot <-chan slotResult, inbox *inbox,
 ) (classifier.Failure, bool) {
-	var late <-chan timekeeper.Instant
+	var expired <-chan timekeeper.Instant
 	if deadline := timekeeper.Span(offer.GetDeadline()); deadline > 0 {
 		fired, stop := agent.settings.Clock.After(deadline)
 		defer stop()
-		late = fired
+		expired = fired
 	}
 	for {
 		select {
-		case verdict := <-slot:
-			return verdict.failure, verdict.granted
+		case result := <-slot:
+			return result.failure, result.granted
 		case in := <-inbox.frames:
-			if inbox.gone(in) {
+			if inbox.callerLeft(in) {
 				return classifier.New(classifier.CallerGone, "the caller left the queue"), false
 			}
-		case <-late:
+		case <-expired:
 			failure := classifier.New(classifier.DeadlinePassed, "no slot came free in time")
 			return failure.WithRetryAfter(timekeeper.Second), false
 		case <-ctx.Done():
@@ -139,25 +139,24 @@
 	}
 }
 
-// opened tells the controller that a run's first byte is there.
-func (agent *Agent) opened(id string) {
+// recordFirstByte reports the first byte of a run's answer to the controller.
+func (agent *Agent) recordFirstByte(id string) {
 	now := agent.settings.Clock.Now()
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	agent.controller.RecordFirstByte(id, now)
 }
 
-// hold keeps the slot of a cancelled run for a while.
+// holdSlot keeps the slot of a cancelled run for a while.
 //
-// The failure: an engine goes on with a sequence after its client has left, so
-// the slot looks free while the engine is full. The symptom: the next call is
-// granted and then waits inside the engine, where no class, no team's share and
-// no deadline counts. Whether the engine has ended can't be seen, so the slot
-// counts as taken for a bounded time, as in "Why the Next Model Request Still
-// Queues After HTTP 200" (unknown occupancy is quarantined, and not released).
-// The bound keeps an engine that cancels at once from losing slots for long.
-func (agent *Agent) hold(ctx context.Context) {
-	service := agent.serviceNow()
+// An engine may go on with a sequence after its client has left. If the slot were freed,
+// the next call would be granted and then wait inside the engine, where priority class,
+// the team's share and deadlines don't count. The agent can't see whether the engine has
+// stopped, so the slot counts as taken for a bounded time, as in "Why the Next Model
+// Request Still Queues After HTTP 200" (unknown occupancy is quarantined, and not
+// released). The bound keeps an engine that cancels at once from losing slots for long.
+func (agent *Agent) holdSlot(ctx context.Context) {
+	service := agent.currentService()
 	if ctx.Err() != nil && service.Kind == resolver.KindModel {
 		_ = agent.settings.Clock.Sleep(context.Background(), *service.UnknownHold)
 	}
--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -17,54 +17,55 @@
 )
 
 const (
-	// gateWait bounds the wait for an engine to be empty, or for the request
-	// that has it alone. Past it the caller is better served elsewhere.
-	gateWait = 10 * timekeeper.Second
-	// probeEvery is the time between two looks at an engine that is away, and
+	// gateTimeout bounds the wait for the engine to be empty, or for a request that runs
+	// alone. After it, the caller is better served by another replica.
+	gateTimeout = 10 * timekeeper.Second
+	// probeInterval is the time between two probes of an engine that is down, and
 	// probeTimeout bounds each.
-	probeEvery   = 100 * timekeeper.Millisecond
-	probeTimeout = timekeeper.Second
-	// noTerminal is the detail of a stream that ended cleanly and too early.
-	noTerminal = "the stream ended without its terminal"
+	probeInterval = 100 * timekeeper.Millisecond
+	probeTimeout  = timekeeper.Second
+	// missingTerminal is the detail of a stream that ended without an error but too early.
+	missingTerminal = "the stream ended without its terminal"
 )
 
-// strikes joins the ledger of strikes with the gate and the shared table. The
-// ledger and the gate are guarded by Agent.mu.
+// strikes combines the ledger of strikes with the gate and the shared table. Agent.mu
+// guards the ledger and the gate.
 type strikes struct {
-	ledger  *striker.Ledger
-	gate    striker.Gate
-	book    striker.Book
-	changed chan struct{}
-	// entered are the requests that the gate let in; true for one alone.
+	ledger      *striker.Ledger
+	gate        striker.Gate
+	book        striker.Book
+	gateChanged chan struct{}
+	// entered holds the requests that the gate has let in; true if the request runs alone.
 	entered map[string]bool
-	// raised are requests whose second strike is written and that haven't begun.
+	// raised holds requests whose second strike is written and that have not started, with
+	// their fingerprints.
 	raised map[string]uint64
 }
 
 func newStrikes(settings Settings) *strikes {
 	return &strikes{
-		ledger:  striker.NewLedger(settings.Name, 0),
-		book:    striker.NewBook(settings.Table, settings.Clock.Now),
-		changed: make(chan struct{}),
-		entered: map[string]bool{},
-		raised:  map[string]uint64{},
+		ledger:      striker.NewLedger(settings.Name, 0),
+		book:        striker.NewBook(settings.Table, settings.Clock.Now),
+		gateChanged: make(chan struct{}),
+		entered:     map[string]bool{},
+		raised:      map[string]uint64{},
 	}
 }
 
-// enter lets an offer that holds a slot onto the engine, alone if it has a
-// strike. It returns false when it must not run here.
-func (agent *Agent) enter(ctx context.Context, offer *encoder.Offer) (classifier.Failure, bool) {
+// enterGate lets an offer that holds a slot onto the engine, alone if it has a strike. It
+// returns false when the offer must not run here.
+func (agent *Agent) enterGate(ctx context.Context, offer *encoder.Offer) (classifier.Failure, bool) {
 	agent.mu.Lock()
 	down := agent.strikes.ledger.Down()
 	own := agent.strikes.ledger.Of(offer.GetFingerprint(), agent.settings.Clock.Now())
 	agent.mu.Unlock()
 	if down {
-		return agent.engineAway(), false
+		return agent.engineDown(), false
 	}
 	if own.Count == 0 && offer.GetStrikes() == 0 {
-		return agent.passGate(ctx, offer.GetRequestId(), false)
+		return agent.waitAtGate(ctx, offer.GetRequestId(), false)
 	}
-	strike, failure, ok := agent.weigh(ctx, offer, own)
+	strike, failure, ok := agent.loadStrike(ctx, offer, own)
 	if !ok {
 		return failure, false
 	}
@@ -72,18 +73,18 @@
 	case strike.Count >= striker.Barred:
 		return classifier.New(classifier.Struck, "until "+strike.Expires.String()), false
 	case strike.Count < striker.Isolated:
-		return agent.passGate(ctx, offer.GetRequestId(), false)
+		return agent.waitAtGate(ctx, offer.GetRequestId(), false)
 	}
 	return agent.isolate(ctx, offer, strike)
 }
 
-func (agent *Agent) engineAway() classifier.Failure {
+func (agent *Agent) engineDown() classifier.Failure {
 	return classifier.New(classifier.NotReady, "the upstream does not answer").WithRetryAfter(timekeeper.Second)
 }
 
-// weigh asks the table about a request with strikes. It is rare, so the read
-// costs nothing that counts.
-func (agent *Agent) weigh(
+// loadStrike reads the strikes of a request from the table. Few requests have strikes, so
+// the cost of the read doesn't matter.
+func (agent *Agent) loadStrike(
 	ctx context.Context, offer *encoder.Offer, own striker.Strike,
 ) (striker.Strike, classifier.Failure, bool) {
 	row, _, found, err := agent.strikes.book.Read(ctx, offer.GetFingerprint())
@@ -102,12 +103,11 @@
 	return strike, classifier.Failure{}, true
 }
 
-// isolate waits until the engine is empty and writes the second strike before
-// the request runs alone. An agent that is lost together with its engine has
-// then left the verdict behind.
+// isolate waits until the engine is empty and writes the second strike before the request
+// runs alone. So the strike remains even if the agent is lost together with its engine.
 func (agent *Agent) isolate(ctx context.Context, offer *encoder.Offer, strike striker.Strike) (classifier.Failure, bool) {
 	id := offer.GetRequestId()
-	if failure, ok := agent.passGate(ctx, id, true); !ok {
+	if failure, ok := agent.waitAtGate(ctx, id, true); !ok {
 		return failure, false
 	}
 	raised := strike.More(agent.settings.Name, agent.settings.Clock.Now().Add(striker.DefaultLife))
@@ -129,68 +129,69 @@
 	return classifier.New(classifier.StoreDown, "the strike could not be written").WithRetryAfter(2 * timekeeper.Second), false
 }
 
-// passGate waits at the gate.
-func (agent *Agent) passGate(ctx context.Context, id string, alone bool) (classifier.Failure, bool) {
-	late, stop := agent.settings.Clock.After(gateWait)
+// waitAtGate waits until the gate lets the request in, alone or beside others.
+func (agent *Agent) waitAtGate(ctx context.Context, id string, alone bool) (classifier.Failure, bool) {
+	expired, stop := agent.settings.Clock.After(gateTimeout)
 	defer stop()
 	for {
 		agent.mu.Lock()
 		if agent.strikes.ledger.Down() {
 			agent.leaveGate(id)
 			agent.mu.Unlock()
-			return agent.engineAway(), false
+			return agent.engineDown(), false
 		}
 		entered := agent.strikes.gate.Enter(id, alone)
 		if entered {
 			agent.strikes.entered[id] = alone
 		}
 		busy := alone && agent.strikes.gate.Busy(id)
-		changed := agent.strikes.changed
+		gateChanged := agent.strikes.gateChanged
 		agent.mu.Unlock()
 		if entered {
 			return classifier.Failure{}, true
 		}
 		if busy {
-			return agent.gateShut(id), false
+			return agent.abandonGate(id), false
 		}
 		select {
-		case <-changed:
-		case <-late:
-			return agent.gateShut(id), false
+		case <-gateChanged:
+		case <-expired:
+			return agent.abandonGate(id), false
 		case <-ctx.Done():
-			_ = agent.gateShut(id)
+			_ = agent.abandonGate(id)
 			return classifier.New(classifier.CallerGone, ""), false
 		}
 	}
 }
 
-// gateShut gives up waiting at the gate.
-func (agent *Agent) gateShut(id string) classifier.Failure {
+// abandonGate gives up the wait at the gate.
+func (agent *Agent) abandonGate(id string) classifier.Failure {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	agent.leaveGate(id)
 	return classifier.New(classifier.Overloaded, "a suspect request runs alone").WithRetryAfter(timekeeper.Second)
 }
 
-// leaveGate lets the next ones in; Agent.mu must be held.
+// leaveGate removes a request from the gate and wakes the waiting ones; Agent.mu must be
+// held.
 func (agent *Agent) leaveGate(id string) {
 	_, entered := agent.strikes.entered[id]
 	delete(agent.strikes.entered, id)
 	agent.strikes.gate.Leave(id, entered)
 	if fingerprint, ok := agent.strikes.raised[id]; ok {
-		// It never began, so it must not keep the strike that was written first.
+		// The request never started, so the strike written in advance is taken back.
 		delete(agent.strikes.raised, id)
-		known := agent.strikes.ledger.Of(fingerprint, agent.settings.Clock.Now())
-		known.Count = striker.Isolated
-		agent.strikes.ledger.Put(known)
+		current := agent.strikes.ledger.Of(fingerprint, agent.settings.Clock.Now())
+		current.Count = striker.Isolated
+		agent.strikes.ledger.Put(current)
 		go func() { _ = agent.strikes.book.Lower(context.Background(), fingerprint) }()
 	}
-	close(agent.strikes.changed)
-	agent.strikes.changed = make(chan struct{})
+	close(agent.strikes.gateChanged)
+	agent.strikes.gateChanged = make(chan struct{})
 }
 
-// takeOff notes that a run goes to the engine; Agent.mu must be held.
-func (agent *Agent) takeOff(offer *encoder.Offer) {
+// recordStart records that a run goes to the engine; Agent.mu must be held.
+func (agent *Agent) recordStart(offer *encoder.Offer) {
 	delete(agent.strikes.raised, offer.GetRequestId())
 	agent.strikes.ledger.Begin(striker.Flight{
 		Request:     offer.GetRequestId(),
@@ -202,58 +203,57 @@
 	})
 }
 
-// landed notes how a run ended, before the caller is told and before its slot
-// is given to the next.
-func (agent *Agent) landed(ended *run, canceled, whole bool, failure classifier.Failure) {
+// recordOutcome updates strikes and claims by how a run ended, before the caller gets the
+// end of its answer and before the slot is released.
+func (agent *Agent) recordOutcome(ended *run, canceled, whole bool, failure classifier.Failure) {
 	switch {
 	case whole:
-		agent.cleared(ended, true)
+		agent.withdrawStrike(ended, true)
 	case failure.Kind == classifier.NotReady:
 		agent.mu.Lock()
 		agent.strikes.ledger.Away(agent.settings.Clock.Now())
 		agent.keys.book.NotRun(ended.id)
 		agent.mu.Unlock()
-		agent.cleared(ended, false)
-	case canceled || failure.Detail == noTerminal:
-		agent.cleared(ended, false)
+		agent.withdrawStrike(ended, false)
+	case canceled || failure.Detail == missingTerminal:
+		agent.withdrawStrike(ended, false)
 	default:
-		agent.broke(ended)
+		agent.recordCrash(ended)
 	}
 }
 
-// strikeWait bounds how long a caller's answer waits for a strike to be written
-// or taken back; a store that is slower than that is treated as down.
-const strikeWait = 500 * timekeeper.Millisecond
+// strikeWriteTimeout bounds how long a caller's answer waits for a strike to be written or
+// taken back; a slower store is treated as down.
+const strikeWriteTimeout = 500 * timekeeper.Millisecond
 
-// beforeAnswer writes to the table of strikes before the caller is told how its
-// request ended. The failure: the caller resends at once, through any entry, and
-// the table doesn't know yet. The symptom: a bad request that shares its second
-// engine with others, who are then struck twice and refused; or an innocent one
-// that is still barred. Only requests with strikes come here, so no other answer
-// waits.
-func (agent *Agent) beforeAnswer(write func()) {
+// writeBeforeAnswer updates the table of strikes before the caller learns how its request
+// ended. Otherwise the caller could resend at once, through any entry, before the table is
+// up to date: a request that crashes engines would share its second engine with others,
+// which are then struck twice and refused, or a harmless request would still be barred.
+// Only requests with strikes get here, so no other answer is delayed.
+func (agent *Agent) writeBeforeAnswer(write func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		write()
 	}()
-	late, release := agent.settings.Clock.After(strikeWait)
+	expired, release := agent.settings.Clock.After(strikeWriteTimeout)
 	defer release()
 	select {
 	case <-done:
-	case <-late:
+	case <-expired:
 	}
 }
 
-// cleared takes strikes back from a request that ended without a crash.
-func (agent *Agent) cleared(ended *run, whole bool) {
+// withdrawStrike takes back the strike of a request that ended without a crash.
+func (agent *Agent) withdrawStrike(ended *run, whole bool) {
 	agent.mu.Lock()
 	flight, changed := agent.strikes.ledger.Ended(ended.id, whole)
 	agent.mu.Unlock()
 	if !changed {
 		return
 	}
-	agent.beforeAnswer(func() {
+	agent.writeBeforeAnswer(func() {
 		var err error
 		if whole {
 			_, err = agent.strikes.book.Lift(context.Background(), flight.Fingerprint)
@@ -261,19 +261,19 @@
 			err = agent.strikes.book.Lower(context.Background(), flight.Fingerprint)
 		}
 		if err != nil {
-			agent.settings.Log.WithError(err).Warn("strike not taken back")
+			agent.settings.Log.WithError(err).Warn("strike not withdrawn from the table")
 		}
 	})
 }
 
-// broke strikes a request whose connection the engine broke.
-func (agent *Agent) broke(ended *run) {
+// recordCrash adds a strike to a request whose connection the engine broke.
+func (agent *Agent) recordCrash(ended *run) {
 	now := agent.settings.Clock.Now()
 	agent.mu.Lock()
 	strike, struck := agent.strikes.ledger.Broke(ended.id, now)
 	agent.mu.Unlock()
 	if !struck {
-		agent.cleared(ended, false)
+		agent.withdrawStrike(ended, false)
 		return
 	}
 	agent.settings.Log.WithField("request-id", ended.id).WithField("strikes", strike.Count).Warn("upstream crashed")
@@ -285,40 +285,40 @@
 	if strike.Saved {
 		return
 	}
-	agent.beforeAnswer(func() { agent.saveStrike(strike) })
+	agent.writeBeforeAnswer(func() { agent.saveStrike(strike) })
 }
 
 func (agent *Agent) saveStrike(strike striker.Strike) {
 	if err := agent.strikes.book.Add(context.Background(), strike, agent.settings.Name); err != nil {
-		agent.settings.Log.WithError(err).Warn("strike not saved; it counts at this agent alone")
+		agent.settings.Log.WithError(err).Warn("strike not written to the table; only this agent counts it")
 		return
 	}
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	known := agent.strikes.ledger.Of(strike.Fingerprint, agent.settings.Clock.Now())
-	if known.Count == 0 {
-		// The request ran whole here while the row was written.
+	current := agent.strikes.ledger.Of(strike.Fingerprint, agent.settings.Clock.Now())
+	if current.Count == 0 {
+		// The request has completed here while the row was written.
 		go func() { _, _ = agent.strikes.book.Lift(context.Background(), strike.Fingerprint) }()
 	}
-	if known.Count == strike.Count {
-		known.Saved = true
-		agent.strikes.ledger.Put(known)
+	if current.Count == strike.Count {
+		current.Saved = true
+		agent.strikes.ledger.Put(current)
 	}
 }
 
-// strikesOf returns the strikes of a request for a digest; Agent.mu must be held.
-func (agent *Agent) strikesOf(fingerprint uint64) []*encoder.Strike {
-	known := agent.strikes.ledger.Of(fingerprint, agent.settings.Clock.Now())
-	if known.Count == 0 {
+// strikesFor returns the strikes of a request for a digest; Agent.mu must be held.
+func (agent *Agent) strikesFor(fingerprint uint64) []*encoder.Strike {
+	current := agent.strikes.ledger.Of(fingerprint, agent.settings.Clock.Now())
+	if current.Count == 0 {
 		return nil
 	}
 	return []*encoder.Strike{{
-		Fingerprint: fingerprint, Count: uint32(known.Count), Expires: int64(known.Expires),
+		Fingerprint: fingerprint, Count: uint32(current.Count), Expires: int64(current.Expires),
 	}}
 }
 
-// probe looks whether an engine that was away answers again. Any HTTP answer
-// will do: not every upstream has a page for its health.
+// probe checks whether an engine that was down answers again. Any HTTP answer counts,
+// since not every upstream has a health endpoint.
 func (agent *Agent) probe(ctx context.Context) {
 	agent.mu.Lock()
 	down := agent.strikes.ledger.Down()
@@ -332,7 +332,7 @@
 	if err != nil {
 		return
 	}
-	response, err := agent.upstream.fresh.RoundTrip(request)
+	response, err := agent.upstream.singleUse.RoundTrip(request)
 	if err != nil {
 		return
 	}
@@ -342,9 +342,9 @@
 	agent.strikes.ledger.Recovered()
 }
 
-// failedToSend returns the failure of a request without a response. One whose
-// connection could not be made has not reached the upstream, so it did not run.
-func failedToSend(err error) classifier.Failure {
+// sendFailure returns the failure of a request that got no response. If the connection
+// could not be made, the request has not reached the upstream, so it did not run.
+func sendFailure(err error) classifier.Failure {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return classifier.New(classifier.NotReady, "the upstream can't be reached")
--- a/internal/runner/unread_test.go
+++ b/internal/runner/unread_test.go
@@ -14,35 +14,36 @@
 )
 
 func TestAnUnreadOrderEndsAndFreesItsSlot(t *testing.T) {
-	// The caller of an order leaves while its answer is longer than the window.
-	// The run may not be ended, and nobody takes its bytes. It is drained, so
-	// the upstream ends, the slot is free, and its tail waits for a look-up.
-	bench := newBench(t)
+	// Guards against a slot that stays taken after the caller of an order has left. The
+	// answer is longer than the window, the run must not be canceled, and no reader takes
+	// its bytes. The agent drains it, so that the upstream can finish and the slot is
+	// freed, and keeps the end of the answer for a look-up.
+	harness := newHarness(t)
 	whole := bytes.Repeat([]byte("0123456789abcdef"), (2*replayer.Kept+replayer.Window)/16)
-	bench.upstream.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(whole) })
+	harness.upstream.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(whole) })
 	near, far := net.Pipe()
-	go bench.agent.serveStream(t.Context(), far)
+	go harness.agent.serveStream(t.Context(), far)
 	stream := encoder.NewStream(near)
-	bench.send(stream, &encoder.Offer{RequestId: "lost", Service: "orders", Team: "rig"})
-	Convey("it ends, and a look-up gets what is kept", t, func() {
+	harness.send(stream, &encoder.Offer{RequestId: "lost", Service: "orders", Team: "rig"})
+	Convey("the run ends, and a look-up gets the kept end of the answer", t, func() {
 		_, err := encoder.ReadAs(stream, (*encoder.Frame).GetGranted)
 		So(err, ShouldBeNil)
-		bench.send(stream, &encoder.Run{RequestId: "lost", Method: "POST", Path: "/orders"})
+		harness.send(stream, &encoder.Run{RequestId: "lost", Method: "POST", Path: "/orders"})
 		_, err = encoder.ReadAs(stream, (*encoder.Frame).GetHead)
 		So(err, ShouldBeNil)
 		_ = near.Close()
-		bench.until(func() bool { return bench.agent.inFlight() == 0 })
+		harness.until(func() bool { return harness.agent.inFlight() == 0 })
 		lookup := &encoder.Lookup{RequestId: "lost", Team: "rig", Follow: true}
-		early, _ := bench.agent.find(lookup)
+		early, _ := harness.agent.findRun(lookup)
 		So(early.GetState(), ShouldEqual, encoder.RunState_RUN_STATE_FORGOTTEN)
 		lookup.Offset = uint64(len(whole)) - replayer.Kept
-		rest, end := restOf(bench.open(lookup))
+		rest, end := restOf(harness.open(lookup))
 		So(bytes.Equal(rest, whole[lookup.Offset:]), ShouldBeTrue)
 		So(end.GetDigest(), ShouldEqual, xxhash.Sum64(whole))
 		So(end.GetPartDigest(), ShouldEqual, xxhash.Sum64(rest))
 	})
-	Convey("its id is known, and never called not run", t, func() {
-		So(refusalOf(bench.offer("lost", "")), ShouldEqual, "outcome-unknown")
+	Convey("the id stays known, and a second offer isn't answered with not run", t, func() {
+		So(refusalOf(harness.offer("lost", "")), ShouldEqual, "outcome-unknown")
 	})
 }
 
--- a/internal/runner/upstream.go
+++ b/internal/runner/upstream.go
@@ -14,42 +14,41 @@
 	"github.com/trefoilseam/trefoilseam/internal/resolver"
 )
 
-// upstream speaks HTTP to the one upstream instance.
+// upstream is the HTTP client of the upstream instance.
 type upstream struct {
-	base    string
-	service resolver.Service
-	reused  *http.Transport
-	fresh   *http.Transport
+	base      string
+	service   resolver.Service
+	pooled    *http.Transport
+	singleUse *http.Transport
 }
 
-// newUpstream returns the client side of an upstream.
+// newUpstream returns the HTTP client of an upstream.
 //
-// net/http's transport sends a request again by itself when a kept connection
-// turns out stale and the request looks replayable to it: an idempotent
-// method, or any method with an Idempotency-Key. The symptom would be an order
-// that ran twice with one run frame. Calls that may not repeat therefore use a
-// connection of their own: the transport replays only on reused connections.
+// net/http's transport resends a request by itself when a kept connection turns out stale
+// and the request looks replayable to it: an idempotent method, or any method with an
+// Idempotency-Key. An order could then run twice with one Run frame. The transport replays
+// only on reused connections, so calls that must not repeat use a new connection each.
 func newUpstream(base string, service resolver.Service) *upstream {
 	return &upstream{
-		base:    strings.TrimSuffix(base, "/"),
-		service: service,
-		reused:  &http.Transport{MaxIdleConnsPerHost: service.Slots, DisableCompression: true},
-		fresh:   &http.Transport{DisableKeepAlives: true, DisableCompression: true},
+		base:      strings.TrimSuffix(base, "/"),
+		service:   service,
+		pooled:    &http.Transport{MaxIdleConnsPerHost: service.Slots, DisableCompression: true},
+		singleUse: &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 	}
 }
 
 func (up *upstream) close() {
-	up.reused.CloseIdleConnections()
-	up.fresh.CloseIdleConnections()
+	up.pooled.CloseIdleConnections()
+	up.singleUse.CloseIdleConnections()
 }
 
-// call runs the request and fills the answer until its end.
+// call sends the request and copies the response into the run's answer.
 func (up *upstream) call(
 	ctx context.Context, settings Settings, offer *encoder.Offer, commit *encoder.Run, started *run,
 ) (whole bool, failure classifier.Failure) {
 	response, err := up.send(ctx, offer, commit)
 	if err != nil {
-		return false, failedToSend(err)
+		return false, sendFailure(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	stream := strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
@@ -61,14 +60,14 @@
 		Stream:      stream,
 	})
 	ending := terminal{needed: stream && up.service.Kind == resolver.KindModel}
-	if err := copyBody(ctx, up.marked(response.Body, ending.needed, settings, started), started.answer, &ending); err != nil {
+	if err := copyBody(ctx, up.markEvents(response.Body, ending.needed, settings, started), started.answer, &ending); err != nil {
 		return false, classifier.New(classifier.AnswerCut, err.Error())
 	}
-	// HTTP 200 is not completion ("Why the Next Model Request Still Queues After
-	// HTTP 200", section 4): a stream is whole only when the protocol's own
-	// terminal was seen.
+	// HTTP 200 is not completion ("Why the Next Model Request Still Queues After HTTP
+	// 200", section 4): a stream is complete only when its terminal event has been
+	// received.
 	if !ending.seen() {
-		return false, classifier.New(classifier.AnswerCut, noTerminal)
+		return false, classifier.New(classifier.AnswerCut, missingTerminal)
 	}
 	return true, classifier.Failure{}
 }
@@ -82,15 +81,15 @@
 	for _, header := range commit.GetHeaders() {
 		request.Header.Add(header.GetName(), header.GetValue())
 	}
-	up.nameChat(request, offer.GetChat())
+	up.setChatHeader(request, offer.GetChat())
 	if offer.GetIdempotent() {
-		return up.reused.RoundTrip(request)
+		return up.pooled.RoundTrip(request)
 	}
-	return up.fresh.RoundTrip(request)
+	return up.singleUse.RoundTrip(request)
 }
 
-// headers returns the upstream's headers without those of the connection, with
-// the project's own added.
+// headers returns the upstream's headers without hop-by-hop headers and the content
+// length, plus the headers that the agent adds.
 func (up *upstream) headers(settings Settings, header http.Header) []*encoder.Header {
 	var out []*encoder.Header
 	for name, values := range header {
@@ -110,9 +109,8 @@
 	return out
 }
 
-// marked returns the body with an event id in each event, when it is a stream
-// that a caller may resume.
-func (up *upstream) marked(body io.Reader, stream bool, settings Settings, started *run) io.Reader {
+// markEvents inserts an event id into each event of a stream that a caller may resume.
+func (up *upstream) markEvents(body io.Reader, stream bool, settings Settings, started *run) io.Reader {
 	if !stream {
 		return body
 	}
@@ -120,8 +118,8 @@
 	return &markedReader{body: body, marker: marker.New(id)}
 }
 
-// markedReader reads a stream through a Marker. Its two buffers are used
-// again for each part, since a stream has a part for every token.
+// markedReader reads a stream through a Marker. It reuses its two buffers for each part,
+// since a stream has a part for every token.
 type markedReader struct {
 	body   io.Reader
 	marker *marker.Marker
@@ -131,7 +129,8 @@
 	err    error
 }
 
-// Read returns marked bytes; a part of an event comes only before the end.
+// Read returns marked bytes. An incomplete event is returned only at the end of the
+// stream.
 func (reader *markedReader) Read(out []byte) (int, error) {
 	for len(reader.ready) == 0 && reader.err == nil {
 		reader.fill(len(out))
@@ -164,7 +163,7 @@
 	for {
 		n, err := body.Read(buffer)
 		if n > 0 {
-			ending.note(buffer[:n])
+			ending.observe(buffer[:n])
 			if err := answer.Add(ctx, buffer[:n]); err != nil {
 				return err
 			}
@@ -178,7 +177,7 @@
 	}
 }
 
-// terminal watches the tail of a stream for the event that ends it.
+// terminal checks the tail of a stream for the event that ends it.
 type terminal struct {
 	needed bool
 	tail   []byte
@@ -186,11 +185,11 @@
 
 const doneEvent = "data: [DONE]"
 
-func (ending *terminal) note(part []byte) {
-	const keep = 64
+func (ending *terminal) observe(part []byte) {
+	const tailLength = 64
 	ending.tail = append(ending.tail, part...)
-	if len(ending.tail) > keep {
-		ending.tail = append([]byte(nil), ending.tail[len(ending.tail)-keep:]...)
+	if len(ending.tail) > tailLength {
+		ending.tail = append([]byte(nil), ending.tail[len(ending.tail)-tailLength:]...)
 	}
 }
 
--- a/internal/runner/upstream_test.go
+++ b/internal/runner/upstream_test.go
@@ -14,8 +14,8 @@
 	"github.com/trefoilseam/trefoilseam/internal/resolver"
 )
 
-// hangingUp answers the path /warm, and closes the connection when it has read
-// any other request, as a server does that crashes after it has committed.
+// hangingUp answers the path /warm. It closes the connection after reading any other
+// request, like a server that crashes after it has committed.
 func hangingUp(t *testing.T, seen *atomic.Int64) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0") //nolint:noctx // A test's listener has no deadline.
@@ -54,12 +54,11 @@
 	}
 }
 
-func TestNetHTTPReplaysAndOurFreshConnectionDoesNot(t *testing.T) {
-	// The caller would be charged twice, with one Run frame and one answer.
-	// The transport sends a keyed POST on a kept connection; the service reads
-	// and commits it, then closes without an answer; the transport takes the
-	// connection for stale and sends the request again by itself. On a
-	// connection of its own it never does, since that was not reused.
+func TestNetHTTPReplaysOnlyOnReusedConnections(t *testing.T) {
+	// Guards against an order that is charged twice, with one Run frame and one answer.
+	// The transport sends a keyed POST on a kept connection; the service reads and commits
+	// it, then closes without an answer; the transport takes the connection for stale and
+	// resends the request by itself. It doesn't on a new connection.
 	tests := []struct {
 		name       string
 		idempotent bool
@@ -67,8 +66,8 @@
 		runs       int64
 	}{
 		{"a reused connection replays an empty keyed POST", true, "", 2},
-		{"a fresh connection sends an empty keyed POST once", false, "", 1},
-		{"a fresh connection sends a keyed POST with a body once", false, "{}", 1},
+		{"a new connection sends an empty keyed POST once", false, "", 1},
+		{"a new connection sends a keyed POST with a body once", false, "{}", 1},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
