--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -2,40 +2,41 @@
 
 import "slices"
 
-// Demand is how many calls for an adapter run or wait at an engine.
+// Demand is the number of calls for an adapter that run or wait at an engine.
 type Demand struct {
 	Adapter string
 	Calls   int
 }
 
 const (
-	// fewest is on how many engines an adapter is at least, so that the crash of
-	// one engine doesn't leave its callers waiting for a load.
-	fewest = 2
-	// fullPercent is how many of its slots an engine should use for one
-	// adapter. Below all of them, so that engines whose slots are all taken,
-	// where calls show no higher demand, still ask for one more.
-	fullPercent = 70
+	// minEngines is the minimum number of engines per adapter, so that after the crash of
+	// one engine, its callers need not wait for a load.
+	minEngines = 2
+	// targetSlotPercent is the share of an engine's slots that one adapter should use. It
+	// is below 100 because calls can't exceed the slots of full engines: full engines must
+	// still ask for one more.
+	targetSlotPercent = 70
 )
 
-// DesiredEngines returns on how many of a service's engines an adapter should be for
-// the calls that run or wait.
+// DesiredEngines returns how many of a service's engines should load an adapter for the
+// calls that run or wait.
 //
-// The load: a team's chats come back all day and surge for seconds. Calls that
-// run or wait are counted and not calls a second, for long answers fill an
-// engine as many short ones do. Spread.WithWish decides whether a wish lasts.
+// A team's chats come back all day and surge for seconds. Running and waiting calls are
+// counted, and not calls a second, because a few long answers fill an engine as well as
+// many short ones. Spread.WithDesired ignores short surges.
 func DesiredEngines(calls, slots, engines int) int {
 	const percent = 100
-	full := max(1, slots) * fullPercent
-	wish := (max(0, calls)*percent + full - 1) / full
-	return min(max(wish, fewest), max(1, engines))
+	capacity := max(1, slots) * targetSlotPercent
+	desired := (max(0, calls)*percent + capacity - 1) / capacity
+	return min(max(desired, minEngines), max(1, engines))
 }
 
-// demandFor returns the calls for an adapter at all engines, and how many hold it.
-func demandFor(engines []Engine, adapter string) (calls, holders int) {
+// demandFor returns the calls for an adapter at all engines, and how many engines have it
+// loaded.
+func demandFor(engines []Engine, adapter string) (calls, loaded int) {
 	for _, engine := range engines {
 		if slices.Contains(engine.Loaded, adapter) {
-			holders++
+			loaded++
 		}
 		for _, demand := range engine.Demands {
 			if demand.Adapter == adapter {
@@ -43,5 +44,5 @@
 			}
 		}
 	}
-	return calls, holders
+	return calls, loaded
 }
--- a/internal/planner/demand_test.go
+++ b/internal/planner/demand_test.go
@@ -10,16 +10,16 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-func TestHowManyEnginesAnAdapterWishesFor(t *testing.T) {
+func TestDesiredEngines(t *testing.T) {
 	tests := []struct {
 		name                  string
 		calls, slots, engines int
 		want                  int
 	}{
-		{"nobody calls: two, for a crash", 0, 8, 10, 2},
+		{"no calls: two, for a crash", 0, 8, 10, 2},
 		{"a service of one engine", 50, 8, 1, 1},
-		{"one engine's slots all taken ask for one more", 16, 8, 10, 3},
-		{"never more than there are", 1000, 8, 10, 10},
+		{"two full engines ask for a third", 16, 8, 10, 3},
+		{"never more engines than there are", 1000, 8, 10, 10},
 		{"under seven tenths of two engines", 11, 8, 10, 2},
 	}
 	for _, test := range tests {
@@ -29,29 +29,30 @@
 	}
 }
 
-// fleet is ten engines of eight slots, of which the first hold "vans".
-func fleet(holders, calls int) []Engine {
+// fleet returns ten engines of eight slots; the first of them have loaded "vans".
+func fleet(loaded, calls int) []Engine {
 	engines := make([]Engine, 10)
 	for i := range engines {
 		engines[i].Name = fmt.Sprint("engine-", i)
-		if i < holders {
+		if i < loaded {
 			engines[i].Loaded = []string{"vans"}
-			engines[i].Demands = []Demand{{Adapter: "vans", Calls: calls / holders}}
+			engines[i].Demands = []Demand{{Adapter: "vans", Calls: calls / loaded}}
 		}
 	}
 	return engines
 }
 
 func TestDemandMovesAdaptersSlowly(t *testing.T) {
-	// A team surges for ten seconds of each minute, and a holder takes over at a
-	// quiet moment. Neither may unload or load what will be wanted again at once.
+	// Guards against adapters that are unloaded or loaded although demand soon returns to
+	// what it was. A team surges for ten seconds of each minute, and a new holder takes
+	// the lease at a quiet moment.
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	planner := New(Settings{Clock: clock.Clock()})
 	service := resolver.Service{Adapters: []string{"vans"}, Slots: 8}
-	Convey("a new holder begins with what the engines hold", t, func() {
+	Convey("a new holder starts from what the engines have loaded", t, func() {
 		So(planner.targets(service, fleet(5, 0)), ShouldResemble, []Target{{"vans", 5}})
 	})
-	Convey("surges move nothing, what lasts moves one engine at a time", t, func() {
+	Convey("surges change nothing, a lasting demand adds one engine at a time", t, func() {
 		for second := range 1200 {
 			calls := 28
 			if second%60 < 10 {
@@ -72,7 +73,7 @@
 	})
 }
 
-func TestVersionsMoveOneEngineAtATime(t *testing.T) {
+func TestVersionsChangeOneEngineAtATime(t *testing.T) {
 	engines := []Engine{{Name: "a", Version: "1"}, {Name: "b", Version: "1", Role: "decode"}, {Name: "c", Version: "2"}}
 	Convey("one version, every role", t, func() {
 		So(Plan(engines, DesiredState{Role: "decode", Version: "2"}), ShouldResemble, []Order{
@@ -82,8 +83,8 @@
 		So(Plan(engines, DesiredState{Version: "2"}), ShouldResemble, []Order{{"b", ChangeVersion, "2"}})
 		So(Plan(engines, DesiredState{}), ShouldBeEmpty)
 	})
-	Convey("a version takes weights, so it is held to the store's rate", t, func() {
-		So(Order{Action: ChangeVersion}.takesWeights(), ShouldBeTrue)
-		So(Order{Action: ChangeRole}.takesWeights(), ShouldBeFalse)
+	Convey("a change of version loads weights, so the store's rate applies", t, func() {
+		So(Order{Action: ChangeVersion}.loadsWeights(), ShouldBeTrue)
+		So(Order{Action: ChangeRole}.loadsWeights(), ShouldBeFalse)
 	})
 }
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -12,42 +12,42 @@
 
 var terms = Terms{Span: 30 * timekeeper.Second, OrderTimeout: 20 * timekeeper.Second}
 
-func TestWhatIsDoneAboutALease(t *testing.T) {
+func TestLeaseNext(t *testing.T) {
 	const now = timekeeper.Instant(1_000_000)
 	checked := terms
 	checked.EnginesCheckFence = true
 	held := Lease{Holder: "a", Fence: 4, Until: now.Add(terms.Span)}
-	ran := Lease{Holder: "a", Fence: 4, Until: now.Add(-MaxClockSkew)}
+	expired := Lease{Holder: "a", Fence: 4, Until: now.Add(-MaxClockSkew)}
 	tests := []struct {
 		name  string
 		lease Lease
-		me    string
+		self  string
 		terms Terms
 		step  LeaseAction
 		fence uint64
 		quiet timekeeper.Span
 	}{
-		{"nobody ever held it", Lease{}, "a", terms, Acquire, 1, 0},
-		{"mine, and fresh", held, "a", terms, NoAction, 4, 0},
-		{"mine, and half over", Lease{Holder: "a", Fence: 4, Until: now.Add(terms.Span / 2)}, "a", terms, Renew, 4, 0},
-		{"mine, but it ran out: the number grows", ran, "a", terms, Acquire, 5, terms.OrderTimeout},
+		{"never held", Lease{}, "a", terms, Acquire, 1, 0},
+		{"mine, not due for renewal", held, "a", terms, NoAction, 4, 0},
+		{"mine, half its span over", Lease{Holder: "a", Fence: 4, Until: now.Add(terms.Span / 2)}, "a", terms, Renew, 4, 0},
+		{"mine, but expired: the token grows", expired, "a", terms, Acquire, 5, terms.OrderTimeout},
 		{"another's", held, "b", terms, NoAction, 4, 0},
-		{"another's, over by less than the clocks may differ", Lease{Holder: "a", Fence: 4, Until: now}, "b", terms, NoAction, 4, 0},
-		{"another's, over; engines check no numbers", ran, "b", terms, Acquire, 5, terms.OrderTimeout},
-		{"another's, over; engines check numbers", ran, "b", checked, Acquire, 5, 0},
+		{"another's, expired by less than the clock skew", Lease{Holder: "a", Fence: 4, Until: now}, "b", terms, NoAction, 4, 0},
+		{"another's, expired; engines don't check tokens", expired, "b", terms, Acquire, 5, terms.OrderTimeout},
+		{"another's, expired; engines check tokens", expired, "b", checked, Acquire, 5, 0},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			next, step := test.lease.Next(test.me, test.terms, now)
+			next, step := test.lease.Next(test.self, test.terms, now)
 			So(step, ShouldEqual, test.step)
 			So(next.Fence, ShouldEqual, test.fence)
-			So(next.MayOrder(test.me, now), ShouldEqual, next.Holder == test.me && test.quiet == 0)
+			So(next.MayOrder(test.self, now), ShouldEqual, next.Holder == test.self && test.quiet == 0)
 			if test.quiet > 0 {
 				So(next.NoOrdersBefore.Since(now), ShouldEqual, test.quiet)
 			}
 		})
 	}
-	Convey("a gate refuses lower numbers, and orders without a lease", t, func() {
+	Convey("a gate refuses lower tokens and expired leases", t, func() {
 		gate, verdict := Gate{}.Check(5, now+1, now)
 		So(verdict, ShouldEqual, Pass)
 		_, verdict = gate.Check(4, now+1, now)
@@ -58,25 +58,24 @@
 	})
 }
 
-// execution is an order as an engine that checks nothing carried it out.
+// execution is one order's run at an engine that doesn't check fencing tokens.
 type execution struct {
 	fence      uint64
 	start, end timekeeper.Instant
 }
 
-func TestHoldersThatArePausedDoNoHarm(t *testing.T) {
-	// An engine that checks no numbers must never carry out an order of an
-	// earlier holder while or after it carries out one of a later holder.
-	// Entries are paused for up to three leases between reading the row and
-	// writing it, and between deciding and sending; clocks differ; and the agent
-	// is a new one each time, so that it remembers no number.
+func TestPausedHoldersSendNoStaleOrders(t *testing.T) {
+	// Guards against an engine without fencing that executes an order of an earlier holder
+	// while or after it executes one of a later holder. Entries are paused for up to three
+	// leases between reading the row and writing it, and between deciding and sending;
+	// clocks differ; and the agent is a new one each time, so that it remembers no token.
 	const schedules, steps, entries = 3000, 60, 4
 	for seed := range uint64(schedules) {
-		draws := rand.New(rand.NewPCG(seed, 6))
+		random := rand.New(rand.NewPCG(seed, 6))
 		pause := func() timekeeper.Span {
-			return timekeeper.Span(draws.IntN(int(3*terms.Span))) * timekeeper.Span(draws.IntN(2))
+			return timekeeper.Span(random.IntN(int(3*terms.Span))) * timekeeper.Span(random.IntN(2))
 		}
-		skew := func() timekeeper.Span { return timekeeper.Span(draws.IntN(int(MaxClockSkew/2))) - MaxClockSkew/4 }
+		skew := func() timekeeper.Span { return timekeeper.Span(random.IntN(int(MaxClockSkew/2))) - MaxClockSkew/4 }
 		clocks := [entries]timekeeper.Span{}
 		for i := range clocks {
 			clocks[i] = skew()
@@ -87,25 +86,26 @@
 		var done []execution
 		now := timekeeper.Instant(1_000_000)
 		for range steps {
-			now = now.Add(timekeeper.Span(draws.IntN(int(terms.Span))))
-			i := draws.IntN(entries)
-			me := fmt.Sprint(i)
+			now = now.Add(timekeeper.Span(random.IntN(int(terms.Span))))
+			i := random.IntN(entries)
+			self := fmt.Sprint(i)
 			read := version
-			next, step := row.Next(me, terms, now.Add(clocks[i]))
+			next, step := row.Next(self, terms, now.Add(clocks[i]))
 			wrote := now.Add(pause())
-			// The compare-and-set: the row is as it was read, also after the pause.
+			// The compare-and-set succeeds if the row is as it was read, also after the
+			// pause.
 			if step != NoAction && read == version && wrote >= writtenAt {
 				row, writtenAt = next, wrote
 				version++
 				now = max(now, wrote)
 			}
-			if !row.MayOrder(me, now.Add(clocks[i])) {
+			if !row.MayOrder(self, now.Add(clocks[i])) {
 				continue
 			}
 			order := row
 			at := now.Add(pause())
 			if _, verdict := (Gate{}).Check(order.Fence, order.Until, at.Add(skew())); verdict == Pass {
-				end := at.Add(timekeeper.Span(draws.IntN(int(terms.OrderTimeout))))
+				end := at.Add(timekeeper.Span(random.IntN(int(terms.OrderTimeout))))
 				done = append(done, execution{fence: order.Fence, start: at, end: end})
 			}
 		}
@@ -119,32 +119,32 @@
 	}
 }
 
-func TestAPlanThatIsCarriedOutLeavesNothingToDo(t *testing.T) {
+func TestExecutedPlanLeavesNoOrders(t *testing.T) {
 	for seed := range uint64(2000) {
-		draws := rand.New(rand.NewPCG(seed, 8))
-		engines := make([]Engine, 1+draws.IntN(6))
+		random := rand.New(rand.NewPCG(seed, 8))
+		engines := make([]Engine, 1+random.IntN(6))
 		for i := range engines {
 			engines[i].Name = fmt.Sprint("engine-", i)
 			for adapter := range 5 {
-				if draws.IntN(2) == 0 {
+				if random.IntN(2) == 0 {
 					engines[i].Loaded = append(engines[i].Loaded, fmt.Sprint("adapter-", adapter))
 				}
 			}
 		}
 		targets := make([]Target, 0, 4)
 		for adapter := range 4 {
-			targets = append(targets, Target{Adapter: fmt.Sprint("adapter-", adapter), Engines: 1 + draws.IntN(8)})
+			targets = append(targets, Target{Adapter: fmt.Sprint("adapter-", adapter), Engines: 1 + random.IntN(8)})
 		}
 		for _, order := range Plan(engines, DesiredState{Targets: targets}) {
-			engines = carriedOut(engines, order)
+			engines = applyOrder(engines, order)
 		}
 		if left := Plan(engines, DesiredState{Targets: targets}); len(left) > 0 {
-			t.Fatalf("seed %d: still to do: %v", seed, left)
+			t.Fatalf("seed %d: orders left after the plan: %v", seed, left)
 		}
 	}
 }
 
-func carriedOut(engines []Engine, order Order) []Engine {
+func applyOrder(engines []Engine, order Order) []Engine {
 	for i := range engines {
 		if engines[i].Name != order.Engine {
 			continue
@@ -164,19 +164,19 @@
 }
 
 func TestASurgeDoesNotFlapAdapters(t *testing.T) {
-	// A team surges for ten seconds of every minute, for two hours. Its adapter
-	// must not be loaded and unloaded each time; a demand that stays is met.
-	Convey("surges move nothing, a lasting demand moves once a step", t, func() {
+	// Guards against an adapter that is loaded and unloaded on each surge. A team surges
+	// for ten seconds of every minute, for two hours. A lasting demand must still be met.
+	Convey("surges change nothing, a lasting demand adds one engine at a time", t, func() {
 		spread := Spread{}.WithDesired(2, 1)
 		moves := 0
 		var now timekeeper.Instant
 		for second := range 2 * 3600 {
 			now = timekeeper.Instant(second+1) * timekeeper.Instant(timekeeper.Second)
-			wish := 2
+			desired := 2
 			if second%60 < 10 {
-				wish = 9
+				desired = 9
 			}
-			next := spread.WithDesired(wish, now)
+			next := spread.WithDesired(desired, now)
 			if next.Engines != spread.Engines {
 				moves++
 			}
@@ -189,12 +189,12 @@
 		}
 		So(spread.Engines, ShouldEqual, 5)
 	})
-	Convey("loads keep to the weight store's rate", t, func() {
-		pace := NewRateLimiter(6, 0)
+	Convey("loads stay within the weight store's rate", t, func() {
+		limiter := NewRateLimiter(6, 0)
 		loads := 0
 		for second := range 600 {
-			next, allowed := pace.Allow(6, timekeeper.Instant(second)*timekeeper.Instant(timekeeper.Second))
-			pace = next
+			next, allowed := limiter.Allow(6, timekeeper.Instant(second)*timekeeper.Instant(timekeeper.Second))
+			limiter = next
 			if allowed {
 				loads++
 			}
@@ -204,15 +204,16 @@
 	})
 }
 
-func TestAClockThatIsSetMakesNoSecondHolder(t *testing.T) {
-	// The time of day jumps two minutes ahead at the entry that does not hold the lease,
-	// and later back. By the time of day it would take the lease while its holder gives
-	// orders; a clock that is not set lets it wait until the lease has run out.
+func TestClockJumpMakesNoSecondHolder(t *testing.T) {
+	// Guards against a second holder after a clock jump. The time of day jumps two minutes
+	// ahead at the entry that does not hold the lease, and later back. By the time of day,
+	// that entry takes the lease while its holder gives orders; by a monotonic clock, it
+	// waits until the lease has expired.
 	terms := Terms{Span: 15 * timekeeper.Second, OrderTimeout: 5 * timekeeper.Second}
 	const jump = 2 * timekeeper.Minute
 	tests := []struct {
 		name string
-		// other returns what the other entry's clock shows at a true instant.
+		// other returns the other entry's clock reading at a true instant.
 		other func(now timekeeper.Instant) timekeeper.Instant
 		taken bool
 	}{
@@ -222,7 +223,7 @@
 			}
 			return now
 		}, true},
-		{"by a clock that is not set", func(now timekeeper.Instant) timekeeper.Instant { return now }, false},
+		{"by a monotonic clock", func(now timekeeper.Instant) timekeeper.Instant { return now }, false},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -10,37 +10,37 @@
 const (
 	Load   = "load"
 	Unload = "unload"
-	// ChangeRole makes an engine do another part of the work.
+	// ChangeRole makes an engine take another role.
 	ChangeRole = "change-role"
-	// ChangeVersion makes an engine run other weights.
+	// ChangeVersion makes an engine run another version of the weights.
 	ChangeVersion = "version"
-	// Show changes nothing and returns what the engine holds.
+	// Show changes nothing and returns the engine's state.
 	Show = "show"
 )
 
 const (
-	// riseAfter is how long a demand must stay high before another engine gets
-	// the adapter, and fallAfter how long it must stay low before one loses it.
-	// A load takes weights from a store that gives a few a minute; a surge of
-	// one team that lasts seconds must not push out what others need.
-	riseAfter = 30 * timekeeper.Second
-	fallAfter = 10 * timekeeper.Minute
+	// scaleUpAfter is how long a demand must stay high before another engine loads the
+	// adapter, and scaleDownAfter how long it must stay low before one unloads it. A load
+	// reads weights from a store that allows a few loads a minute; a surge of one team
+	// that lasts seconds must not evict adapters that other teams need.
+	scaleUpAfter   = 30 * timekeeper.Second
+	scaleDownAfter = 10 * timekeeper.Minute
 )
 
-// Order is one order to one engine.
+// Order is an order to one engine.
 type Order struct {
 	Engine  string
 	Action  string
 	Subject string
 }
 
-// takesWeights reports whether an order takes weights from the weight store,
-// and so is held to its rate.
-func (order Order) takesWeights() bool {
+// loadsWeights reports whether an order loads from the weight store, and so counts against
+// its rate.
+func (order Order) loadsWeights() bool {
 	return order.Action == Load || order.Action == ChangeVersion
 }
 
-// Engine is what an engine was last known to hold, and what is asked of it.
+// Engine is the last known state of an engine and the demand at it.
 type Engine struct {
 	Name    string
 	Loaded  []string
@@ -49,72 +49,72 @@
 	Demands []Demand
 }
 
-// DesiredState is what the engines of a service should be. An empty role or version
-// leaves that of the engines as it is.
+// DesiredState is the desired state of a service's engines. An empty role or version
+// leaves the engines' own.
 type DesiredState struct {
 	Targets []Target
 	Role    string
 	Version string
 }
 
-// Spread decides on how many engines an adapter should be. It is an immutable
-// value: one for each adapter.
+// Spread is on how many engines an adapter should be loaded, with hysteresis. It is an
+// immutable value: one for each adapter.
 type Spread struct {
-	Engines int
-	high    timekeeper.Instant
-	low     timekeeper.Instant
+	Engines    int
+	aboveSince timekeeper.Instant
+	belowSince timekeeper.Instant
 }
 
-// WithDesired takes in on how many engines the adapter's demand would like to be
-// now, and returns the spread after hysteresis. A wish counts once it has stood
-// on one side for its whole time; a wish in between starts the time anew.
-func (spread Spread) WithDesired(wish int, now timekeeper.Instant) Spread {
-	wish = max(1, wish)
+// WithDesired returns the spread after the number of engines that the current demand asks
+// for. The spread changes by one engine once that number has stayed above it, or below it,
+// for the whole delay; a number on the other side, or equal to it, restarts the delay.
+func (spread Spread) WithDesired(desired int, now timekeeper.Instant) Spread {
+	desired = max(1, desired)
 	switch {
 	case spread.Engines == 0:
-		spread.Engines = wish
-	case wish > spread.Engines:
-		spread.low = 0
-		spread.high, spread.Engines = hold(spread.high, now, riseAfter, spread.Engines, spread.Engines+1)
-	case wish < spread.Engines:
-		spread.high = 0
-		spread.low, spread.Engines = hold(spread.low, now, fallAfter, spread.Engines, spread.Engines-1)
+		spread.Engines = desired
+	case desired > spread.Engines:
+		spread.belowSince = 0
+		spread.aboveSince, spread.Engines = stepAfter(spread.aboveSince, now, scaleUpAfter, spread.Engines, spread.Engines+1)
+	case desired < spread.Engines:
+		spread.aboveSince = 0
+		spread.belowSince, spread.Engines = stepAfter(spread.belowSince, now, scaleDownAfter, spread.Engines, spread.Engines-1)
 	default:
-		spread.high, spread.low = 0, 0
+		spread.aboveSince, spread.belowSince = 0, 0
 	}
 	return spread
 }
 
-// hold returns since when a wish stands, and the count that follows from it.
-func hold(since, now timekeeper.Instant, after timekeeper.Span, stay, move int) (timekeeper.Instant, int) {
+// stepAfter returns since when the desired number has been on this side, and the resulting
+// number of engines.
+func stepAfter(since, now timekeeper.Instant, after timekeeper.Span, current, moved int) (timekeeper.Instant, int) {
 	switch {
 	case since == 0:
-		return now, stay
+		return now, current
 	case now.Since(since) < after:
-		return since, stay
+		return since, current
 	}
-	return now, move
+	return now, moved
 }
 
-// Target says on how many engines an adapter should be.
+// Target is the number of engines that should load an adapter.
 type Target struct {
 	Adapter string
 	Engines int
 }
 
-// Plan returns the orders that bring the engines to what is wanted: versions,
-// of one engine at most, since the others must carry its calls while it takes
-// new weights; roles; then loads,
-// on the engines that hold the least; then unloads, from the engines that hold
-// the most, and of every adapter that is no target. A load is never planned
-// for an adapter that is to be unloaded in the same plan, so a plan that is
-// carried out leaves nothing to do.
+// Plan returns the orders that bring the engines to the desired state. First come
+// versions, of one engine at most, since the others must serve its calls while it loads
+// new weights; then roles; then loads, on the engines with the fewest adapters; then
+// unloads, from the engines with the most, and of every adapter without a target. A plan
+// never loads an adapter that it also unloads elsewhere, so an executed plan leaves no
+// orders.
 func Plan(engines []Engine, want DesiredState) []Order {
-	orders := orderStates(engines, want)
+	orders := planStates(engines, want)
 	wanted := map[string]bool{}
 	for _, target := range want.Targets {
 		wanted[target.Adapter] = true
-		orders = append(orders, orderTarget(engines, target)...)
+		orders = append(orders, planTarget(engines, target)...)
 	}
 	for _, engine := range engines {
 		for _, loaded := range engine.Loaded {
@@ -139,8 +139,8 @@
 	return 3
 }
 
-// orderStates returns the orders about roles and versions.
-func orderStates(engines []Engine, want DesiredState) []Order {
+// planStates returns the orders about roles and versions.
+func planStates(engines []Engine, want DesiredState) []Order {
 	var orders []Order
 	changing := false
 	for _, engine := range engines {
@@ -155,48 +155,48 @@
 	return orders
 }
 
-func orderTarget(engines []Engine, target Target) []Order {
-	var holders, others []Engine
+func planTarget(engines []Engine, target Target) []Order {
+	var withAdapter, without []Engine
 	for _, engine := range engines {
 		if slices.Contains(engine.Loaded, target.Adapter) {
-			holders = append(holders, engine)
+			withAdapter = append(withAdapter, engine)
 		} else {
-			others = append(others, engine)
+			without = append(without, engine)
 		}
 	}
 	byLoad := func(a, b Engine) int { return len(a.Loaded) - len(b.Loaded) }
-	slices.SortStableFunc(others, byLoad)
-	slices.SortStableFunc(holders, byLoad)
+	slices.SortStableFunc(without, byLoad)
+	slices.SortStableFunc(withAdapter, byLoad)
 	count := min(target.Engines, len(engines))
 	orders := make([]Order, 0, len(engines))
-	for i := range max(0, count-len(holders)) {
-		orders = append(orders, Order{Engine: others[i].Name, Action: Load, Subject: target.Adapter})
+	for i := range max(0, count-len(withAdapter)) {
+		orders = append(orders, Order{Engine: without[i].Name, Action: Load, Subject: target.Adapter})
 	}
-	for i := range max(0, len(holders)-count) {
-		orders = append(orders, Order{Engine: holders[len(holders)-1-i].Name, Action: Unload, Subject: target.Adapter})
+	for i := range max(0, len(withAdapter)-count) {
+		orders = append(orders, Order{Engine: withAdapter[len(withAdapter)-1-i].Name, Action: Unload, Subject: target.Adapter})
 	}
 	return orders
 }
 
-// RateLimiter keeps loads under the weight store's rate. It is an immutable value.
+// RateLimiter keeps loads within the weight store's rate. It is an immutable value.
 type RateLimiter struct {
 	next timekeeper.Instant
 }
 
-// Allow reports whether a load may start now. Loads are spaced evenly, with no
-// burst: the weight store serves every engine of the fleet, and what one
-// service takes at once another waits for.
-func (pace RateLimiter) Allow(perMinute int, now timekeeper.Instant) (RateLimiter, bool) {
-	if now < pace.next {
-		return pace, false
+// Allow reports whether a load may start now. Loads are evenly spaced, with no burst: the
+// weight store serves every engine of the fleet, so a burst of one service delays the
+// others.
+func (limiter RateLimiter) Allow(perMinute int, now timekeeper.Instant) (RateLimiter, bool) {
+	if now < limiter.next {
+		return limiter, false
 	}
-	pace.next = now.Add(timekeeper.Minute / timekeeper.Span(max(1, perMinute)))
-	return pace, true
+	limiter.next = now.Add(timekeeper.Minute / timekeeper.Span(max(1, perMinute)))
+	return limiter, true
 }
 
-// NewRateLimiter returns the pace of a planner that takes over: the holder before may
-// have started a load just now.
+// NewRateLimiter returns the limiter of a planner that has just acquired the lease. Its
+// first interval starts now, because the previous holder may have just started a load.
 func NewRateLimiter(perMinute int, now timekeeper.Instant) RateLimiter {
-	pace, _ := RateLimiter{}.Allow(perMinute, now)
-	return pace
+	limiter, _ := RateLimiter{}.Allow(perMinute, now)
+	return limiter
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -16,18 +16,18 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// table holds one row for each service: its lease.
-const table = "planners"
+// leaseTable holds one row for each service: its lease.
+const leaseTable = "planners"
 
-// Address is where an engine's agent is reached.
+// Address is the address of an engine's agent.
 type Address struct {
 	Engine  string
 	Address string
 }
 
-// Settings set up a planner. All fields without a stated default must be set.
+// Settings configures a planner. All fields without a stated default must be set.
 type Settings struct {
-	// Holder tells this process and incarnation from all others.
+	// Holder identifies this process and incarnation.
 	Holder  string
 	Service string
 	Table   storekeeper.Table
@@ -38,124 +38,126 @@
 	Config func() resolver.Config
 	// Engines returns the service's agents.
 	Engines func(service string) []Address
-	// Send gives an order to an agent and returns its answer.
+	// Send sends an order to an agent and returns its answer.
 	Send func(ctx context.Context, address string, order *encoder.EngineOrder) (*encoder.EngineOrderDone, error)
 }
 
-// Planner plans for one service while it holds the lease. Run is its one loop;
-// orders are given beside it, one after the other, so that a slow engine
-// doesn't keep the lease from being renewed.
+// Planner plans for one service while it holds the lease. Run is its only loop; orders run
+// in the background, one at a time, so that a slow engine doesn't delay the renewal of the
+// lease.
 type Planner struct {
 	settings Settings
-	draws    *rand.Rand
-	giving   sync.WaitGroup
+	random   *rand.Rand
+	rounds   sync.WaitGroup
 
-	mu      sync.Mutex
-	lease   Lease
-	pace    RateLimiter
-	busy    bool
-	spreads map[string]Spread
+	mu           sync.Mutex
+	lease        Lease
+	limiter      RateLimiter
+	roundRunning bool
+	spreads      map[string]Spread
 }
 
-// New returns a planner that holds nothing.
+// New returns a planner without a lease.
 func New(settings Settings) *Planner {
 	return &Planner{
 		settings: settings,
-		draws:    rand.New(rand.NewPCG(settings.Seed, 5)),
+		random:   rand.New(rand.NewPCG(settings.Seed, 5)),
 		spreads:  map[string]Spread{},
 	}
 }
 
-// Run keeps the lease, or waits for it, until ctx ends.
+// Run renews the lease, or waits for it, until ctx ends.
 func (planner *Planner) Run(ctx context.Context) {
-	defer planner.giving.Wait()
+	defer planner.rounds.Wait()
 	for planner.settings.Clock.Sleep(ctx, planner.Step(ctx)) == nil {
 		continue
 	}
 }
 
-// terms returns how the service's lease is held, and false when the service
-// has nothing to order.
+// terms returns the settings of the service's lease, and false when the service's engines
+// take no orders.
 func (planner *Planner) terms() (Terms, resolver.Service, bool) {
 	config := planner.settings.Config()
 	service, ok := config.Service(planner.settings.Service)
 	terms := Terms{
-		Span:         config.Limits.WithDefaults().OrderLease,
-		OrderTimeout: service.LongestOrder,
+		Span:              config.Limits.WithDefaults().OrderLease,
+		OrderTimeout:      service.LongestOrder,
 		EnginesCheckFence: service.ChecksOrders,
 	}
 	return terms, service, ok && service.Ordered()
 }
 
-// Step looks at the lease once, orders what is due, and returns the time to
-// the next look. While the store gives no answer nobody takes a lease, and the
-// holder stops when its own runs out: engines stay as they are.
+// Step checks the lease once, gives the orders that are due, and returns the time to the
+// next check. While the store is unavailable, no process acquires a lease, and the holder
+// stops when its own expires: engines stay as they are.
 func (planner *Planner) Step(ctx context.Context) timekeeper.Span {
 	terms, service, ok := planner.terms()
 	if !ok {
 		return terms.Span
 	}
-	lease, err := planner.keep(ctx, terms)
+	lease, err := planner.maintainLease(ctx, terms)
 	if err != nil {
 		planner.settings.Log.WithError(err).WithField("service", planner.settings.Service).Warn("lease not read or written")
 	}
 	now := planner.settings.Clock.Now()
 	if lease.MayOrder(planner.settings.Holder, now) {
-		planner.give(ctx, terms, service)
+		planner.startRound(ctx, terms, service)
 	}
-	return lease.NextCheck(planner.settings.Holder, terms, planner.draws.Float64(), now)
+	return lease.NextCheck(planner.settings.Holder, terms, planner.random.Float64(), now)
 }
 
-// keep reads the row and renews or takes the lease when it is time. A write
-// without an answer leaves the lease as it was known; the next look reads back.
-func (planner *Planner) keep(ctx context.Context, terms Terms) (Lease, error) {
-	row, err := planner.settings.Table.Get(ctx, table, planner.settings.Service)
+// maintainLease reads the row and renews or acquires the lease when due. After a write
+// without an answer, the planner keeps the lease that it read; the next check reads the
+// row again.
+func (planner *Planner) maintainLease(ctx context.Context, terms Terms) (Lease, error) {
+	row, err := planner.settings.Table.Get(ctx, leaseTable, planner.settings.Service)
 	if err != nil && !eris.Is(err, storekeeper.ErrAbsent) {
-		return planner.held(), err
+		return planner.currentLease(), err
 	}
 	var lease Lease
 	if err == nil {
 		if err := json.Unmarshal(row.Value, &lease); err != nil {
-			return planner.held(), eris.Wrap(err, "decode lease")
+			return planner.currentLease(), eris.Wrap(err, "decode lease")
 		}
 	}
 	now := planner.settings.Clock.Now()
 	next, step := lease.Next(planner.settings.Holder, terms, now)
 	if step == NoAction {
-		return planner.hold(lease), nil
+		return planner.setLease(lease), nil
 	}
 	value, err := json.Marshal(next)
 	if err != nil {
 		return lease, eris.Wrap(err, "encode lease")
 	}
-	write := storekeeper.Write{Table: table, Key: planner.settings.Service, Value: value, Expect: row.Version}
+	write := storekeeper.Write{Table: leaseTable, Key: planner.settings.Service, Value: value, Expect: row.Version}
 	if err := planner.settings.Table.Commit(ctx, []storekeeper.Write{write}); err != nil {
-		return planner.hold(lease), err
+		return planner.setLease(lease), err
 	}
 	if step == Acquire {
-		planner.taken(next, now)
+		planner.startTerm(next, now)
 	}
-	return planner.hold(next), nil
+	return planner.setLease(next), nil
 }
 
-func (planner *Planner) held() Lease {
+func (planner *Planner) currentLease() Lease {
 	planner.mu.Lock()
 	defer planner.mu.Unlock()
 	return planner.lease
 }
 
-func (planner *Planner) hold(lease Lease) Lease {
+func (planner *Planner) setLease(lease Lease) Lease {
 	planner.mu.Lock()
 	defer planner.mu.Unlock()
 	planner.lease = lease
 	return lease
 }
 
-func (planner *Planner) taken(lease Lease, now timekeeper.Instant) {
+func (planner *Planner) startTerm(lease Lease, now timekeeper.Instant) {
 	_, service, _ := planner.terms()
 	planner.mu.Lock()
-	planner.pace = NewRateLimiter(service.LoadsPerMinute, now)
-	// What stood before may be minutes old; the engines tell anew.
+	planner.limiter = NewRateLimiter(service.LoadsPerMinute, now)
+	// The spreads of an earlier term may be minutes old; they start again from the
+	// engines' states.
 	planner.spreads = map[string]Spread{}
 	planner.mu.Unlock()
 	planner.settings.Log.WithFields(logrus.Fields{
@@ -163,46 +165,46 @@
 	}).Info("planner")
 }
 
-// give starts a round of orders unless one is under way.
-func (planner *Planner) give(ctx context.Context, terms Terms, service resolver.Service) {
+// startRound starts a round of orders unless one is in progress.
+func (planner *Planner) startRound(ctx context.Context, terms Terms, service resolver.Service) {
 	planner.mu.Lock()
 	defer planner.mu.Unlock()
-	if planner.busy {
+	if planner.roundRunning {
 		return
 	}
-	planner.busy = true
-	planner.giving.Go(func() {
+	planner.roundRunning = true
+	planner.rounds.Go(func() {
 		planner.round(ctx, terms, service)
 		planner.mu.Lock()
-		planner.busy = false
+		planner.roundRunning = false
 		planner.mu.Unlock()
 	})
 }
 
-// round looks at the engines and gives the orders that are due.
+// round reads the engines' states and gives the orders that are due.
 func (planner *Planner) round(ctx context.Context, terms Terms, service resolver.Service) {
 	addresses := planner.settings.Engines(planner.settings.Service)
 	engines := make([]Engine, 0, len(addresses))
 	for _, at := range addresses {
 		done, err := planner.send(ctx, terms, at, Order{Engine: at.Engine, Action: Show})
 		if err == nil && done.GetKind() == "" {
-			engines = append(engines, engineOf(at.Engine, done))
+			engines = append(engines, engineFromAnswer(at.Engine, done))
 		}
 	}
 	wanted := DesiredState{Targets: planner.targets(service, engines), Role: service.Role, Version: service.Version}
 	for _, order := range Plan(engines, wanted) {
-		if !planner.due(order, service) {
+		if !planner.mayGive(order, service) {
 			continue
 		}
 		i := slices.IndexFunc(addresses, func(at Address) bool { return at.Engine == order.Engine })
 		if _, err := planner.send(ctx, terms, addresses[i], order); err != nil {
-			planner.settings.Log.WithError(err).WithField("engine", order.Engine).Warn("order not given")
+			planner.settings.Log.WithError(err).WithField("engine", order.Engine).Warn("order to engine failed")
 		}
 	}
 }
 
-// engineOf returns what an agent's answer says about its engine.
-func engineOf(name string, done *encoder.EngineOrderDone) Engine {
+// engineFromAnswer returns the engine's state from its agent's answer.
+func engineFromAnswer(name string, done *encoder.EngineOrderDone) Engine {
 	engine := Engine{Name: name, Loaded: done.GetLoaded(), Role: done.GetRole(), Version: done.GetVersion()}
 	for _, demand := range done.GetDemands() {
 		engine.Demands = append(engine.Demands, Demand{Adapter: demand.GetAdapter(), Calls: int(demand.GetCalls())})
@@ -210,8 +212,8 @@
 	return engine
 }
 
-// targets returns where each adapter of the configuration should be, and
-// forgets adapters that are no longer in it.
+// targets returns the number of engines for each adapter of the configuration, and forgets
+// adapters that are no longer in it.
 func (planner *Planner) targets(service resolver.Service, engines []Engine) []Target {
 	now := planner.settings.Clock.Now()
 	planner.mu.Lock()
@@ -219,10 +221,10 @@
 	spreads := make(map[string]Spread, len(service.Adapters))
 	targets := make([]Target, 0, len(service.Adapters))
 	for _, adapter := range service.Adapters {
-		calls, holders := demandFor(engines, adapter)
+		calls, loaded := demandFor(engines, adapter)
 		spread, known := planner.spreads[adapter]
 		if !known {
-			spread = Spread{Engines: holders}
+			spread = Spread{Engines: loaded}
 		}
 		spread = spread.WithDesired(DesiredEngines(calls, service.Slots, len(engines)), now)
 		spreads[adapter] = spread
@@ -232,24 +234,24 @@
 	return targets
 }
 
-// due reports whether the lease still stands and the rate allows the order.
-func (planner *Planner) due(order Order, service resolver.Service) bool {
+// mayGive reports whether the lease is still held and the rate limit allows the order.
+func (planner *Planner) mayGive(order Order, service resolver.Service) bool {
 	now := planner.settings.Clock.Now()
 	planner.mu.Lock()
 	defer planner.mu.Unlock()
 	if !planner.lease.MayOrder(planner.settings.Holder, now) {
 		return false
 	}
-	if !order.takesWeights() {
+	if !order.loadsWeights() {
 		return true
 	}
-	pace, allowed := planner.pace.Allow(service.LoadsPerMinute, now)
-	planner.pace = pace
+	limiter, allowed := planner.limiter.Allow(service.LoadsPerMinute, now)
+	planner.limiter = limiter
 	return allowed
 }
 
 func (planner *Planner) send(ctx context.Context, terms Terms, at Address, order Order) (*encoder.EngineOrderDone, error) {
-	lease := planner.held()
+	lease := planner.currentLease()
 	ctx, cancel := context.WithTimeout(ctx, (terms.OrderTimeout + MaxClockSkew).Duration())
 	defer cancel()
 	done, err := planner.settings.Send(ctx, at.Address, &encoder.EngineOrder{
