--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -71,7 +71,7 @@
 		Alternative:  func() string { return agent.control.view.Room(settings.Service, settings.Name) },
 		Digests:      agent.control.exchanger.Answer,
 		AllowDigest:  agent.control.admitDigest,
-		Peers:        func() placer.Roster { return agent.control.view.Roster(settings.Service) },
+		Replicas:     func() placer.Roster { return agent.control.view.Roster(settings.Service) },
 		Open:         agent.pool.Open,
 	})
 	if err != nil {
--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -53,10 +53,10 @@
 	// control-traffic budget, and returns false when the budget is used up; nil means no
 	// limit.
 	AllowDigest func(digest *encoder.Digest) bool
-	// Peers returns the replicas of the service that may get new work, and Open opens a
+	// Replicas returns the replicas of the service that may get new work, and Open opens a
 	// stream to one of them; nil disables prefix transfers between replicas.
-	Peers func() placer.Roster
-	Open  func(ctx context.Context, address string) (net.Conn, error)
+	Replicas func() placer.Roster
+	Open     func(ctx context.Context, address string) (net.Conn, error)
 	// Draw returns random numbers in [0, 1) for jitter; nil means a source
 	// seeded with the incarnation.
 	Draw func() float64
--- a/internal/runner/fetch.go
+++ b/internal/runner/fetch.go
@@ -14,7 +14,7 @@
 // canFetch reports whether prefixes can be fetched from other replicas; the lock must be
 // held.
 func (agent *Agent) canFetch() bool {
-	return agent.settings.Open != nil && agent.settings.Peers != nil && agent.upstream.service.CachePath != ""
+	return agent.settings.Open != nil && agent.settings.Replicas != nil && agent.upstream.service.CachePath != ""
 }
 
 // fetchDivisor limits a fetch to 1/fetchDivisor of the call's time to first byte, which
@@ -81,7 +81,7 @@
 
 // requestPrefix requests the prefix of a chat from a replica.
 func (agent *Agent) requestPrefix(ctx context.Context, name string, ask *encoder.PrefixAsk) (*encoder.PrefixBody, error) {
-	replica, ok := agent.settings.Peers().Find(name)
+	replica, ok := agent.settings.Replicas().Find(name)
 	if !ok {
 		return nil, errNoPeer
 	}
--- a/internal/runner/fetch_test.go
+++ b/internal/runner/fetch_test.go
@@ -41,7 +41,7 @@
 		agent, release, err := New(Settings{
 			Name: replica.Name, Service: "planner", Incarnation: 1, Upstream: server.URL, Log: log, Scope: tally.NoopScope,
 			Config: func() resolver.Config { return config }, Clock: timekeeper.Wall(),
-			Peers: func() placer.Roster { return placer.NewRoster(replicas) }, Open: made.open,
+			Replicas: func() placer.Roster { return placer.NewRoster(replicas) }, Open: made.open,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -185,7 +185,7 @@
 	Convey("an unresponsive receiver", t, func() {
 		trio := newTrio(t, resolver.Service{Kind: resolver.KindModel, CachePath: "/cache"})
 		trio.turn(t, "b", "b", "a", "c")
-		trio.agents["b"].settings.Peers = func() placer.Roster {
+		trio.agents["b"].settings.Replicas = func() placer.Roster {
 			return placer.NewRoster([]placer.Replica{{Name: "a", Address: "a"}})
 		}
 		trio.unresponsive = "a"
--- a/internal/runner/handover.go
+++ b/internal/runner/handover.go
@@ -62,7 +62,7 @@
 // pendingMoves returns the chats to hand over: those without a running call, and those
 // with one.
 func (agent *Agent) pendingMoves() (idle, running []placer.Move) {
-	rest := agent.settings.Peers().Without(agent.settings.Name)
+	rest := agent.settings.Replicas().Without(agent.settings.Name)
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	var active []uint64
