--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -13,7 +13,7 @@
 	// one engine, its callers need not wait for a load.
 	minEngines = 2
 	// targetSlotPercent is the share of an engine's slots that one adapter should use. It
-	// is below 100 because calls can't exceed the slots of full engines: full engines must
+	// is below 100 so that engines whose slots are all taken, but where no call waits yet,
 	// still ask for one more.
 	targetSlotPercent = 70
 )
@@ -21,9 +21,9 @@
 // DesiredEngines returns how many of a service's engines should load an adapter for the
 // calls that run or wait.
 //
-// A team's chats come back all day and surge for seconds. Running and waiting calls are
-// counted, and not calls a second, because a few long answers fill an engine as well as
-// many short ones. Spread.WithDesired ignores short surges.
+// A team's chats come back all day and surge for seconds. The number goes by running and
+// waiting calls rather than calls a second, because a few long answers fill an engine as
+// well as many short ones. Spread.WithDesired ignores short surges.
 func DesiredEngines(calls, slots, engines int) int {
 	const percent = 100
 	capacity := max(1, slots) * targetSlotPercent
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -19,13 +19,13 @@
 	held := Lease{Holder: "a", Fence: 4, Until: now.Add(terms.Span)}
 	expired := Lease{Holder: "a", Fence: 4, Until: now.Add(-MaxClockSkew)}
 	tests := []struct {
-		name  string
-		lease Lease
-		self  string
-		terms Terms
-		step  LeaseAction
-		fence uint64
-		quiet timekeeper.Span
+		name   string
+		lease  Lease
+		self   string
+		terms  Terms
+		action LeaseAction
+		fence  uint64
+		quiet  timekeeper.Span
 	}{
 		{"never held", Lease{}, "a", terms, Acquire, 1, 0},
 		{"mine, not due for renewal", held, "a", terms, NoAction, 4, 0},
@@ -38,8 +38,8 @@
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			next, step := test.lease.Next(test.self, test.terms, now)
-			So(step, ShouldEqual, test.step)
+			next, action := test.lease.Next(test.self, test.terms, now)
+			So(action, ShouldEqual, test.action)
 			So(next.Fence, ShouldEqual, test.fence)
 			So(next.MayOrder(test.self, now), ShouldEqual, next.Holder == test.self && test.quiet == 0)
 			if test.quiet > 0 {
@@ -64,7 +64,7 @@
 	start, end timekeeper.Instant
 }
 
-func TestPausedHoldersSendNoStaleOrders(t *testing.T) {
+func TestOrdersOfEarlierHoldersEndBeforeLaterOnes(t *testing.T) {
 	// Guards against an engine without fencing that executes an order of an earlier holder
 	// while or after it executes one of a later holder. Entries are paused for up to three
 	// leases between reading the row and writing it, and between deciding and sending;
@@ -90,11 +90,11 @@
 			i := random.IntN(entries)
 			self := fmt.Sprint(i)
 			read := version
-			next, step := row.Next(self, terms, now.Add(clocks[i]))
+			next, action := row.Next(self, terms, now.Add(clocks[i]))
 			wrote := now.Add(pause())
 			// The compare-and-set succeeds if the row is as it was read, also after the
 			// pause.
-			if step != NoAction && read == version && wrote >= writtenAt {
+			if action != NoAction && read == version && wrote >= writtenAt {
 				row, writtenAt = next, wrote
 				version++
 				now = max(now, wrote)
@@ -229,10 +229,10 @@
 		Convey(test.name, t, func() {
 			row, taken := Lease{}, false
 			for now := timekeeper.Instant(1_000_000); now < 1_060_000; now = now.Add(500) {
-				if next, step := row.Next("holder", terms, now); step != NoAction && row.Holder != "other" {
+				if next, action := row.Next("holder", terms, now); action != NoAction && row.Holder != "other" {
 					row = next
 				}
-				if next, step := row.Next("other", terms, test.other(now)); step != NoAction {
+				if next, action := row.Next("other", terms, test.other(now)); action != NoAction {
 					row, taken = next, true
 				}
 			}
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -57,17 +57,18 @@
 	Version string
 }
 
-// Spread is on how many engines an adapter should be loaded, with hysteresis. It is an
-// immutable value: one for each adapter.
+// Spread tracks how many engines should load an adapter, and applies hysteresis to the
+// demand. It is an immutable value: one for each adapter.
 type Spread struct {
 	Engines    int
 	aboveSince timekeeper.Instant
 	belowSince timekeeper.Instant
 }
 
-// WithDesired returns the spread after the number of engines that the current demand asks
-// for. The spread changes by one engine once that number has stayed above it, or below it,
-// for the whole delay; a number on the other side, or equal to it, restarts the delay.
+// WithDesired returns the spread updated with the number of engines that the demand now
+// asks for. The first number is taken as it is. After that, Engines changes by one each
+// time the desired number has stayed above Engines, or below it, for the whole delay; a
+// desired number that is equal or on the other side restarts the delay.
 func (spread Spread) WithDesired(desired int, now timekeeper.Instant) Spread {
 	desired = max(1, desired)
 	switch {
@@ -85,8 +86,9 @@
 	return spread
 }
 
-// stepAfter returns since when the desired number has been on this side, and the resulting
-// number of engines.
+// stepAfter returns moved and restarts the delay once the desired number has stayed above
+// current, or below it, for the delay after. Before that, it returns current. since is when
+// the delay started; zero means that it starts now.
 func stepAfter(since, now timekeeper.Instant, after timekeeper.Span, current, moved int) (timekeeper.Instant, int) {
 	switch {
 	case since == 0:
@@ -107,18 +109,18 @@
 // versions, of one engine at most, since the others must serve its calls while it loads
 // new weights; then roles; then loads, on the engines with the fewest adapters; then
 // unloads, from the engines with the most, and of every adapter without a target. A plan
-// never loads an adapter that it also unloads elsewhere, so an executed plan leaves no
-// orders.
-func Plan(engines []Engine, want DesiredState) []Order {
-	orders := planStates(engines, want)
-	wanted := map[string]bool{}
-	for _, target := range want.Targets {
-		wanted[target.Adapter] = true
+// never loads an adapter that it also unloads elsewhere, so executing the loads and unloads
+// of a plan leaves none to do.
+func Plan(engines []Engine, desired DesiredState) []Order {
+	orders := planStates(engines, desired)
+	hasTarget := map[string]bool{}
+	for _, target := range desired.Targets {
+		hasTarget[target.Adapter] = true
 		orders = append(orders, planTarget(engines, target)...)
 	}
 	for _, engine := range engines {
 		for _, loaded := range engine.Loaded {
-			if !wanted[loaded] {
+			if !hasTarget[loaded] {
 				orders = append(orders, Order{Engine: engine.Name, Action: Unload, Subject: loaded})
 			}
 		}
@@ -140,16 +142,16 @@
 }
 
 // planStates returns the orders about roles and versions.
-func planStates(engines []Engine, want DesiredState) []Order {
+func planStates(engines []Engine, desired DesiredState) []Order {
 	var orders []Order
 	changing := false
 	for _, engine := range engines {
-		if want.Version != "" && engine.Version != want.Version && !changing {
+		if desired.Version != "" && engine.Version != desired.Version && !changing {
 			changing = true
-			orders = append(orders, Order{Engine: engine.Name, Action: ChangeVersion, Subject: want.Version})
+			orders = append(orders, Order{Engine: engine.Name, Action: ChangeVersion, Subject: desired.Version})
 		}
-		if want.Role != "" && engine.Role != want.Role {
-			orders = append(orders, Order{Engine: engine.Name, Action: ChangeRole, Subject: want.Role})
+		if desired.Role != "" && engine.Role != desired.Role {
+			orders = append(orders, Order{Engine: engine.Name, Action: ChangeRole, Subject: desired.Role})
 		}
 	}
 	return orders
@@ -164,9 +166,9 @@
 			without = append(without, engine)
 		}
 	}
-	byLoad := func(a, b Engine) int { return len(a.Loaded) - len(b.Loaded) }
-	slices.SortStableFunc(without, byLoad)
-	slices.SortStableFunc(withAdapter, byLoad)
+	byAdapterCount := func(a, b Engine) int { return len(a.Loaded) - len(b.Loaded) }
+	slices.SortStableFunc(without, byAdapterCount)
+	slices.SortStableFunc(withAdapter, byAdapterCount)
 	count := min(target.Engines, len(engines))
 	orders := make([]Order, 0, len(engines))
 	for i := range max(0, count-len(withAdapter)) {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -106,9 +106,9 @@
 	return lease.NextCheck(planner.settings.Holder, terms, planner.random.Float64(), now)
 }
 
-// maintainLease reads the row and renews or acquires the lease when due. After a write
-// without an answer, the planner keeps the lease that it read; the next check reads the
-// row again.
+// maintainLease reads the row and renews or acquires the lease when due. After a failed
+// write, whose outcome may be unknown, the planner keeps the lease that it read; the next
+// check reads the row again.
 func (planner *Planner) maintainLease(ctx context.Context, terms Terms) (Lease, error) {
 	row, err := planner.settings.Table.Get(ctx, leaseTable, planner.settings.Service)
 	if err != nil && !eris.Is(err, storekeeper.ErrAbsent) {
@@ -121,8 +121,8 @@
 		}
 	}
 	now := planner.settings.Clock.Now()
-	next, step := lease.Next(planner.settings.Holder, terms, now)
-	if step == NoAction {
+	next, action := lease.Next(planner.settings.Holder, terms, now)
+	if action == NoAction {
 		return planner.setLease(lease), nil
 	}
 	value, err := json.Marshal(next)
@@ -133,7 +133,7 @@
 	if err := planner.settings.Table.Commit(ctx, []storekeeper.Write{write}); err != nil {
 		return planner.setLease(lease), err
 	}
-	if step == Acquire {
+	if action == Acquire {
 		planner.startTerm(next, now)
 	}
 	return planner.setLease(next), nil
@@ -191,9 +191,9 @@
 			engines = append(engines, engineFromAnswer(at.Engine, done))
 		}
 	}
-	wanted := DesiredState{Targets: planner.targets(service, engines), Role: service.Role, Version: service.Version}
-	for _, order := range Plan(engines, wanted) {
-		if !planner.mayGive(order, service) {
+	desired := DesiredState{Targets: planner.targets(service, engines), Role: service.Role, Version: service.Version}
+	for _, order := range Plan(engines, desired) {
+		if !planner.allowOrder(order, service) {
 			continue
 		}
 		i := slices.IndexFunc(addresses, func(at Address) bool { return at.Engine == order.Engine })
@@ -234,8 +234,9 @@
 	return targets
 }
 
-// mayGive reports whether the lease is still held and the rate limit allows the order.
-func (planner *Planner) mayGive(order Order, service resolver.Service) bool {
+// allowOrder reports whether the lease is still held and the rate limit allows the order.
+// An allowed load counts against the limit.
+func (planner *Planner) allowOrder(order Order, service resolver.Service) bool {
 	now := planner.settings.Clock.Now()
 	planner.mu.Lock()
 	defer planner.mu.Unlock()
--- a/internal/runner/unread_test.go
+++ b/internal/runner/abandoned_test.go
@@ -13,7 +13,7 @@
 	"github.com/trefoilseam/trefoilseam/internal/replayer"
 )
 
-func TestAnUnreadOrderEndsAndFreesItsSlot(t *testing.T) {
+func TestOrderWithoutReaderEndsAndFreesItsSlot(t *testing.T) {
 	// Guards against a slot that stays taken after the caller of an order has left. The
 	// answer is longer than the window, the run must not be canceled, and no reader takes
 	// its bytes. The agent drains it, so that the upstream can finish and the slot is
--- a/internal/runner/adapters.go
+++ b/internal/runner/adapters.go
@@ -15,18 +15,19 @@
 type adapters struct {
 	// calls maps the ids of running and waiting requests to their adapters.
 	calls map[string]string
-	// loaded is what the engine last reported; answered is set once it has reported.
+	// loaded is what the engine last reported; reported is true once there is a report.
 	loaded   []string
-	answered bool
+	reported bool
 }
 
 // isMissing reports whether the engine has reported and doesn't have the adapter loaded.
 func (adapters *adapters) isMissing(adapter string) bool {
-	return adapter != "" && adapters.answered && !slices.Contains(adapters.loaded, adapter)
+	return adapter != "" && adapters.reported && !slices.Contains(adapters.loaded, adapter)
 }
 
-// adapterUnloaded refuses a call whose adapter the engine has unloaded, when the entry did
-// not know so yet. Nothing ran, so the entry tries other replicas.
+// adapterUnloaded refuses a call whose adapter the engine doesn't have loaded: the entry's
+// last digest of it was older, or the entry knew of no engine that has the adapter. Nothing
+// ran, so the entry tries other replicas.
 func adapterUnloaded() classifier.Failure {
 	return classifier.New(classifier.NotReady, "the upstream does not hold the adapter").WithRetryAfter(timekeeper.Second)
 }
@@ -48,7 +49,7 @@
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	if ok {
-		agent.adapters.loaded, agent.adapters.answered = slices.Sorted(slices.Values(state.Loaded)), true
+		agent.adapters.loaded, agent.adapters.reported = slices.Sorted(slices.Values(state.Loaded)), true
 	}
 	demands := make([]*encoder.Demand, 0, len(agent.service.Adapters))
 	for _, adapter := range agent.service.Adapters {
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -8,8 +8,9 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// redirect returns a refusal when another replica holds the chat's prefix; the lock must
-// be held.
+// redirect returns a refusal when the directory decides that the offer should go to another
+// replica: the one that holds the chat's prefix, the chat's home, or the runner-up that was
+// its home before. Agent.mu must be held.
 func (agent *Agent) redirect(offer *encoder.Offer, now timekeeper.Instant) (classifier.Failure, bool) {
 	if agent.service.Kind != resolver.KindModel {
 		return classifier.Failure{}, false
@@ -20,7 +21,7 @@
 	return classifier.New(classifier.Moved, "the chat last ran at another replica"), true
 }
 
-// chatOffer converts an offer for the directory; the lock must be held.
+// chatOffer converts an offer for the directory; Agent.mu must be held.
 func (agent *Agent) chatOffer(offer *encoder.Offer, now timekeeper.Instant) placer.ChatOffer {
 	return placer.ChatOffer{
 		Chat:            offer.GetChat(),
@@ -32,8 +33,9 @@
 	}
 }
 
-// hints returns the replicas that a refused caller should try: the one that last ran the
-// chat, or else one with free capacity.
+// hints returns the replicas that the entry should try after a refusal: the one that last
+// ran the chat and, for a refusal at the load bound, one with free capacity. Each may be
+// empty.
 func (agent *Agent) hints(offer *encoder.Offer, failure classifier.Failure) (holder, alternative string) {
 	if !classifier.AnswerOf(failure.Kind).Elsewhere {
 		return "", ""
--- a/internal/runner/config.go
+++ b/internal/runner/config.go
@@ -8,10 +8,10 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// applyConfig applies a new configuration revision to the service; the lock must be held.
+// applyConfig applies a new configuration revision to the service; Agent.mu must be held.
 // Each admission decision calls it, so the first decision after a revision comes into
 // force already uses it. An agent whose service has left the configuration keeps its old
-// settings: the platform stops the agent, not the configuration file.
+// settings: only the platform stops an agent; a change of the configuration doesn't.
 func (agent *Agent) applyConfig() {
 	config := agent.settings.Config()
 	if config.Revision == agent.revision {
@@ -41,8 +41,8 @@
 const askerTTL = 45 * timekeeper.Second
 
 // askers holds the entries that have sent messages to the agent, with the configuration
-// revision of each. It shows how far entries lag behind without a row in the store for
-// each entry.
+// revision of each. From it, an operator can read how far entries lag behind; that needs no
+// row in the store for each entry.
 type askers struct {
 	mu   sync.Mutex
 	seen map[string]asker
@@ -67,7 +67,7 @@
 	}
 }
 
-// expire removes entries that have sent nothing for askerTTL; the lock must be held.
+// expire removes entries that have sent nothing for askerTTL; askers.mu must be held.
 func (askers *askers) expire(now timekeeper.Instant) {
 	for name, last := range askers.seen {
 		if now.Since(last.at) > askerTTL {
--- a/internal/runner/drain.go
+++ b/internal/runner/drain.go
@@ -41,7 +41,7 @@
 }
 
 // FlushKeys writes the state of a drained agent's keys to the store: it marks the keys
-// that ran, so that their callers get that answer, and releases unused claims, so that
+// that ran, so that a resend is refused as already run, and releases unused claims, so that
 // other agents may run them.
 func (agent *Agent) FlushKeys(ctx context.Context) {
 	if agent.settings.Table.Commit == nil {
--- a/internal/runner/fetch.go
+++ b/internal/runner/fetch.go
@@ -11,7 +11,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// canFetch reports whether prefixes can be fetched from other replicas; the lock must be
+// canFetch reports whether prefixes can be fetched from other replicas; Agent.mu must be
 // held.
 func (agent *Agent) canFetch() bool {
 	return agent.settings.Open != nil && agent.settings.Replicas != nil && agent.upstream.service.CachePath != ""
@@ -22,11 +22,11 @@
 const fetchDivisor = 4
 
 // fetch gets the prefix of an admitted offer from another replica while the offer waits
-// for its slot. The channel closes when the prefix has been imported or the timeout has
-// passed. It serves chats that come to a replica that has just joined, or that spill
-// because their home is at its bound: without it, a long prompt is computed again although
-// a peer has it cached. A failed fetch costs at most the timeout and a cold prefill, and
-// never fails the call.
+// for its slot. The channel closes when the fetch has ended, successfully or not; at once if
+// there is no source or maxTransfers are in progress. A fetch serves chats that come to a
+// replica that has just joined, or that spill because their home is at its bound: without
+// it, a long prompt is computed again although another replica has it cached. A failed
+// fetch costs at most the timeout and a cold prefill, and never fails the call.
 func (agent *Agent) fetch(ctx context.Context, offer *encoder.Offer, arrived timekeeper.Instant) <-chan struct{} {
 	done := make(chan struct{})
 	agent.mu.Lock()
@@ -83,19 +83,19 @@
 func (agent *Agent) requestPrefix(ctx context.Context, name string, ask *encoder.PrefixAsk) (*encoder.PrefixBody, error) {
 	replica, ok := agent.settings.Replicas().Find(name)
 	if !ok {
-		return nil, errNoPeer
+		return nil, errUnknownReplica
 	}
-	frame, err := agent.callPeer(ctx, replica, ask)
+	frame, err := agent.callReplica(ctx, replica, ask)
 	if err != nil {
 		return nil, err
 	}
 	return frame.GetPrefixBody(), nil
 }
 
-var errNoPeer = eris.New("the source of the prefix is not among the service's replicas")
+var errUnknownReplica = eris.New("the source of the prefix is not among the service's replicas")
 
-// callPeer sends a message to a replica and reads its answer, until ctx ends.
-func (agent *Agent) callPeer(ctx context.Context, replica placer.Replica, message any) (*encoder.Frame, error) {
+// callReplica sends a message to a replica and reads its answer, until ctx ends.
+func (agent *Agent) callReplica(ctx context.Context, replica placer.Replica, message any) (*encoder.Frame, error) {
 	conn, err := agent.settings.Open(ctx, replica.Address)
 	if err != nil {
 		return nil, err
--- a/internal/runner/handover.go
+++ b/internal/runner/handover.go
@@ -14,8 +14,7 @@
 )
 
 const (
-	// handOverWorkers is how many chats are handed over at once: half of what a receiver
-	// accepts, so that two replicas that leave don't block each other.
+	// handOverWorkers is how many chats a leaving replica hands over at once.
 	handOverWorkers = maxTransfers / 2
 	// handOverTimeout bounds a hand-over independently of the longest drain. A chat that
 	// is not handed over by then costs a cold prefill, while platforms kill processes that
@@ -122,7 +121,7 @@
 	}
 	message := &encoder.PrefixBody{Chat: move.Chat, Body: body, Tokens: move.Tokens}
 	for i, replica := range move.To {
-		frame, err := job.agent.callPeer(ctx, replica, message)
+		frame, err := job.agent.callReplica(ctx, replica, message)
 		if err != nil || frame.GetPointerAnswer().GetInstance() == "" {
 			continue
 		}
@@ -135,7 +134,7 @@
 	job.skipped.Add(1)
 }
 
-// putPointer sends the holder of a chat to the chat's home.
+// putPointer sends the chat's home a pointer to the replica that holds the chat's prefix.
 func (job *handOverJob) putPointer(ctx context.Context, home placer.Replica, move placer.Move, holder string) {
 	conn, err := job.agent.settings.Open(ctx, home.Address)
 	if err != nil {
--- a/internal/runner/keys.go
+++ b/internal/runner/keys.go
@@ -39,7 +39,8 @@
 	return offer.GetKey() != "" && !offer.GetIdempotent()
 }
 
-// claimAsk returns the claim of a keyed offer, or a failure when its key is invalid.
+// claimAsk returns the request for a claim of the offer's key, or a failure when the key is
+// invalid.
 func (keys *keys) claimAsk(offer *encoder.Offer) (claimer.Ask, classifier.Failure, bool) {
 	ask := claimer.Ask{
 		Key:         claimer.RowKey(offer.GetTeam(), offer.GetService(), offer.GetKey()),
@@ -169,17 +170,17 @@
 	// urgent: they are only read after the owner has stopped.
 	markInterval = 10 * timekeeper.Second
 	// maxMarks bounds the marks of one write, and so the reads that precede it: 6 a second
-	// for each agent, many times the design load.
+	// for each agent, many times what the design size needs.
 	maxMarks = 64
 	// sweepInterval is the mean time between two sweeps of expired claims, and sweepRows
 	// how many rows each sweep reads. With 500 agents that is 533 rows a second, ten times
-	// the claims made a second at the design load, for nine reads a second.
+	// the claims made a second at the design size, for nine reads a second.
 	sweepInterval = timekeeper.Minute
 	sweepRows     = 64
 )
 
-// Maintain probes the upstream while it is down, writes claims, marks and sweeps rows,
-// until ctx ends.
+// Maintain probes the upstream while it is down and, if there is a table, writes claims,
+// marks ended runs and sweeps rows, until ctx ends.
 func (agent *Agent) Maintain(ctx context.Context) {
 	go agent.settings.Clock.Every(ctx, func() timekeeper.Span { return probeInterval }, agent.probe)
 	if agent.settings.Table.Commit == nil {
@@ -187,7 +188,7 @@
 		return
 	}
 	go agent.settings.Clock.Every(ctx, func() timekeeper.Span { return markInterval }, agent.markDone)
-	go agent.settings.Clock.Every(ctx, agent.nextSweep, agent.sweep)
+	go agent.settings.Clock.Every(ctx, agent.sweepDelay, agent.sweep)
 	agent.keys.committer.Run(ctx)
 }
 
@@ -209,12 +210,13 @@
 	return digest.Sum64()
 }
 
-func (agent *Agent) nextSweep() timekeeper.Span {
+// sweepDelay returns the jittered time to the next sweep.
+func (agent *Agent) sweepDelay() timekeeper.Span {
 	return sweepInterval/2 + timekeeper.Span(agent.random()%uint64(sweepInterval))
 }
 
-// sweep deletes the expired claims among some rows at a random position. Agents don't
-// coordinate sweeps; a row that two agents delete at once is deleted once.
+// sweep deletes the expired claims among sweepRows rows that start at a random position.
+// Agents don't coordinate sweeps; a row that two agents delete at once is deleted once.
 func (agent *Agent) sweep(ctx context.Context) {
 	agent.mu.Lock()
 	claims := agent.keys.book.Len()
--- a/internal/runner/offer.go
+++ b/internal/runner/offer.go
@@ -76,8 +76,9 @@
 	return out
 }
 
-// admit decides about the offer and, if it is queued, waits for a slot. When it returns
-// true, the caller holds a slot.
+// admit decides about the offer, waits for a slot, fetches the chat's prefix, passes the
+// gate, claims the key and, unless the Run frame follows without it, sends Granted. When it
+// returns true, the offer holds a slot.
 func (agent *Agent) admit(
 	ctx context.Context, stream *encoder.Stream, offer *encoder.Offer, inbox *inbox,
 ) (classifier.Failure, bool) {
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -26,8 +26,8 @@
 	agent    *Agent
 	runs     atomic.Int64
 	upstream *httptest.Server
-	// releaseSlow blocks requests for /slow at the upstream until it is closed; atUpstream
-	// is how many requests are there.
+	// Requests for /slow wait at the upstream until releaseSlow is closed; atUpstream is
+	// how many requests are there.
 	releaseSlow chan struct{}
 	atUpstream  atomic.Int64
 	// clockOffset moves the agent's clock without firing its timers, like a pause of the
@@ -141,10 +141,9 @@
 }
 
 func TestUnreachableUpstreamFreesTheKey(t *testing.T) {
-	// Guards against an order that is lost or charged twice because its upstream is down.
-	// The upstream's port is closed, so nothing of the request was sent: the caller gets
-	// "not ready, not run". The claim stays with the agent, and a resend with the same key
-	// runs.
+	// Guards against a key that stays bound although nothing ran. The upstream's port is
+	// closed, so nothing of the request was sent: the caller gets "not ready, not run". The
+	// claim stays with the agent, and a resend with the same key runs.
 	harness := newHarness(t)
 	address := harness.upstream.Listener.Addr().String()
 	harness.upstream.Close()
--- a/internal/runner/orders.go
+++ b/internal/runner/orders.go
@@ -16,7 +16,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// orders serialises the orders to the engine. Lock order: sending before mu.
+// orders serialises the orders that change the engine, and rejects stale ones. Lock order:
+// sending before mu.
 type orders struct {
 	sending sync.Mutex
 
@@ -58,9 +59,10 @@
 // It guards against a stale order that undoes a newer one: the holder of the lease, or
 // this agent, is paused and resumes after another holder has taken over. The fence is
 // checked when the order arrives, so that a later holder is known at once, and again
-// immediately before the order is sent. An order times out after the longest order, and
-// its fencing token is sent along for engines that check it. For engines that don't, a new
-// holder waits that long past the old lease before its first order.
+// immediately before the order is sent. An order times out after the service's
+// LongestOrder, and its fencing token is sent along for engines that check it. For engines
+// that don't, a new holder waits for LongestOrder and the clock skew past the old lease
+// before its first order.
 func (agent *Agent) executeOrder(ctx context.Context, order *encoder.EngineOrder) *encoder.EngineOrderDone {
 	done := &encoder.EngineOrderDone{OrderId: order.GetOrderId()}
 	state, failure, ok := agent.forwardOrder(ctx, order)
--- a/internal/runner/prefix.go
+++ b/internal/runner/prefix.go
@@ -85,12 +85,13 @@
 	return exported, nil
 }
 
-// maxTransfers is how many prefixes an agent transfers at once. Each takes a frame of
-// memory; in a larger burst, a cold prefill is better than a late answer.
+// maxTransfers is how many prefixes an agent fetches or serves at once; hand-overs are not
+// counted. Each takes a frame of memory; in a larger burst, a cold prefill is better than a
+// late answer.
 const maxTransfers = 8
 
-// acquireTransfer reserves a transfer if fewer than maxTransfers are in progress. It
-// returns a function that releases it.
+// acquireTransfer reserves one of maxTransfers transfers and returns a function that
+// releases it. It returns false when none is free.
 func (agent *Agent) acquireTransfer() (func(), bool) {
 	select {
 	case agent.transfers <- struct{}{}:
@@ -101,7 +102,7 @@
 }
 
 // hasRunningCall reports whether a call of the chat runs, in which case its prefix is not
-// cached yet; the lock must be held.
+// cached yet; Agent.mu must be held.
 func (agent *Agent) hasRunningCall(chat uint64) bool {
 	for _, run := range agent.runs {
 		if run.chat == chat && run.endedAt == 0 && !run.tombstone {
--- a/internal/runner/record.go
+++ b/internal/runner/record.go
@@ -34,7 +34,7 @@
 }
 
 // recordAdmission records the load and bound by which the controller accepted an offer;
-// the lock must be held. The slot may be granted later, from the queue, when both have
+// Agent.mu must be held. The slot may be granted later, from the queue, when both have
 // changed.
 func (agent *Agent) recordAdmission(offer *encoder.Offer, decision admitter.Decision) {
 	agent.admissions[offer.GetRequestId()] = admission{
--- a/internal/runner/reported_test.go
+++ b/internal/runner/reported_test.go
@@ -9,7 +9,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-func TestAnswerCarriesLoadOnlyWhenItChanged(t *testing.T) {
+func TestWhenAnAnswerCarriesTheLoad(t *testing.T) {
 	tests := []struct {
 		name     string
 		reported reportedLoad
--- a/internal/runner/resume.go
+++ b/internal/runner/resume.go
@@ -53,19 +53,20 @@
 }
 
 // detach records that a reader has left, for example because a caller's connection broke
-// in the middle of a stream. Ending the run at once would make a resume impossible;
-// running on would hold the slot for nobody. So an idempotent run goes on for the
-// service's resume grace and ends if no reader has come back by then. A run that is not
-// idempotent is never ended when its reader leaves, since half an order is worse than an
-// order whose answer must be looked up. Its answer is drained.
+// in the middle of a stream. Canceling the run at once would make a resume impossible;
+// letting it run on would hold the slot for an answer that no one reads. So an idempotent
+// run goes on for the service's resume grace and is canceled if no reader has come back by
+// then. A run that is not idempotent is never canceled when its reader leaves, since half
+// an order is worse than an order whose answer must be looked up. The agent drains its
+// answer instead, so that the upstream can finish.
 func (agent *Agent) detach(run *run) {
 	agent.mu.Lock()
 	run.readers--
 	run.detaches++
 	detaches := run.detaches
-	unread := run.readers == 0 && run.endedAt == 0
-	abandoned := unread && run.idempotent
-	if unread && !run.idempotent {
+	noReaders := run.readers == 0 && run.endedAt == 0
+	abandoned := noReaders && run.idempotent
+	if noReaders && !run.idempotent {
 		run.answer.Drain()
 	}
 	agent.mu.Unlock()
@@ -87,6 +88,7 @@
 	}
 }
 
+// cancelRun cancels an idempotent run; any other goes on to its end, or to LongestCall.
 func (agent *Agent) cancelRun(run *run, reason string) {
 	if !run.idempotent {
 		return
--- a/internal/runner/run.go
+++ b/internal/runner/run.go
@@ -74,9 +74,9 @@
 	agent.recordChat(offer.GetChat(), offer.GetWork())
 	go func() {
 		defer cancel()
-		whole, failure := agent.upstream.call(ctx, agent.settings, offer, commit, started)
-		agent.recordOutcome(started, ctx.Err() != nil, whole, failure)
-		started.answer.Close(started.id, whole, failure)
+		complete, failure := agent.upstream.call(ctx, agent.settings, offer, commit, started)
+		agent.recordOutcome(started, ctx.Err() != nil, complete, failure)
+		started.answer.Close(started.id, complete, failure)
 		agent.recordEnd(offer, started.answer)
 		agent.holdSlot(ctx)
 		agent.finish(started)
@@ -144,7 +144,8 @@
 // leaveTombstone writes a tombstone if the look-up asks for one. It guards against a Run
 // frame that is still in transit when the connection breaks: without it, the caller gets
 // "not run" and the request runs afterwards. A Run frame that arrives after the tombstone
-// is refused under the same lock, so exactly one of the two takes effect.
+// is refused under the same lock, so exactly one of the two takes effect. Agent.mu must be
+// held.
 func (agent *Agent) leaveTombstone(lookup *encoder.Lookup) {
 	if lookup.GetTombstone() {
 		now := agent.settings.Clock.Now()
--- a/internal/runner/slot.go
+++ b/internal/runner/slot.go
@@ -82,7 +82,7 @@
 	return ticket
 }
 
-// sendResult sends a waiting offer its result; the lock must be held.
+// sendResult sends a waiting offer its result; Agent.mu must be held.
 func (agent *Agent) sendResult(id string, result slotResult) {
 	if slot := agent.queue[id]; slot != nil {
 		delete(agent.queue, id)
@@ -102,7 +102,7 @@
 	agent.grantSlots(agent.controller.Finish(id, now))
 }
 
-// grantSlots notifies the waiting offers that got a slot; the lock must be held.
+// grantSlots notifies the waiting offers that got a slot; Agent.mu must be held.
 func (agent *Agent) grantSlots(tickets []admitter.Ticket) {
 	for _, ticket := range tickets {
 		agent.sendResult(ticket.ID, slotResult{granted: true})
@@ -147,7 +147,7 @@
 	agent.controller.RecordFirstByte(id, now)
 }
 
-// holdSlot keeps the slot of a cancelled run for a while.
+// holdSlot keeps the slot of a canceled or timed-out run of a model service for UnknownHold.
 //
 // An engine may go on with a sequence after its client has left. If the slot were freed,
 // the next call would be granted and then wait inside the engine, where priority class,
--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// gateTimeout bounds the wait for the engine to be empty, or for a request that runs
-	// alone. After it, the caller is better served by another replica.
+	// gateTimeout bounds the wait until the engine is empty, or until a request that runs
+	// alone has ended. After it, the caller is better served by another replica.
 	gateTimeout = 10 * timekeeper.Second
 	// probeInterval is the time between two probes of an engine that is down, and
 	// probeTimeout bounds each.
@@ -65,7 +65,7 @@
 	if own.Count == 0 && offer.GetStrikes() == 0 {
 		return agent.waitAtGate(ctx, offer.GetRequestId(), false)
 	}
-	strike, failure, ok := agent.loadStrike(ctx, offer, own)
+	strike, failure, ok := agent.resolveStrike(ctx, offer, own)
 	if !ok {
 		return failure, false
 	}
@@ -82,9 +82,11 @@
 	return classifier.New(classifier.NotReady, "the upstream does not answer").WithRetryAfter(timekeeper.Second)
 }
 
-// loadStrike reads the strikes of a request from the table. Few requests have strikes, so
-// the cost of the read doesn't matter.
-func (agent *Agent) loadStrike(
+// resolveStrike combines the strikes of a request from the table, the offer and this
+// agent's ledger, and stores the result in the ledger. It returns false, with a failure,
+// when the table can't be read. Few requests have strikes, so the cost of the read doesn't
+// matter.
+func (agent *Agent) resolveStrike(
 	ctx context.Context, offer *encoder.Offer, own striker.Strike,
 ) (striker.Strike, classifier.Failure, bool) {
 	row, _, found, err := agent.strikes.book.Read(ctx, offer.GetFingerprint())
@@ -129,7 +131,9 @@
 	return classifier.New(classifier.StoreDown, "the strike could not be written").WithRetryAfter(2 * timekeeper.Second), false
 }
 
-// waitAtGate waits until the gate lets the request in, alone or beside others.
+// waitAtGate waits until the gate lets the request in, alone or beside others. It returns
+// false, with a failure, when the engine is down, gateTimeout passes, ctx ends, or the
+// request must run alone while another one does or waits to.
 func (agent *Agent) waitAtGate(ctx context.Context, id string, alone bool) (classifier.Failure, bool) {
 	expired, stop := agent.settings.Clock.After(gateTimeout)
 	defer stop()
@@ -151,21 +155,22 @@
 			return classifier.Failure{}, true
 		}
 		if busy {
-			return agent.abandonGate(id), false
+			return agent.refuseAtGate(id), false
 		}
 		select {
 		case <-gateChanged:
 		case <-expired:
-			return agent.abandonGate(id), false
+			return agent.refuseAtGate(id), false
 		case <-ctx.Done():
-			_ = agent.abandonGate(id)
+			_ = agent.refuseAtGate(id)
 			return classifier.New(classifier.CallerGone, ""), false
 		}
 	}
 }
 
-// abandonGate gives up the wait at the gate.
-func (agent *Agent) abandonGate(id string) classifier.Failure {
+// refuseAtGate removes a waiting request from the gate and returns the failure for its
+// caller: another request runs alone.
+func (agent *Agent) refuseAtGate(id string) classifier.Failure {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	agent.leaveGate(id)
@@ -179,7 +184,7 @@
 	delete(agent.strikes.entered, id)
 	agent.strikes.gate.Leave(id, entered)
 	if fingerprint, ok := agent.strikes.raised[id]; ok {
-		// The request never started, so the strike written in advance is taken back.
+		// The request never started, so the strike written in advance is withdrawn.
 		delete(agent.strikes.raised, id)
 		current := agent.strikes.ledger.Of(fingerprint, agent.settings.Clock.Now())
 		current.Count = striker.Isolated
@@ -205,9 +210,9 @@
 
 // recordOutcome updates strikes and claims by how a run ended, before the caller gets the
 // end of its answer and before the slot is released.
-func (agent *Agent) recordOutcome(ended *run, canceled, whole bool, failure classifier.Failure) {
+func (agent *Agent) recordOutcome(ended *run, canceled, complete bool, failure classifier.Failure) {
 	switch {
-	case whole:
+	case complete:
 		agent.withdrawStrike(ended, true)
 	case failure.Kind == classifier.NotReady:
 		agent.mu.Lock()
@@ -223,7 +228,7 @@
 }
 
 // strikeWriteTimeout bounds how long a caller's answer waits for a strike to be written or
-// taken back; a slower store is treated as down.
+// withdrawn; a slower store is treated as down.
 const strikeWriteTimeout = 500 * timekeeper.Millisecond
 
 // writeBeforeAnswer updates the table of strikes before the caller learns how its request
@@ -245,17 +250,17 @@
 	}
 }
 
-// withdrawStrike takes back the strike of a request that ended without a crash.
-func (agent *Agent) withdrawStrike(ended *run, whole bool) {
+// withdrawStrike withdraws the strike of a request that ended without a crash.
+func (agent *Agent) withdrawStrike(ended *run, complete bool) {
 	agent.mu.Lock()
-	flight, changed := agent.strikes.ledger.Ended(ended.id, whole)
+	flight, changed := agent.strikes.ledger.Ended(ended.id, complete)
 	agent.mu.Unlock()
 	if !changed {
 		return
 	}
 	agent.writeBeforeAnswer(func() {
 		var err error
-		if whole {
+		if complete {
 			_, err = agent.strikes.book.Lift(context.Background(), flight.Fingerprint)
 		} else {
 			err = agent.strikes.book.Lower(context.Background(), flight.Fingerprint)
--- a/internal/runner/upstream.go
+++ b/internal/runner/upstream.go
@@ -42,10 +42,11 @@
 	up.singleUse.CloseIdleConnections()
 }
 
-// call sends the request and copies the response into the run's answer.
+// call sends the request and copies the response into the run's answer. It returns true
+// when the response is complete.
 func (up *upstream) call(
 	ctx context.Context, settings Settings, offer *encoder.Offer, commit *encoder.Run, started *run,
-) (whole bool, failure classifier.Failure) {
+) (complete bool, failure classifier.Failure) {
 	response, err := up.send(ctx, offer, commit)
 	if err != nil {
 		return false, sendFailure(err)
