--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -65,14 +65,14 @@
 		Record:      agent.record.Record,
 		Table:       agent.env.Platform.Table,
 
-		Hear:          agent.watcher.Hear,
-		Configuration: agent.watcher.Answer,
-		Mean:          agent.control.exchanger.Mean,
-		Room:          func() string { return agent.control.view.Room(settings.Service, settings.Name) },
-		Digests:       agent.control.exchanger.Answer,
-		Tell:          agent.control.admitDigest,
-		Peers:         func() placer.Roster { return agent.control.view.Roster(settings.Service) },
-		Open:          agent.pool.Open,
+		OnRevision:   agent.watcher.Hear,
+		AnswerConfig: agent.watcher.Answer,
+		Mean:         agent.control.exchanger.Mean,
+		Alternative:  func() string { return agent.control.view.Room(settings.Service, settings.Name) },
+		Digests:      agent.control.exchanger.Answer,
+		AllowDigest:  agent.control.admitDigest,
+		Replicas:     func() placer.Roster { return agent.control.view.Roster(settings.Service) },
+		Open:         agent.pool.Open,
 	})
 	if err != nil {
 		agent.release()
@@ -123,7 +123,7 @@
 		// with the stop, granted calls that still claim would wait for it and the
 		// drain would never end; rows that were being written would name an agent
 		// that has left.
-		go agent.callRunner.Keep(ctx)
+		go agent.callRunner.Maintain(ctx)
 		go func() { failed <- agent.callRunner.Serve(ctx, agent.listener) }()
 		select {
 		case err := <-failed:
@@ -151,7 +151,7 @@
 	started := agent.env.Clock.Now()
 	// Refuse before announcing, so that the replica takes no more work from a peer that
 	// the announcement reaches late.
-	agent.callRunner.Refuse()
+	agent.callRunner.StopAdmitting()
 	agent.control.exchanger.Announce(ctx)
 	err := agent.callRunner.Drain(ctx)
 	took := agent.env.Clock.Now().Since(started)
@@ -170,7 +170,7 @@
 func (agent *Agent) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout.Duration())
 	defer cancel()
-	agent.callRunner.HandOver(ctx)
+	agent.callRunner.FlushKeys(ctx)
 }
 
 // linger is how long a drained agent keeps its connections open. Closing a socket
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -10,37 +10,37 @@
 const (
 	Load   = "load"
 	Unload = "unload"
-	// ChangeRole makes an engine do another part of the work.
+	// ChangeRole makes an engine take another role.
 	ChangeRole = "change-role"
-	// ChangeVersion makes an engine run other weights.
+	// ChangeVersion makes an engine run another version of the weights.
 	ChangeVersion = "version"
-	// Show changes nothing and returns what the engine holds.
+	// Show changes nothing and returns the engine's state.
 	Show = "show"
 )
 
 const (
-	// riseAfter is how long a demand must stay high before another engine gets
-	// the adapter, and fallAfter how long it must stay low before one loses it.
-	// A load takes weights from a store that gives a few a minute; a surge of
-	// one team that lasts seconds must not push out what others need.
-	riseAfter = 30 * timekeeper.Second
-	fallAfter = 10 * timekeeper.Minute
+	// scaleUpAfter is how long a demand must stay high before another engine loads the
+	// adapter, and scaleDownAfter how long it must stay low before one unloads it. A load
+	// reads weights from a store that allows a few loads a minute; a surge of one team
+	// that lasts seconds must not evict adapters that other teams need.
+	scaleUpAfter   = 30 * timekeeper.Second
+	scaleDownAfter = 10 * timekeeper.Minute
 )
 
-// Order is one order to one engine.
+// Order is an order to one engine.
 type Order struct {
 	Engine  string
 	Action  string
 	Subject string
 }
 
-// takesWeights reports whether an order takes weights from the weight store,
-// and so is held to its rate.
-func (order Order) takesWeights() bool {
+// loadsWeights reports whether an order loads from the weight store, and so counts against
+// its rate.
+func (order Order) loadsWeights() bool {
 	return order.Action == Load || order.Action == ChangeVersion
 }
 
-// Engine is what an engine was last known to hold, and what is asked of it.
+// Engine is the last known state of an engine and the demand at it.
 type Engine struct {
 	Name    string
 	Loaded  []string
@@ -49,76 +49,78 @@
 	Demands []Demand
 }
 
-// Wanted is what the engines of a service should be. An empty role or version
-// leaves that of the engines as it is.
-type Wanted struct {
+// DesiredState is the desired state of a service's engines. An empty role or version
+// leaves the engines' own.
+type DesiredState struct {
 	Targets []Target
 	Role    string
 	Version string
 }
 
-// Spread decides on how many engines an adapter should be. It is an immutable
-// value: one for each adapter.
+// Spread tracks how many engines should load an adapter, and applies hysteresis to the
+// demand. It is an immutable value: one for each adapter.
 type Spread struct {
-	Engines int
-	high    timekeeper.Instant
-	low     timekeeper.Instant
+	Engines    int
+	aboveSince timekeeper.Instant
+	belowSince timekeeper.Instant
 }
 
-// WithWish takes in on how many engines the adapter's demand would like to be
-// now, and returns the spread after hysteresis. A wish counts once it has stood
-// on one side for its whole time; a wish in between starts the time anew.
-func (spread Spread) WithWish(wish int, now timekeeper.Instant) Spread {
-	wish = max(1, wish)
+// WithDesired returns the spread updated with the number of engines that the demand now
+// asks for. The first number is taken as it is. After that, Engines changes by one each
+// time the desired number has stayed above Engines, or below it, for the whole delay; a
+// desired number that is equal or on the other side restarts the delay.
+func (spread Spread) WithDesired(desired int, now timekeeper.Instant) Spread {
+	desired = max(1, desired)
 	switch {
 	case spread.Engines == 0:
-		spread.Engines = wish
-	case wish > spread.Engines:
-		spread.low = 0
-		spread.high, spread.Engines = hold(spread.high, now, riseAfter, spread.Engines, spread.Engines+1)
-	case wish < spread.Engines:
-		spread.high = 0
-		spread.low, spread.Engines = hold(spread.low, now, fallAfter, spread.Engines, spread.Engines-1)
+		spread.Engines = desired
+	case desired > spread.Engines:
+		spread.belowSince = 0
+		spread.aboveSince, spread.Engines = stepAfter(spread.aboveSince, now, scaleUpAfter, spread.Engines, spread.Engines+1)
+	case desired < spread.Engines:
+		spread.aboveSince = 0
+		spread.belowSince, spread.Engines = stepAfter(spread.belowSince, now, scaleDownAfter, spread.Engines, spread.Engines-1)
 	default:
-		spread.high, spread.low = 0, 0
+		spread.aboveSince, spread.belowSince = 0, 0
 	}
 	return spread
 }
 
-// hold returns since when a wish stands, and the count that follows from it.
-func hold(since, now timekeeper.Instant, after timekeeper.Span, stay, move int) (timekeeper.Instant, int) {
+// stepAfter returns moved and restarts the delay once the desired number has stayed above
+// current, or below it, for the delay after. Before that, it returns current. since is when
+// the delay started; zero means that it starts now.
+func stepAfter(since, now timekeeper.Instant, after timekeeper.Span, current, moved int) (timekeeper.Instant, int) {
 	switch {
 	case since == 0:
-		return now, stay
+		return now, current
 	case now.Since(since) < after:
-		return since, stay
+		return since, current
 	}
-	return now, move
+	return now, moved
 }
 
-// Target says on how many engines an adapter should be.
+// Target is the number of engines that should load an adapter.
 type Target struct {
 	Adapter string
 	Engines int
 }
 
-// Plan returns the orders that bring the engines to what is wanted: versions,
-// of one engine at most, since the others must carry its calls while it takes
-// new weights; roles; then loads,
-// on the engines that hold the least; then unloads, from the engines that hold
-// the most, and of every adapter that is no target. A load is never planned
-// for an adapter that is to be unloaded in the same plan, so a plan that is
-// carried out leaves nothing to do.
-func Plan(engines []Engine, want Wanted) []Order {
-	orders := orderStates(engines, want)
-	wanted := map[string]bool{}
-	for _, target := range want.Targets {
-		wanted[target.Adapter] = true
-		orders = append(orders, orderTarget(engines, target)...)
+// Plan returns the orders that bring the engines to the desired state. First come
+// versions, of one engine at most, since the others must serve its calls while it loads
+// new weights; then roles; then loads, on the engines with the fewest adapters; then
+// unloads, from the engines with the most, and of every adapter without a target. A plan
+// never loads an adapter that it also unloads elsewhere, so executing the loads and unloads
+// of a plan leaves none to do.
+func Plan(engines []Engine, desired DesiredState) []Order {
+	orders := planStates(engines, desired)
+	hasTarget := map[string]bool{}
+	for _, target := range desired.Targets {
+		hasTarget[target.Adapter] = true
+		orders = append(orders, planTarget(engines, target)...)
 	}
 	for _, engine := range engines {
 		for _, loaded := range engine.Loaded {
-			if !wanted[loaded] {
+			if !hasTarget[loaded] {
 				orders = append(orders, Order{Engine: engine.Name, Action: Unload, Subject: loaded})
 			}
 		}
@@ -139,64 +141,64 @@
 	return 3
 }
 
-// orderStates returns the orders about roles and versions.
-func orderStates(engines []Engine, want Wanted) []Order {
+// planStates returns the orders about roles and versions.
+func planStates(engines []Engine, desired DesiredState) []Order {
 	var orders []Order
 	changing := false
 	for _, engine := range engines {
-		if want.Version != "" && engine.Version != want.Version && !changing {
+		if desired.Version != "" && engine.Version != desired.Version && !changing {
 			changing = true
-			orders = append(orders, Order{Engine: engine.Name, Action: ChangeVersion, Subject: want.Version})
+			orders = append(orders, Order{Engine: engine.Name, Action: ChangeVersion, Subject: desired.Version})
 		}
-		if want.Role != "" && engine.Role != want.Role {
-			orders = append(orders, Order{Engine: engine.Name, Action: ChangeRole, Subject: want.Role})
+		if desired.Role != "" && engine.Role != desired.Role {
+			orders = append(orders, Order{Engine: engine.Name, Action: ChangeRole, Subject: desired.Role})
 		}
 	}
 	return orders
 }
 
-func orderTarget(engines []Engine, target Target) []Order {
-	var holders, others []Engine
+func planTarget(engines []Engine, target Target) []Order {
+	var withAdapter, without []Engine
 	for _, engine := range engines {
 		if slices.Contains(engine.Loaded, target.Adapter) {
-			holders = append(holders, engine)
+			withAdapter = append(withAdapter, engine)
 		} else {
-			others = append(others, engine)
+			without = append(without, engine)
 		}
 	}
-	byLoad := func(a, b Engine) int { return len(a.Loaded) - len(b.Loaded) }
-	slices.SortStableFunc(others, byLoad)
-	slices.SortStableFunc(holders, byLoad)
+	byAdapterCount := func(a, b Engine) int { return len(a.Loaded) - len(b.Loaded) }
+	slices.SortStableFunc(without, byAdapterCount)
+	slices.SortStableFunc(withAdapter, byAdapterCount)
 	count := min(target.Engines, len(engines))
 	orders := make([]Order, 0, len(engines))
-	for i := range max(0, count-len(holders)) {
-		orders = append(orders, Order{Engine: others[i].Name, Action: Load, Subject: target.Adapter})
+	for i := range max(0, count-len(withAdapter)) {
+		orders = append(orders, Order{Engine: without[i].Name, Action: Load, Subject: target.Adapter})
 	}
-	for i := range max(0, len(holders)-count) {
-		orders = append(orders, Order{Engine: holders[len(holders)-1-i].Name, Action: Unload, Subject: target.Adapter})
+	for i := range max(0, len(withAdapter)-count) {
+		orders = append(orders, Order{Engine: withAdapter[len(withAdapter)-1-i].Name, Action: Unload, Subject: target.Adapter})
 	}
 	return orders
 }
 
-// Pace keeps loads under the weight store's rate. It is an immutable value.
-type Pace struct {
+// RateLimiter keeps loads within the weight store's rate. It is an immutable value.
+type RateLimiter struct {
 	next timekeeper.Instant
 }
 
-// Allow reports whether a load may start now. Loads are spaced evenly, with no
-// burst: the weight store serves every engine of the fleet, and what one
-// service takes at once another waits for.
-func (pace Pace) Allow(perMinute int, now timekeeper.Instant) (Pace, bool) {
-	if now < pace.next {
-		return pace, false
+// Allow reports whether a load may start now. Loads are evenly spaced, with no burst: the
+// weight store serves every engine of the fleet, so a burst of one service delays the
+// others.
+func (limiter RateLimiter) Allow(perMinute int, now timekeeper.Instant) (RateLimiter, bool) {
+	if now < limiter.next {
+		return limiter, false
 	}
-	pace.next = now.Add(timekeeper.Minute / timekeeper.Span(max(1, perMinute)))
-	return pace, true
+	limiter.next = now.Add(timekeeper.Minute / timekeeper.Span(max(1, perMinute)))
+	return limiter, true
 }
 
-// After returns the pace of a planner that takes over: the holder before may
-// have started a load just now.
-func After(perMinute int, now timekeeper.Instant) Pace {
-	pace, _ := Pace{}.Allow(perMinute, now)
-	return pace
+// NewRateLimiter returns the limiter of a planner that has just acquired the lease. Its
+// first interval starts now, because the previous holder may have just started a load.
+func NewRateLimiter(perMinute int, now timekeeper.Instant) RateLimiter {
+	limiter, _ := RateLimiter{}.Allow(perMinute, now)
+	return limiter
 }
