--- a/internal/assembler/slopes_test.go
+++ b/internal/assembler/slopes_test.go
@@ -73,7 +73,7 @@
 			Key: claimer.RowKey("team", "orders", strconv.Itoa(i)), Request: "entry-1-1y2p0ij32e8e7-" + strconv.Itoa(i),
 			Expires: slopesAt.Add(timekeeper.Hour), Minted: true,
 		}
-		book.Ask(ask, slopesAt)
+		book.Claim(ask, slopesAt)
 		book.Start(ask.Request, slopesAt)
 		book.End(ask.Request, true, spreadHash(i))
 	}
--- a/internal/claimer/book.go
+++ b/internal/claimer/book.go
@@ -125,8 +125,8 @@
 	return verdict, verdict.Step == Refuse
 }
 
-// Ask decides about a keyed call that has a slot.
-func (book *Book) Ask(ask Call, now timekeeper.Instant) Verdict {
+// Claim decides about a keyed call that has a slot.
+func (book *Book) Claim(ask Call, now timekeeper.Instant) Verdict {
 	known := book.pages[ask.Key]
 	if known == nil {
 		return book.open(ask, now)
--- a/internal/claimer/claimer_bench_test.go
+++ b/internal/claimer/claimer_bench_test.go
@@ -78,7 +78,7 @@
 			expires, _, _ := mint.Check("t", "s", keys[0])
 			ask.Key, ask.Minted, ask.Expires = RowKey("t", "s", keys[0]), true, expires
 		}
-		verdict := book.Ask(ask, clock.Now())
+		verdict := book.Claim(ask, clock.Now())
 		if verdict.Step == Insert {
 			verdict = book.Settle(ask, committer.Commit(context.Background(), []Row{verdict.Row})[0])
 		}
--- a/internal/claimer/faults_test.go
+++ b/internal/claimer/faults_test.go
@@ -139,7 +139,7 @@
 }
 
 func (world *world) offer(send *send) {
-	verdict := send.at.book.Ask(send.ask, world.clock.Now())
+	verdict := send.at.book.Claim(send.ask, world.clock.Now())
 	if world.broken == "claim" && verdict.Step == Insert {
 		verdict = send.at.book.Settle(send.ask, Result{Outcome: Won})
 	}
--- a/internal/claimer/release_test.go
+++ b/internal/claimer/release_test.go
@@ -29,7 +29,7 @@
 			committer := NewCommitter(imitator.NewPlatform(timekeeper.Wall()).Seams().Table, now)
 			book := NewBook(Settings{Name: "leaver", Incarnation: 1})
 			ask := Call{Key: "key", Request: "first", Fingerprint: 9}
-			row := book.Ask(ask, 0).Row
+			row := book.Claim(ask, 0).Row
 			So(book.Settle(ask, committer.Commit(t.Context(), []Row{row})[0]).Step, ShouldEqual, Proceed)
 			test.then(book)
 			So(committer.Release(t.Context(), book.TakeUnused()), ShouldBeNil)
--- a/internal/runner/keys.go
+++ b/internal/runner/keys.go
@@ -110,7 +110,7 @@
 		// Its page may be gone, so whether it ran before is not known here.
 		return claimer.Verdict{Step: claimer.Refuse, Failure: classifier.New(classifier.KeyExpired, "")}
 	}
-	verdict := agent.keys.book.Ask(ask, now)
+	verdict := agent.keys.book.Claim(ask, now)
 	agent.leadTo(ask.Request, verdict)
 	return verdict
 }
