--- a/internal/claimer/book.go
+++ b/internal/claimer/book.go
@@ -198,8 +198,8 @@
 	return Verdict{Step: Refuse, Failure: failure}
 }
 
-// Settle takes in what became of a claim's row.
-func (book *Book) Settle(ask Call, result Result) Verdict {
+// Resolve takes in what became of a claim's row.
+func (book *Book) Resolve(ask Call, result Result) Verdict {
 	known := book.pages[ask.Key]
 	if known == nil || known.stage != claiming || known.owner.Request != ask.Request {
 		return refuse(classifier.New(classifier.Tombstoned, "the claim was given up"))
--- a/internal/claimer/claimer_bench_test.go
+++ b/internal/claimer/claimer_bench_test.go
@@ -80,7 +80,7 @@
 		}
 		verdict := book.Claim(ask, clock.Now())
 		if verdict.Step == Insert {
-			verdict = book.Settle(ask, committer.Commit(context.Background(), []Row{verdict.Row})[0])
+			verdict = book.Resolve(ask, committer.Commit(context.Background(), []Row{verdict.Row})[0])
 		}
 		if verdict.Step == Proceed && book.Start(ask.Request, clock.Now()) {
 			ran++
--- a/internal/claimer/faults_test.go
+++ b/internal/claimer/faults_test.go
@@ -141,7 +141,7 @@
 func (world *world) offer(send *send) {
 	verdict := send.at.book.Claim(send.ask, world.clock.Now())
 	if world.broken == "claim" && verdict.Step == Insert {
-		verdict = send.at.book.Settle(send.ask, Result{Outcome: Won})
+		verdict = send.at.book.Resolve(send.ask, Result{Outcome: Won})
 	}
 	if verdict.Step == Insert {
 		send.stage = writing
@@ -187,7 +187,7 @@
 	}
 	results := at.committer.Commit(context.Background(), rows)
 	for i, send := range group {
-		world.settled(send, at.book.Settle(send.ask, results[i]))
+		world.settled(send, at.book.Resolve(send.ask, results[i]))
 	}
 }
 
--- a/internal/claimer/release_test.go
+++ b/internal/claimer/release_test.go
@@ -30,7 +30,7 @@
 			book := NewBook(Settings{Name: "leaver", Incarnation: 1})
 			ask := Call{Key: "key", Request: "first", Fingerprint: 9}
 			row := book.Claim(ask, 0).Row
-			So(book.Settle(ask, committer.Commit(t.Context(), []Row{row})[0]).Step, ShouldEqual, Proceed)
+			So(book.Resolve(ask, committer.Commit(t.Context(), []Row{row})[0]).Step, ShouldEqual, Proceed)
 			test.then(book)
 			So(committer.Release(t.Context(), book.TakeUnused()), ShouldBeNil)
 			So(book.Start("first", 0) && test.free, ShouldBeFalse)
--- a/internal/runner/keys.go
+++ b/internal/runner/keys.go
@@ -118,7 +118,7 @@
 func (agent *Agent) settle(ask claimer.Call, result claimer.Result) claimer.Verdict {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	verdict := agent.keys.book.Settle(ask, result)
+	verdict := agent.keys.book.Resolve(ask, result)
 	agent.leadTo(ask.Request, verdict)
 	return verdict
 }
