--- a/internal/claimer/book.go
+++ b/internal/claimer/book.go
@@ -295,9 +295,9 @@
 	}
 }
 
-// NotRun takes a start back. It is only for a run that is known not to have
+// RevertStart takes a start back. It is only for a run that is known not to have
 // reached the upstream, such as one whose connection was refused.
-func (book *Book) NotRun(request string) {
+func (book *Book) RevertStart(request string) {
 	known := book.pages[book.byRequest[request]]
 	if known != nil && known.stage == started && known.owner.Request == request {
 		known.stage = free
--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -211,7 +211,7 @@
 	case failure.Kind == classifier.NotReady:
 		agent.mu.Lock()
 		agent.strikes.ledger.Away(agent.settings.Clock.Now())
-		agent.keys.book.NotRun(ended.id)
+		agent.keys.book.RevertStart(ended.id)
 		agent.mu.Unlock()
 		agent.cleared(ended, false)
 	case canceled || failure.Detail == noTerminal:
