--- a/internal/claimer/book.go
+++ b/internal/claimer/book.go
@@ -80,8 +80,8 @@
 type Settings struct {
 	Name        string
 	Incarnation uint64
-	// Life is how long a claim binds its key; zero means 24 hours.
-	Life timekeeper.Span
+	// Lifetime is how long a claim binds its key; zero means 24 hours.
+	Lifetime timekeeper.Span
 	// Most is how many keys the book holds; zero means 65,536. A page
 	// whose run has ended is 230 bytes, so the default bounds it near 15 MB.
 	Most int
@@ -105,8 +105,8 @@
 
 // NewBook returns an empty book.
 func NewBook(settings Settings) *Book {
-	if settings.Life == 0 {
-		settings.Life = 24 * timekeeper.Hour
+	if settings.Lifetime == 0 {
+		settings.Lifetime = 24 * timekeeper.Hour
 	}
 	if settings.Most == 0 {
 		settings.Most = 1 << 16
@@ -156,7 +156,7 @@
 		stage:       claiming,
 		owner:       Owner{Agent: book.settings.Name, Incarnation: book.settings.Incarnation, Request: ask.Request},
 		fingerprint: ask.Fingerprint,
-		expires:     now.Add(book.settings.Life),
+		expires:     now.Add(book.settings.Lifetime),
 		minted:      ask.Minted,
 	}
 	book.pages[ask.Key] = made
