--- a/internal/claimer/book.go
+++ b/internal/claimer/book.go
@@ -82,9 +82,9 @@
 	Incarnation uint64
 	// Lifetime is how long a claim binds its key; zero means 24 hours.
 	Lifetime timekeeper.Span
-	// Most is how many keys the book holds; zero means 65,536. A page
+	// MaxKeys is how many keys the book holds; zero means 65,536. A page
 	// whose run has ended is 230 bytes, so the default bounds it near 15 MB.
-	Most int
+	MaxKeys int
 }
 
 // Grace is how long past a claim's expiry it is still respected by others. An
@@ -108,8 +108,8 @@
 	if settings.Lifetime == 0 {
 		settings.Lifetime = 24 * timekeeper.Hour
 	}
-	if settings.Most == 0 {
-		settings.Most = 1 << 16
+	if settings.MaxKeys == 0 {
+		settings.MaxKeys = 1 << 16
 	}
 	return &Book{settings: settings, pages: map[string]*page{}, byRequest: map[string]string{}}
 }
@@ -149,7 +149,7 @@
 func (book *Book) open(ask Call, now timekeeper.Instant) Verdict {
 	// A minted key has no row that would remember it, so its page must not be
 	// dropped before the key expires. A full book refuses instead: not run.
-	if len(book.pages) >= book.settings.Most && !book.makeRoom(now) {
+	if len(book.pages) >= book.settings.MaxKeys && !book.makeRoom(now) {
 		return refuse(classifier.New(classifier.Overloaded, "too many keys are held").WithRetryAfter(timekeeper.Second))
 	}
 	made := &page{
@@ -334,14 +334,14 @@
 // makeRoom drops pages that may be forgotten: expired ones, and claims whose
 // row remembers them. It reports whether there is room now.
 func (book *Book) makeRoom(now timekeeper.Instant) bool {
-	most := book.settings.Most - book.settings.Most/8
+	most := book.settings.MaxKeys - book.settings.MaxKeys/8
 	book.drop(func(known *page) bool { return now.Since(known.expires) > Grace })
 	if len(book.pages) > most {
 		book.drop(func(known *page) bool {
 			return len(book.pages) > most && !known.minted && (known.stage == ended || known.stage == foreign)
 		})
 	}
-	return len(book.pages) < book.settings.Most
+	return len(book.pages) < book.settings.MaxKeys
 }
 
 func (book *Book) drop(may func(known *page) bool) {
