--- a/internal/claimer/committer.go
+++ b/internal/claimer/committer.go
@@ -18,8 +18,8 @@
 	Won Outcome = iota + 1
 	// Lost says that the row names another request.
 	Lost
-	// Unsure says that the store did not tell.
-	Unsure
+	// Unknown says that the store did not tell.
+	Unknown
 )
 
 // Result is the outcome of one claim; Row is the row that was found when Lost.
@@ -61,13 +61,13 @@
 	select {
 	case committer.queue <- claim:
 	case <-ctx.Done():
-		return Result{Outcome: Unsure}
+		return Result{Outcome: Unknown}
 	}
 	select {
 	case result := <-claim.result:
 		return result
 	case <-ctx.Done():
-		return Result{Outcome: Unsure}
+		return Result{Outcome: Unknown}
 	}
 }
 
@@ -132,7 +132,7 @@
 		}
 	}
 	for _, i := range open {
-		results[i] = Result{Outcome: Unsure}
+		results[i] = Result{Outcome: Unknown}
 	}
 	return results
 }
@@ -165,13 +165,13 @@
 			continue
 		}
 		if err != nil {
-			results[i] = Result{Outcome: Unsure}
+			results[i] = Result{Outcome: Unknown}
 			continue
 		}
 		found, err := decode(stored)
 		switch {
 		case err != nil:
-			results[i] = Result{Outcome: Unsure}
+			results[i] = Result{Outcome: Unknown}
 		case found.Owner == rows[i].Owner:
 			results[i] = Result{Outcome: Won}
 		case committer.now().Since(found.Expires) > Grace:
--- a/internal/claimer/committer_test.go
+++ b/internal/claimer/committer_test.go
@@ -32,9 +32,9 @@
 		Step: func(state, input, output any) []any {
 			owner, claim, result := state.(string), input.(claimInput), output.(claimOutput)
 			switch {
-			case result.outcome == Unsure && owner == "":
+			case result.outcome == Unknown && owner == "":
 				return []any{"", claim.request}
-			case result.outcome == Unsure:
+			case result.outcome == Unknown:
 				return []any{owner}
 			case result.outcome == Won && owner == "":
 				return []any{claim.request}
