--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -71,7 +71,7 @@
 	switch {
 	case strike.Count >= striker.Barred:
 		return classifier.New(classifier.Struck, "until "+strike.Expires.String()), false
-	case strike.Count < striker.Isolated:
+	case strike.Count < striker.IsolationThreshold:
 		return agent.passGate(ctx, offer.GetRequestId(), false)
 	}
 	return agent.isolate(ctx, offer, strike)
@@ -181,7 +181,7 @@
 		// It never began, so it must not keep the strike that was written first.
 		delete(agent.strikes.raised, id)
 		known := agent.strikes.ledger.Of(fingerprint, agent.settings.Clock.Now())
-		known.Count = striker.Isolated
+		known.Count = striker.IsolationThreshold
 		agent.strikes.ledger.Put(known)
 		go func() { _ = agent.strikes.book.Lower(context.Background(), fingerprint) }()
 	}
--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// Isolated is the number of strikes from which a request runs alone.
-	Isolated = 1
+	// IsolationThreshold is the number of strikes from which a request runs alone.
+	IsolationThreshold = 1
 	// Barred is the number of strikes from which a request is refused. It is
 	// the number of engines that one bad request may cost: the first crash
 	// can't tell it from what ran beside it, the second can.
@@ -141,7 +141,7 @@
 	if whole {
 		delete(ledger.strikes, flight.Fingerprint)
 	} else if flight.Alone {
-		known.Count = Isolated
+		known.Count = IsolationThreshold
 		ledger.strikes[flight.Fingerprint] = known
 	}
 	return flight, whole || flight.Alone
--- a/internal/striker/siege_test.go
+++ b/internal/striker/siege_test.go
@@ -21,7 +21,7 @@
 var (
 	unprotected = policy{name: "no protection"}
 	firstCrash  = policy{name: "refused at the first crash", barred: 1}
-	ours        = policy{name: "isolated, then refused", isolate: Isolated, barred: Barred}
+	ours        = policy{name: "isolated, then refused", isolate: IsolationThreshold, barred: Barred}
 )
 
 // site is a service of several engines, each with its agent, in virtual time.
@@ -249,7 +249,7 @@
 		t.Fatal(err)
 	}
 	strikes, err := book.List(ctx, "", 8)
-	if err != nil || len(strikes) != 1 || strikes[0].Count != Isolated {
+	if err != nil || len(strikes) != 1 || strikes[0].Count != IsolationThreshold {
 		t.Fatal(strikes, err)
 	}
 	clock.Advance(2 * DefaultLife)
--- a/internal/striker/table.go
+++ b/internal/striker/table.go
@@ -98,7 +98,7 @@
 // Lower takes the second strike of an isolated run back to one.
 func (book Book) Lower(ctx context.Context, fingerprint uint64) error {
 	return book.change(ctx, fingerprint, func(row Strike, found bool) (Strike, bool) {
-		row.Count = Isolated
+		row.Count = IsolationThreshold
 		return row, found
 	})
 }
