--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -69,7 +69,7 @@
 		return failure, false
 	}
 	switch {
-	case strike.Count >= striker.Barred:
+	case strike.Count >= striker.RefusalThreshold:
 		return classifier.New(classifier.Struck, "until "+strike.Expires.String()), false
 	case strike.Count < striker.IsolationThreshold:
 		return agent.passGate(ctx, offer.GetRequestId(), false)
--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -9,10 +9,10 @@
 const (
 	// IsolationThreshold is the number of strikes from which a request runs alone.
 	IsolationThreshold = 1
-	// Barred is the number of strikes from which a request is refused. It is
+	// RefusalThreshold is the number of strikes from which a request is refused. It is
 	// the number of engines that one bad request may cost: the first crash
 	// can't tell it from what ran beside it, the second can.
-	Barred = 2
+	RefusalThreshold = 2
 	// DefaultLife is how long a strike counts. It is longer than callers keep
 	// resending, and short enough that a request that was struck by an
 	// engine's own fault is not refused for a day.
@@ -201,6 +201,6 @@
 		count = max(count, own.Count)
 	}
 	strike.Saved = found && count == row.Count
-	strike.Count = min(count, Barred)
+	strike.Count = min(count, RefusalThreshold)
 	return strike
 }
--- a/internal/striker/siege_test.go
+++ b/internal/striker/siege_test.go
@@ -21,7 +21,7 @@
 var (
 	unprotected = policy{name: "no protection"}
 	firstCrash  = policy{name: "refused at the first crash", barred: 1}
-	ours        = policy{name: "isolated, then refused", isolate: IsolationThreshold, barred: Barred}
+	ours        = policy{name: "isolated, then refused", isolate: IsolationThreshold, barred: RefusalThreshold}
 )
 
 // site is a service of several engines, each with its agent, in virtual time.
@@ -164,7 +164,7 @@
 	// agent meets the request next.
 	const seeds = 400
 	for seed := range uint64(seeds) {
-		if lost, refused := siege(ours, seed); lost > Barred || refused > 0 {
+		if lost, refused := siege(ours, seed); lost > RefusalThreshold || refused > 0 {
 			t.Fatalf("seed %d: %d engines lost, %d good requests refused", seed, lost, refused)
 		}
 	}
@@ -184,7 +184,7 @@
 			}
 			b.ReportMetric(float64(lost)/seeds, "engines-lost")
 			b.ReportMetric(float64(refused)/seeds, "innocents-refused")
-			if policy == ours && (lost > Barred*seeds || refused > 0) {
+			if policy == ours && (lost > RefusalThreshold*seeds || refused > 0) {
 				b.Fatalf("%d engines lost and %d good requests refused in %d runs", lost, refused, seeds)
 			}
 		})
