--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -94,7 +94,7 @@
 	strike := striker.Weigh(own, row, found, int(offer.GetStrikes()))
 	strike.Fingerprint, strike.Team, strike.Service = offer.GetFingerprint(), offer.GetTeam(), offer.GetService()
 	if !found {
-		strike.Expires = agent.settings.Clock.Now().Add(striker.DefaultLife)
+		strike.Expires = agent.settings.Clock.Now().Add(striker.DefaultLifetime)
 	}
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -110,7 +110,7 @@
 	if failure, ok := agent.passGate(ctx, id, true); !ok {
 		return failure, false
 	}
-	raised := strike.More(agent.settings.Name, agent.settings.Clock.Now().Add(striker.DefaultLife))
+	raised := strike.More(agent.settings.Name, agent.settings.Clock.Now().Add(striker.DefaultLifetime))
 	err := agent.strikes.book.Raise(ctx, raised)
 	if err == nil {
 		raised.Saved = true
--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -13,10 +13,10 @@
 	// the number of engines that one bad request may cost: the first crash
 	// can't tell it from what ran beside it, the second can.
 	RefusalThreshold = 2
-	// DefaultLife is how long a strike counts. It is longer than callers keep
+	// DefaultLifetime is how long a strike counts. It is longer than callers keep
 	// resending, and short enough that a request that was struck by an
 	// engine's own fault is not refused for a day.
-	DefaultLife = timekeeper.Hour
+	DefaultLifetime = timekeeper.Hour
 	// mostStrikes bounds the ledger: a crash strikes at most the engine's
 	// slots, so this is some hundred crashes within an hour at one agent.
 	mostStrikes = 4096
@@ -73,7 +73,7 @@
 // NewLedger returns an empty ledger of the named agent. Zero life means DefaultLife.
 func NewLedger(name string, life timekeeper.Span) *Ledger {
 	if life == 0 {
-		life = DefaultLife
+		life = DefaultLifetime
 	}
 	return &Ledger{name: name, life: life, flights: map[string]Flight{}, strikes: map[uint64]Strike{}}
 }
--- a/internal/striker/siege_test.go
+++ b/internal/striker/siege_test.go
@@ -86,7 +86,7 @@
 
 // alone writes the second strike and runs one request by itself.
 func (site *site) alone(ledger *Ledger, strike Strike) []uint64 {
-	raised := strike.More(ledger.name, site.clock.Now().Add(DefaultLife))
+	raised := strike.More(ledger.name, site.clock.Now().Add(DefaultLifetime))
 	if site.book.Raise(context.Background(), raised) != nil {
 		return []uint64{strike.Fingerprint}
 	}
@@ -206,7 +206,7 @@
 	if count := ledger.Of(0, 20).Count; count != 1 {
 		t.Errorf("two copies in one crash count %d", count)
 	}
-	if count := ledger.Of(0, 21+timekeeper.Instant(DefaultLife)).Count; count != 0 {
+	if count := ledger.Of(0, 21+timekeeper.Instant(DefaultLifetime)).Count; count != 0 {
 		t.Errorf("%d strikes after the expiry", count)
 	}
 }
@@ -234,15 +234,15 @@
 	platform := imitator.NewPlatform(clock.Clock())
 	book := NewBook(platform.Seams().Table, clock.Now)
 	ctx := context.Background()
-	first := Strike{Fingerprint: 9}.More("crashed", clock.Now().Add(DefaultLife))
+	first := Strike{Fingerprint: 9}.More("crashed", clock.Now().Add(DefaultLifetime))
 	if err := book.Add(ctx, Strike{Fingerprint: 9, Expires: first.Expires}, "crashed"); err != nil {
 		t.Fatal(err)
 	}
 	platform.SetFaults(imitator.PlatformFaults{LoseAnswers: 1})
-	if err := book.Raise(ctx, first.More("a", clock.Now().Add(DefaultLife+1))); err != nil {
+	if err := book.Raise(ctx, first.More("a", clock.Now().Add(DefaultLifetime+1))); err != nil {
 		t.Fatal("a write whose answer was lost is its writer's own:", err)
 	}
-	if err := book.Raise(ctx, first.More("b", clock.Now().Add(DefaultLife+2))); !errors.Is(err, storekeeper.ErrConflict) {
+	if err := book.Raise(ctx, first.More("b", clock.Now().Add(DefaultLifetime+2))); !errors.Is(err, storekeeper.ErrConflict) {
 		t.Fatal("the second agent must lose:", err)
 	}
 	if err := book.Lower(ctx, 9); err != nil {
@@ -252,7 +252,7 @@
 	if err != nil || len(strikes) != 1 || strikes[0].Count != IsolationThreshold {
 		t.Fatal(strikes, err)
 	}
-	clock.Advance(2 * DefaultLife)
+	clock.Advance(2 * DefaultLifetime)
 	if strikes, err = book.List(ctx, "", 8); err != nil || len(strikes) != 0 {
 		t.Fatal("expired strikes are still listed:", strikes, err)
 	}
