--- a/internal/assembler/budget_test.go
+++ b/internal/assembler/budget_test.go
@@ -111,7 +111,7 @@
 		{"each of these resent: weighed, raised and lifted", storekeeper.ForStrikes, func(one spender, name string) {
 			for i := range uint64(struck) {
 				strike, _, _, _ := one.book.Read(t.Context(), uint64(name[len(name)-1])<<8+i)
-				_ = one.book.Raise(t.Context(), strike.More(name, clock.Clock().Now().Add(2*timekeeper.Hour)))
+				_ = one.book.Raise(t.Context(), strike.WithCrash(name, clock.Clock().Now().Add(2*timekeeper.Hour)))
 				_, _ = one.book.Lift(t.Context(), strike.Fingerprint)
 			}
 		}, 3 * struck, 2 * struck},
--- a/internal/assembler/slopes_test.go
+++ b/internal/assembler/slopes_test.go
@@ -84,7 +84,7 @@
 	ledger := striker.NewLedger("planner-1", 0)
 	for i := range count {
 		none := striker.Strike{Fingerprint: spreadHash(i), Service: "planner", Team: "team"}
-		ledger.Put(none.More("planner-1", slopesAt.Add(timekeeper.Hour)))
+		ledger.Put(none.WithCrash("planner-1", slopesAt.Add(timekeeper.Hour)))
 	}
 	return ledger
 }
--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -110,7 +110,7 @@
 	if failure, ok := agent.passGate(ctx, id, true); !ok {
 		return failure, false
 	}
-	raised := strike.More(agent.settings.Name, agent.settings.Clock.Now().Add(striker.DefaultLifetime))
+	raised := strike.WithCrash(agent.settings.Name, agent.settings.Clock.Now().Add(striker.DefaultLifetime))
 	err := agent.strikes.book.Raise(ctx, raised)
 	if err == nil {
 		raised.Saved = true
--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -38,8 +38,8 @@
 	Saved bool `json:"-"`
 }
 
-// More returns the strike with one more crash at the instance.
-func (strike Strike) More(instance string, expires timekeeper.Instant) Strike {
+// WithCrash returns the strike with one more crash at the instance.
+func (strike Strike) WithCrash(instance string, expires timekeeper.Instant) Strike {
 	strike.Count++
 	strike.Expires = expires
 	strike.Instances = append(slices.Clone(strike.Instances), instance)
@@ -112,7 +112,7 @@
 	expires := now.Add(ledger.life)
 	// The second strike of an isolated run was written before it began.
 	if !flight.Alone {
-		known = known.More(ledger.name, expires)
+		known = known.WithCrash(ledger.name, expires)
 	}
 	known.Fingerprint, known.Team, known.Service = flight.Fingerprint, flight.Team, flight.Service
 	known.incident = ledger.incident
--- a/internal/striker/siege_test.go
+++ b/internal/striker/siege_test.go
@@ -86,7 +86,7 @@
 
 // alone writes the second strike and runs one request by itself.
 func (site *site) alone(ledger *Ledger, strike Strike) []uint64 {
-	raised := strike.More(ledger.name, site.clock.Now().Add(DefaultLifetime))
+	raised := strike.WithCrash(ledger.name, site.clock.Now().Add(DefaultLifetime))
 	if site.book.Raise(context.Background(), raised) != nil {
 		return []uint64{strike.Fingerprint}
 	}
@@ -234,15 +234,15 @@
 	platform := imitator.NewPlatform(clock.Clock())
 	book := NewBook(platform.Seams().Table, clock.Now)
 	ctx := context.Background()
-	first := Strike{Fingerprint: 9}.More("crashed", clock.Now().Add(DefaultLifetime))
+	first := Strike{Fingerprint: 9}.WithCrash("crashed", clock.Now().Add(DefaultLifetime))
 	if err := book.Add(ctx, Strike{Fingerprint: 9, Expires: first.Expires}, "crashed"); err != nil {
 		t.Fatal(err)
 	}
 	platform.SetFaults(imitator.PlatformFaults{LoseAnswers: 1})
-	if err := book.Raise(ctx, first.More("a", clock.Now().Add(DefaultLifetime+1))); err != nil {
+	if err := book.Raise(ctx, first.WithCrash("a", clock.Now().Add(DefaultLifetime+1))); err != nil {
 		t.Fatal("a write whose answer was lost is its writer's own:", err)
 	}
-	if err := book.Raise(ctx, first.More("b", clock.Now().Add(DefaultLifetime+2))); !errors.Is(err, storekeeper.ErrConflict) {
+	if err := book.Raise(ctx, first.WithCrash("b", clock.Now().Add(DefaultLifetime+2))); !errors.Is(err, storekeeper.ErrConflict) {
 		t.Fatal("the second agent must lose:", err)
 	}
 	if err := book.Lower(ctx, 9); err != nil {
--- a/internal/striker/table.go
+++ b/internal/striker/table.go
@@ -61,7 +61,7 @@
 func (book Book) Add(ctx context.Context, strike Strike, instance string) error {
 	fresh := strike
 	fresh.Count, fresh.Instances = 0, nil
-	err := book.write(ctx, fresh.More(instance, strike.Expires), 0)
+	err := book.write(ctx, fresh.WithCrash(instance, strike.Expires), 0)
 	if !eris.Is(err, storekeeper.ErrConflict) && !eris.Is(err, storekeeper.ErrUnknown) {
 		return err
 	}
@@ -73,7 +73,7 @@
 		if row.lastAt(instance, strike.Expires) {
 			return row, false
 		}
-		return row.More(instance, strike.Expires), true
+		return row.WithCrash(instance, strike.Expires), true
 	})
 }
 
