--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -54,8 +54,8 @@
 	Team        string
 	Service     string
 	Began       timekeeper.Instant
-	// Alone says that it runs in isolation, with its second strike written.
-	Alone bool
+	// Isolated says that it runs in isolation, with its second strike written.
+	Isolated bool
 }
 
 // Ledger is what one agent knows about strikes and about what is in flight.
@@ -111,7 +111,7 @@
 	delete(ledger.flights, request)
 	expires := now.Add(ledger.life)
 	// The second strike of an isolated run was written before it began.
-	if !flight.Alone {
+	if !flight.Isolated {
 		known = known.WithCrash(ledger.name, expires)
 	}
 	known.Fingerprint, known.Team, known.Service = flight.Fingerprint, flight.Team, flight.Service
@@ -140,11 +140,11 @@
 	}
 	if whole {
 		delete(ledger.strikes, flight.Fingerprint)
-	} else if flight.Alone {
+	} else if flight.Isolated {
 		known.Count = IsolationThreshold
 		ledger.strikes[flight.Fingerprint] = known
 	}
-	return flight, whole || flight.Alone
+	return flight, whole || flight.Isolated
 }
 
 // Recovered notes that the engine answers again.
--- a/internal/striker/siege_test.go
+++ b/internal/striker/siege_test.go
@@ -93,7 +93,7 @@
 	raised.Saved = true
 	ledger.Put(raised)
 	ledger.Begin(Flight{
-		Request: fmt.Sprint(strike.Fingerprint), Fingerprint: strike.Fingerprint, Began: site.clock.Now(), Alone: true,
+		Request: fmt.Sprint(strike.Fingerprint), Fingerprint: strike.Fingerprint, Began: site.clock.Now(), Isolated: true,
 	})
 	return site.run(ledger, []uint64{strike.Fingerprint})
 }
