--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -270,7 +270,7 @@
 func (agent *Agent) broke(ended *run) {
 	now := agent.settings.Clock.Now()
 	agent.mu.Lock()
-	strike, struck := agent.strikes.ledger.Broke(ended.id, now)
+	strike, struck := agent.strikes.ledger.ConnectionBroke(ended.id, now)
 	agent.mu.Unlock()
 	if !struck {
 		agent.cleared(ended, false)
--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -83,7 +83,7 @@
 	ledger.flights[flight.Request] = flight
 }
 
-// Broke notes that the engine broke the connection of a request before its
+// ConnectionBroke notes that the engine broke the connection of a request before its
 // answer was whole. It returns the strike, and true when it is new; otherwise
 // the request has yet to be noted as Ended.
 //
@@ -92,7 +92,7 @@
 // without that rule every request that comes while an engine restarts would be
 // struck. Copies of one request in one incident are struck once, since they
 // cost one engine.
-func (ledger *Ledger) Broke(request string, now timekeeper.Instant) (Strike, bool) {
+func (ledger *Ledger) ConnectionBroke(request string, now timekeeper.Instant) (Strike, bool) {
 	flight, ok := ledger.flights[request]
 	if !ok {
 		return Strike{}, false
--- a/internal/striker/siege_test.go
+++ b/internal/striker/siege_test.go
@@ -117,7 +117,7 @@
 	site.lost++
 	site.heal()
 	for _, fingerprint := range running {
-		strike, struck := ledger.Broke(fmt.Sprint(fingerprint), site.clock.Now())
+		strike, struck := ledger.ConnectionBroke(fmt.Sprint(fingerprint), site.clock.Now())
 		if struck && !strike.Saved {
 			_ = site.book.Add(context.Background(), strike, ledger.name)
 			strike.Saved = true
@@ -199,7 +199,7 @@
 		ledger.Begin(Flight{Request: fmt.Sprint(i), Fingerprint: uint64(i / 2 * 7), Began: began})
 	}
 	for i, want := range []bool{true, false, false} {
-		if _, struck := ledger.Broke(fmt.Sprint(i), 20); struck != want {
+		if _, struck := ledger.ConnectionBroke(fmt.Sprint(i), 20); struck != want {
 			t.Errorf("request %d: struck is %v", i, struck)
 		}
 	}
