--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -210,7 +210,7 @@
 		agent.cleared(ended, true)
 	case failure.Kind == classifier.NotReady:
 		agent.mu.Lock()
-		agent.strikes.ledger.Away(agent.settings.Clock.Now())
+		agent.strikes.ledger.MarkUnreachable(agent.settings.Clock.Now())
 		agent.keys.book.RevertStart(ended.id)
 		agent.mu.Unlock()
 		agent.cleared(ended, false)
--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -120,8 +120,8 @@
 	return known, true
 }
 
-// Away notes that the engine can't be reached, without a crash that was seen.
-func (ledger *Ledger) Away(now timekeeper.Instant) {
+// MarkUnreachable notes that the engine can't be reached, without a crash that was seen.
+func (ledger *Ledger) MarkUnreachable(now timekeeper.Instant) {
 	if !ledger.down {
 		ledger.down, ledger.crashed = true, now
 		ledger.incident++
