--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -56,7 +56,7 @@
 func (agent *Agent) enter(ctx context.Context, offer *encoder.Offer) (classifier.Failure, bool) {
 	agent.mu.Lock()
 	down := agent.strikes.ledger.Down()
-	own := agent.strikes.ledger.Of(offer.GetFingerprint(), agent.settings.Clock.Now())
+	own := agent.strikes.ledger.Lookup(offer.GetFingerprint(), agent.settings.Clock.Now())
 	agent.mu.Unlock()
 	if down {
 		return agent.engineAway(), false
@@ -180,7 +180,7 @@
 	if fingerprint, ok := agent.strikes.raised[id]; ok {
 		// It never began, so it must not keep the strike that was written first.
 		delete(agent.strikes.raised, id)
-		known := agent.strikes.ledger.Of(fingerprint, agent.settings.Clock.Now())
+		known := agent.strikes.ledger.Lookup(fingerprint, agent.settings.Clock.Now())
 		known.Count = striker.IsolationThreshold
 		agent.strikes.ledger.Put(known)
 		go func() { _ = agent.strikes.book.Lower(context.Background(), fingerprint) }()
@@ -295,7 +295,7 @@
 	}
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	known := agent.strikes.ledger.Of(strike.Fingerprint, agent.settings.Clock.Now())
+	known := agent.strikes.ledger.Lookup(strike.Fingerprint, agent.settings.Clock.Now())
 	if known.Count == 0 {
 		// The request ran whole here while the row was written.
 		go func() { _, _ = agent.strikes.book.Lift(context.Background(), strike.Fingerprint) }()
@@ -308,7 +308,7 @@
 
 // strikesOf returns the strikes of a request for a digest; Agent.mu must be held.
 func (agent *Agent) strikesOf(fingerprint uint64) []*encoder.Strike {
-	known := agent.strikes.ledger.Of(fingerprint, agent.settings.Clock.Now())
+	known := agent.strikes.ledger.Lookup(fingerprint, agent.settings.Clock.Now())
 	if known.Count == 0 {
 		return nil
 	}
--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -104,7 +104,7 @@
 	if ledger.crashed.Before(flight.Began) {
 		return Strike{}, false
 	}
-	known := ledger.Of(flight.Fingerprint, now)
+	known := ledger.Lookup(flight.Fingerprint, now)
 	if known.incident == ledger.incident {
 		return Strike{}, false
 	}
@@ -157,8 +157,8 @@
 	return ledger.down
 }
 
-// Of returns what is known of a fingerprint; a strike past its expiry is none.
-func (ledger *Ledger) Of(fingerprint uint64, now timekeeper.Instant) Strike {
+// Lookup returns what is known of a fingerprint; a strike past its expiry is none.
+func (ledger *Ledger) Lookup(fingerprint uint64, now timekeeper.Instant) Strike {
 	known, ok := ledger.strikes[fingerprint]
 	if !ok || !now.Before(known.Expires) {
 		delete(ledger.strikes, fingerprint)
--- a/internal/striker/siege_test.go
+++ b/internal/striker/siege_test.go
@@ -56,7 +56,7 @@
 // it can't know them now.
 func (site *site) weigh(ledger *Ledger, fingerprint uint64) (Strike, bool) {
 	row, _, found, err := site.book.Read(context.Background(), fingerprint)
-	strike := Weigh(ledger.Of(fingerprint, site.clock.Now()), row, found, 0)
+	strike := Weigh(ledger.Lookup(fingerprint, site.clock.Now()), row, found, 0)
 	strike.Fingerprint = fingerprint
 	return strike, err == nil
 }
@@ -203,10 +203,10 @@
 			t.Errorf("request %d: struck is %v", i, struck)
 		}
 	}
-	if count := ledger.Of(0, 20).Count; count != 1 {
+	if count := ledger.Lookup(0, 20).Count; count != 1 {
 		t.Errorf("two copies in one crash count %d", count)
 	}
-	if count := ledger.Of(0, 21+timekeeper.Instant(DefaultLifetime)).Count; count != 0 {
+	if count := ledger.Lookup(0, 21+timekeeper.Instant(DefaultLifetime)).Count; count != 0 {
 		t.Errorf("%d strikes after the expiry", count)
 	}
 }
