--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -91,7 +91,7 @@
 		failure := classifier.New(classifier.StoreDown, "the request has a strike, and the record of strikes can't be read")
 		return striker.Strike{}, failure.WithRetryAfter(2 * timekeeper.Second), false
 	}
-	strike := striker.Weigh(own, row, found, int(offer.GetStrikes()))
+	strike := striker.Merge(own, row, found, int(offer.GetStrikes()))
 	strike.Fingerprint, strike.Team, strike.Service = offer.GetFingerprint(), offer.GetTeam(), offer.GetService()
 	if !found {
 		strike.Expires = agent.settings.Clock.Now().Add(striker.DefaultLifetime)
--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -184,10 +184,10 @@
 	}
 }
 
-// Weigh merges what the agent knows, what the table says and what the entry
+// Merge merges what the agent knows, what the table says and what the entry
 // heard into the strike that counts for an offer. The table decides where it
 // has been told; a strike that it may not have yet counts beside it.
-func Weigh(own, row Strike, found bool, heard int) Strike {
+func Merge(own, row Strike, found bool, heard int) Strike {
 	strike := own
 	if found {
 		strike = row
--- a/internal/striker/siege_test.go
+++ b/internal/striker/siege_test.go
@@ -56,7 +56,7 @@
 // it can't know them now.
 func (site *site) weigh(ledger *Ledger, fingerprint uint64) (Strike, bool) {
 	row, _, found, err := site.book.Read(context.Background(), fingerprint)
-	strike := Weigh(ledger.Lookup(fingerprint, site.clock.Now()), row, found, 0)
+	strike := Merge(ledger.Lookup(fingerprint, site.clock.Now()), row, found, 0)
 	strike.Fingerprint = fingerprint
 	return strike, err == nil
 }
