--- a/internal/minter/mint.go
+++ b/internal/minter/mint.go
@@ -15,10 +15,10 @@
 const (
 	// Prefix begins every minted key; a caller's own key may not begin so.
 	Prefix = "tsk1."
-	// DefaultLife is how long a minted key may be used. It is longer than the
+	// DefaultLifetime is how long a minted key may be used. It is longer than the
 	// store's long outages, and short enough that an agent's memory holds
 	// every key that it was given.
-	DefaultLife = timekeeper.Hour
+	DefaultLifetime = timekeeper.Hour
 	// MostAtOnce bounds the keys of one order for keys.
 	MostAtOnce = 64
 
@@ -38,7 +38,7 @@
 // New returns a mint with a random secret. Zero life means DefaultLife.
 func New(name string, incarnation uint64, life timekeeper.Span) *Mint {
 	if life == 0 {
-		life = DefaultLife
+		life = DefaultLifetime
 	}
 	mint := &Mint{name: name, incarnation: incarnation, life: life}
 	_, _ = rand.Read(mint.secret[:])
