--- a/internal/minter/mint.go
+++ b/internal/minter/mint.go
@@ -19,8 +19,8 @@
 	// store's long outages, and short enough that an agent's memory holds
 	// every key that it was given.
 	DefaultLifetime = timekeeper.Hour
-	// MostAtOnce bounds the keys of one order for keys.
-	MostAtOnce = 64
+	// MaxKeys bounds the keys of one order for keys.
+	MaxKeys = 64
 
 	radix      = 36
 	nonceBytes = 12
@@ -56,7 +56,7 @@
 // Make returns count new keys for a team and service, and their expiry.
 func (mint *Mint) Make(team, service string, count int, now timekeeper.Instant) ([]string, timekeeper.Instant) {
 	expires := now.Add(mint.life)
-	keys := make([]string, min(max(count, 1), MostAtOnce))
+	keys := make([]string, min(max(count, 1), MaxKeys))
 	for i := range keys {
 		var nonce [nonceBytes]byte
 		_, _ = rand.Read(nonce[:])
