--- a/internal/forwarder/owner.go
+++ b/internal/forwarder/owner.go
@@ -56,7 +56,7 @@
 // carryMinted offers a call to the one incarnation that its minted key names.
 // No other may run it, so whoever can't be reached leaves the outcome unknown:
 // the key may have run there before.
-func (entry *Entry) carryMinted(ctx context.Context, w http.ResponseWriter, call call, named minter.Named) error {
+func (entry *Entry) carryMinted(ctx context.Context, w http.ResponseWriter, call call, named minter.PublicPart) error {
 	call.heard = &heard{owner: owner{agent: named.Instance, incarnation: named.Incarnation}}
 	failure := classifier.New(classifier.OutcomeUnknown, "the key's agent is gone or can't be reached; if it never ran it never will")
 	return entry.carryOwned(ctx, w, call, failure)
--- a/internal/minter/mint.go
+++ b/internal/minter/mint.go
@@ -45,9 +45,9 @@
 	return mint
 }
 
-// Named is the public part of a minted key. It is not proven: it tells an
+// PublicPart is the public part of a minted key. It is not proven: it tells an
 // entry where to offer the call, and the agent there checks the code.
-type Named struct {
+type PublicPart struct {
 	Instance    string
 	Incarnation uint64
 	Expires     timekeeper.Instant
@@ -79,19 +79,19 @@
 }
 
 // Read returns the public part of a key; false when it has not the form of one.
-func Read(key string) (Named, bool) {
+func Read(key string) (PublicPart, bool) {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	parts := strings.Split(rest, ".")
 	if !ok || len(parts) != partsOfKey {
-		return Named{}, false
+		return PublicPart{}, false
 	}
 	name, err := base64.RawURLEncoding.DecodeString(parts[0])
 	incarnation, err2 := strconv.ParseUint(parts[1], radix, 64)
 	expires, err3 := strconv.ParseInt(parts[2], radix, 64)
 	if err != nil || err2 != nil || err3 != nil {
-		return Named{}, false
+		return PublicPart{}, false
 	}
-	return Named{Instance: string(name), Incarnation: incarnation, Expires: timekeeper.Instant(expires)}, true
+	return PublicPart{Instance: string(name), Incarnation: incarnation, Expires: timekeeper.Instant(expires)}, true
 }
 
 // Check reports whether this incarnation made the key for the team and
