--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -17,7 +17,7 @@
 // carry offers the call to its candidates until one answers. It returns an
 // error only when nothing of an answer was written.
 func (entry *Entry) carry(ctx context.Context, w http.ResponseWriter, call call) error {
-	if named, ok := minter.Read(call.key); ok && !call.idempotent {
+	if named, ok := minter.Parse(call.key); ok && !call.idempotent {
 		return entry.carryMinted(ctx, w, call, named)
 	}
 	defer entry.demand.begin(call)()
--- a/internal/forwarder/earlier.go
+++ b/internal/forwarder/earlier.go
@@ -34,7 +34,7 @@
 	if call.key == "" || call.idempotent || answer.Ran != classifier.RanNo || !answer.Elsewhere {
 		return err
 	}
-	if _, minted := minter.Read(call.key); minted {
+	if _, minted := minter.Parse(call.key); minted {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout.Duration())
--- a/internal/minter/mint.go
+++ b/internal/minter/mint.go
@@ -78,8 +78,8 @@
 	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:shown])
 }
 
-// Read returns the public part of a key; false when it has not the form of one.
-func Read(key string) (PublicPart, bool) {
+// Parse returns the public part of a key; false when it has not the form of one.
+func Parse(key string) (PublicPart, bool) {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	parts := strings.Split(rest, ".")
 	if !ok || len(parts) != partsOfKey {
@@ -98,7 +98,7 @@
 // service, and when it expires. A key that passed its expiry is still sound:
 // whether it ran is answered from the book.
 func (mint *Mint) Check(team, service, key string) (timekeeper.Instant, classifier.Failure, bool) {
-	named, ok := Read(key)
+	named, ok := Parse(key)
 	if !ok {
 		return 0, classifier.New(classifier.BadRequest, "the key begins like a minted one and is none"), false
 	}
