--- a/internal/marker/event_id.go
+++ b/internal/marker/event_id.go
@@ -15,9 +15,9 @@
 type EventID struct {
 	// Instance is the replica that holds the answer.
 	Instance string
-	// Mark is a hash of the agent's incarnation; another incarnation knows
+	// IncarnationHash is a hash of the agent's incarnation; another incarnation knows
 	// nothing of the answer.
-	Mark uint32
+	IncarnationHash uint32
 	// Serial counts the runs of the incarnation.
 	Serial uint64
 	// Offset is where the bytes after the event begin.
@@ -49,7 +49,7 @@
 func (id EventID) append(out []byte) []byte {
 	out = append(out, id.Instance...)
 	out = append(out, '.')
-	out = strconv.AppendUint(out, uint64(id.Mark), base36)
+	out = strconv.AppendUint(out, uint64(id.IncarnationHash), base36)
 	out = append(out, '.')
 	out = strconv.AppendUint(out, id.Serial, base36)
 	out = append(out, '.')
@@ -76,5 +76,5 @@
 		return EventID{}, errEventID
 	}
 	instance := strings.Join(parts[:len(parts)-3], ".")
-	return EventID{Instance: instance, Mark: uint32(mark), Serial: serial, Offset: offset}, nil
+	return EventID{Instance: instance, IncarnationHash: uint32(mark), Serial: serial, Offset: offset}, nil
 }
