--- a/internal/marker/event_id.go
+++ b/internal/marker/event_id.go
@@ -35,8 +35,8 @@
 	offsetDigits = 7
 )
 
-// MarkOf returns the mark of an incarnation.
-func MarkOf(incarnation uint64) uint32 {
+// HashIncarnation returns the mark of an incarnation.
+func HashIncarnation(incarnation uint64) uint32 {
 	return uint32(xxhash.Sum64String(strconv.FormatUint(incarnation, base36)))
 }
 
--- a/internal/runner/resume.go
+++ b/internal/runner/resume.go
@@ -117,7 +117,7 @@
 }
 
 func (agent *Agent) runOf(id marker.EventID) *run {
-	if id.Instance != agent.settings.Name || id.IncarnationHash != marker.MarkOf(agent.settings.Incarnation) {
+	if id.Instance != agent.settings.Name || id.IncarnationHash != marker.HashIncarnation(agent.settings.Incarnation) {
 		return nil
 	}
 	agent.mu.Lock()
--- a/internal/runner/upstream.go
+++ b/internal/runner/upstream.go
@@ -116,7 +116,7 @@
 	if !stream {
 		return body
 	}
-	id := marker.EventID{Instance: settings.Name, IncarnationHash: marker.MarkOf(settings.Incarnation), Serial: started.serial}
+	id := marker.EventID{Instance: settings.Name, IncarnationHash: marker.HashIncarnation(settings.Incarnation), Serial: started.serial}
 	return &markedReader{body: body, marker: marker.New(id)}
 }
 
