--- a/internal/replayer/answer.go
+++ b/internal/replayer/answer.go
@@ -17,8 +17,8 @@
 	// bounds memory when a caller reads slowly; past it the upstream is held
 	// back, so flow control reaches from the caller to the engine.
 	Window = 256 << 10
-	// Kept is how many bytes behind the reader stay for a resume.
-	Kept = 1 << 20
+	// MaxRetained is how many bytes behind the reader stay for a resume.
+	MaxRetained = 1 << 20
 	// ChunkSize is the most that one Chunk frame carries.
 	ChunkSize = 32 << 10
 )
@@ -129,10 +129,10 @@
 
 // trim forgets bytes that lie more than Kept bytes behind the reader.
 func (answer *Answer) trim() {
-	if answer.read <= answer.base+Kept {
+	if answer.read <= answer.base+MaxRetained {
 		return
 	}
-	drop := answer.read - Kept - answer.base
+	drop := answer.read - MaxRetained - answer.base
 	answer.data = append([]byte(nil), answer.data[drop:]...)
 	answer.base += drop
 }
--- a/internal/replayer/answer_test.go
+++ b/internal/replayer/answer_test.go
@@ -71,7 +71,7 @@
 		waits  bool
 	}{
 		{"held back", false, Window + 1, true},
-		{"drained", true, Kept, false},
+		{"drained", true, MaxRetained, false},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/internal/runner/unread_test.go
+++ b/internal/runner/unread_test.go
@@ -18,7 +18,7 @@
 	// The run may not be ended, and nobody takes its bytes. It is drained, so
 	// the upstream ends, the slot is free, and its tail waits for a look-up.
 	bench := newBench(t)
-	whole := bytes.Repeat([]byte("0123456789abcdef"), (2*replayer.Kept+replayer.Window)/16)
+	whole := bytes.Repeat([]byte("0123456789abcdef"), (2*replayer.MaxRetained+replayer.Window)/16)
 	bench.upstream.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(whole) })
 	near, far := net.Pipe()
 	go bench.agent.serveStream(t.Context(), far)
@@ -35,7 +35,7 @@
 		lookup := &encoder.Lookup{RequestId: "lost", Team: "rig", Follow: true}
 		early, _ := bench.agent.find(lookup)
 		So(early.GetState(), ShouldEqual, encoder.RunState_RUN_STATE_FORGOTTEN)
-		lookup.Offset = uint64(len(whole)) - replayer.Kept
+		lookup.Offset = uint64(len(whole)) - replayer.MaxRetained
 		rest, end := restOf(bench.open(lookup))
 		So(bytes.Equal(rest, whole[lookup.Offset:]), ShouldBeTrue)
 		So(end.GetDigest(), ShouldEqual, xxhash.Sum64(whole))
