--- a/internal/replayer/answer.go
+++ b/internal/replayer/answer.go
@@ -41,8 +41,8 @@
 
 // Settings set up an answer. Each may be nil.
 type Settings struct {
-	// Opened is called once the head is there.
-	Opened func()
+	// OnHead is called once the head is there.
+	OnHead func()
 	// Now returns what the end brings of the agent, or nil.
 	Now func() *encoder.Digest
 }
@@ -64,8 +64,8 @@
 	answer.head = head
 	answer.wake()
 	answer.mu.Unlock()
-	if answer.settings.Opened != nil {
-		answer.settings.Opened()
+	if answer.settings.OnHead != nil {
+		answer.settings.OnHead()
 	}
 }
 
--- a/internal/runner/run.go
+++ b/internal/runner/run.go
@@ -50,7 +50,7 @@
 		cancel:     cancel,
 	}
 	started.answer = replayer.New(replayer.Settings{
-		Opened: func() { agent.opened(started.id) },
+		OnHead: func() { agent.opened(started.id) },
 		Now:    func() *encoder.Digest { return agent.atEnd(offer) },
 	})
 	agent.mu.Lock()
