--- a/internal/replayer/answer.go
+++ b/internal/replayer/answer.go
@@ -43,8 +43,8 @@
 type Settings struct {
 	// OnHead is called once the head is there.
 	OnHead func()
-	// Now returns what the end brings of the agent, or nil.
-	Now func() *encoder.Digest
+	// AgentDigest returns what the end brings of the agent, or nil.
+	AgentDigest func() *encoder.Digest
 }
 
 // New returns an answer that nothing is known of yet.
@@ -105,8 +105,8 @@
 	// A broken answer brings nothing: its engine may be back sooner than the word of
 	// its loss fades. The agent's lock is taken before the answer's, never after it.
 	var now *encoder.Digest
-	if answer.settings.Now != nil && complete {
-		now = answer.settings.Now()
+	if answer.settings.AgentDigest != nil && complete {
+		now = answer.settings.AgentDigest()
 	}
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
--- a/internal/runner/run.go
+++ b/internal/runner/run.go
@@ -51,7 +51,7 @@
 	}
 	started.answer = replayer.New(replayer.Settings{
 		OnHead: func() { agent.opened(started.id) },
-		Now:    func() *encoder.Digest { return agent.atEnd(offer) },
+		AgentDigest:    func() *encoder.Digest { return agent.atEnd(offer) },
 	})
 	agent.mu.Lock()
 	if known := agent.runs[started.id]; known != nil {
