--- a/internal/replayer/answer.go
+++ b/internal/replayer/answer.go
@@ -58,8 +58,8 @@
 	answer.changed = make(chan struct{})
 }
 
-// Open sets the head of the answer.
-func (answer *Answer) Open(head *encoder.Head) {
+// SetHead sets the head of the answer.
+func (answer *Answer) SetHead(head *encoder.Head) {
 	answer.mu.Lock()
 	answer.head = head
 	answer.wake()
--- a/internal/replayer/answer_test.go
+++ b/internal/replayer/answer_test.go
@@ -42,7 +42,7 @@
 	// without it; the caller comes back and gets what it has not had, and only that.
 	answer := New(Settings{})
 	whole := bytes.Repeat([]byte("0123456789abcdef"), 8<<10)
-	answer.Open(&encoder.Head{Status: 200})
+	answer.SetHead(&encoder.Head{Status: 200})
 	Convey("from where it stopped", t, func() {
 		So(answer.Add(t.Context(), whole), ShouldBeNil)
 		answer.Close("run", true, classifier.Failure{})
--- a/internal/runner/slopes_test.go
+++ b/internal/runner/slopes_test.go
@@ -30,7 +30,7 @@
 	token := []byte(strings.Repeat("w", 40))
 	for i := range count {
 		ended := &run{id: "entry-1-1y2p0ij32e8e7-" + strconv.Itoa(i), team: "team-1", serial: uint64(i + 1), answer: replayer.New(replayer.Settings{})}
-		ended.answer.Open(&encoder.Head{RequestId: ended.id, Status: 200})
+		ended.answer.SetHead(&encoder.Head{RequestId: ended.id, Status: 200})
 		for range size / len(token) {
 			_ = ended.answer.Add(bench.t.Context(), token)
 		}
--- a/internal/runner/upstream.go
+++ b/internal/runner/upstream.go
@@ -53,7 +53,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	stream := strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
-	started.answer.Open(&encoder.Head{
+	started.answer.SetHead(&encoder.Head{
 		RequestId:   started.id,
 		Incarnation: settings.Incarnation,
 		Status:      uint32(response.StatusCode),
