--- a/internal/replayer/answer.go
+++ b/internal/replayer/answer.go
@@ -207,8 +207,8 @@
 	answer.read = min(answer.read, offset)
 }
 
-// Passed notes that the reader has taken all bytes before offset.
-func (answer *Answer) Passed(offset uint64) {
+// MarkRead notes that the reader has taken all bytes before offset.
+func (answer *Answer) MarkRead(offset uint64) {
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
 	if offset > answer.read {
@@ -245,7 +245,7 @@
 				return nil
 			}
 		}
-		answer.Passed(offset)
+		answer.MarkRead(offset)
 	}
 }
 
--- a/internal/runner/slopes_test.go
+++ b/internal/runner/slopes_test.go
@@ -34,7 +34,7 @@
 		for range size / len(token) {
 			_ = ended.answer.Add(bench.t.Context(), token)
 		}
-		ended.answer.Passed(uint64(size))
+		ended.answer.MarkRead(uint64(size))
 		ended.answer.Close(ended.id, true, classifier.Failure{})
 		bench.agent.mu.Lock()
 		bench.agent.runs[ended.id] = ended
