--- a/internal/replayer/answer.go
+++ b/internal/replayer/answer.go
@@ -270,8 +270,8 @@
 	return answer.end
 }
 
-// Held returns how many bytes of the body are kept.
-func (answer *Answer) Held() int {
+// RetainedBytes returns how many bytes of the body are kept.
+func (answer *Answer) RetainedBytes() int {
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
 	return len(answer.data)
--- a/internal/replayer/answer_test.go
+++ b/internal/replayer/answer_test.go
@@ -52,9 +52,9 @@
 		So(answer.End().GetDigest(), ShouldEqual, xxhash.Sum64(whole))
 	})
 	Convey("until the body is dropped", t, func() {
-		So(answer.Held(), ShouldEqual, len(whole))
+		So(answer.RetainedBytes(), ShouldEqual, len(whole))
 		answer.Drop()
-		So(answer.Held(), ShouldEqual, 0)
+		So(answer.RetainedBytes(), ShouldEqual, 0)
 		So(answer.Resumable(1000), ShouldBeFalse)
 		So(answer.End().GetComplete(), ShouldBeTrue)
 	})
@@ -87,7 +87,7 @@
 			for range 5 {
 				_ = answer.Add(gone, part)
 			}
-			So(answer.Held(), ShouldEqual, test.held)
+			So(answer.RetainedBytes(), ShouldEqual, test.held)
 		})
 	}
 }
--- a/internal/runner/kept.go
+++ b/internal/runner/kept.go
@@ -29,7 +29,7 @@
 	ended.ended = now
 	size := 0
 	if ended.answer != nil {
-		size = ended.answer.Held()
+		size = ended.answer.RetainedBytes()
 	}
 	agent.kept.order = append(agent.kept.order, keptRun{run: ended, size: size})
 	agent.kept.bytes += size
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -246,7 +246,7 @@
 		So(newest.GetState(), ShouldEqual, encoder.RunState_RUN_STATE_DONE)
 		total := 0
 		for _, kept := range agent.runs {
-			total += kept.answer.Held()
+			total += kept.answer.RetainedBytes()
 		}
 		So(total, ShouldEqual, mostKept)
 	})
