--- a/internal/marker/marker_test.go
+++ b/internal/marker/marker_test.go
@@ -12,10 +12,10 @@
 	Convey("an id is read as it was written", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			id := EventID{
-				Instance: rapid.StringMatching(`[a-z][a-z0-9.-]{0,20}`).Draw(t, "instance"),
-				IncarnationHash:     rapid.Uint32().Draw(t, "mark"),
-				Serial:   rapid.Uint64().Draw(t, "serial"),
-				Offset:   rapid.Uint64Max(1<<36).Draw(t, "offset"),
+				Instance:        rapid.StringMatching(`[a-z][a-z0-9.-]{0,20}`).Draw(t, "instance"),
+				IncarnationHash: rapid.Uint32().Draw(t, "mark"),
+				Serial:          rapid.Uint64().Draw(t, "serial"),
+				Offset:          rapid.Uint64Max(1<<36).Draw(t, "offset"),
 			}
 			back, err := ParseEventID(id.String())
 			if err != nil || back != id {
--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -198,7 +198,7 @@
 		Team:        offer.GetTeam(),
 		Service:     offer.GetService(),
 		Began:       agent.settings.Clock.Now(),
-		Isolated:       agent.strikes.entered[offer.GetRequestId()],
+		Isolated:    agent.strikes.entered[offer.GetRequestId()],
 	})
 }
 
