--- a/internal/assembler/slopes_test.go
+++ b/internal/assembler/slopes_test.go
@@ -69,7 +69,7 @@
 func claims(count int) any {
 	book := claimer.NewBook(claimer.Settings{Name: "orders-1", Incarnation: 1})
 	for i := range count {
-		ask := claimer.Call{
+		ask := claimer.Claim{
 			Key: claimer.RowKey("team", "orders", strconv.Itoa(i)), Request: "entry-1-1y2p0ij32e8e7-" + strconv.Itoa(i),
 			Expires: slopesAt.Add(timekeeper.Hour), Minted: true,
 		}
--- a/internal/claimer/book.go
+++ b/internal/claimer/book.go
@@ -12,8 +12,8 @@
 	Request     string `json:"request"`
 }
 
-// Call is a keyed call that wants to run.
-type Call struct {
+// Claim is a keyed call that wants to run.
+type Claim struct {
 	// Key is the row's key, made by RowKey.
 	Key         string
 	Request     string
@@ -116,7 +116,7 @@
 
 // Check tells without any change whether an ask would be refused right away.
 // It is for resends of keys that ran here: they must not wait for a slot.
-func (book *Book) Check(ask Call) (Verdict, bool) {
+func (book *Book) Check(ask Claim) (Verdict, bool) {
 	known := book.pages[ask.Key]
 	if known == nil {
 		return Verdict{}, false
@@ -126,7 +126,7 @@
 }
 
 // Claim decides about a keyed call that has a slot.
-func (book *Book) Claim(ask Call, now timekeeper.Instant) Verdict {
+func (book *Book) Claim(ask Claim, now timekeeper.Instant) Verdict {
 	known := book.pages[ask.Key]
 	if known == nil {
 		return book.open(ask, now)
@@ -146,7 +146,7 @@
 	return verdict
 }
 
-func (book *Book) open(ask Call, now timekeeper.Instant) Verdict {
+func (book *Book) open(ask Claim, now timekeeper.Instant) Verdict {
 	// A minted key has no row that would remember it, so its page must not be
 	// dropped before the key expires. A full book refuses instead: not run.
 	if len(book.pages) >= book.settings.MaxKeys && !book.makeRoom(now) {
@@ -170,7 +170,7 @@
 }
 
 // judge decides about an ask for a key with a page.
-func (book *Book) judge(known *page, ask Call) Verdict {
+func (book *Book) judge(known *page, ask Claim) Verdict {
 	switch {
 	case known.fingerprint != ask.Fingerprint:
 		return refuse(classifier.New(classifier.KeyReused, ""))
@@ -199,7 +199,7 @@
 }
 
 // Resolve takes in what became of a claim's row.
-func (book *Book) Resolve(ask Call, result Result) Verdict {
+func (book *Book) Resolve(ask Claim, result Result) Verdict {
 	known := book.pages[ask.Key]
 	if known == nil || known.stage != claiming || known.owner.Request != ask.Request {
 		return refuse(classifier.New(classifier.Tombstoned, "the claim was given up"))
@@ -220,7 +220,7 @@
 }
 
 // lost handles a claim whose row is taken.
-func (book *Book) lost(ask Call, known *page, row Row) Verdict {
+func (book *Book) lost(ask Claim, known *page, row Row) Verdict {
 	own := row.Owner.Agent == book.settings.Name && row.Owner.Incarnation == book.settings.Incarnation
 	if own && known.tried && row.Fingerprint == ask.Fingerprint {
 		known.stage, known.expires = held, row.Expires
--- a/internal/claimer/claimer_bench_test.go
+++ b/internal/claimer/claimer_bench_test.go
@@ -72,7 +72,7 @@
 	ran := 0
 	for i := range orders {
 		clock.Advance(timekeeper.Minute / orders)
-		ask := Call{Key: RowKey("t", "s", fmt.Sprint(i)), Request: fmt.Sprint(i)}
+		ask := Claim{Key: RowKey("t", "s", fmt.Sprint(i)), Request: fmt.Sprint(i)}
 		if minted {
 			keys, _ := mint.Make("t", "s", 1, clock.Now())
 			expires, _, _ := mint.Check("t", "s", keys[0])
--- a/internal/claimer/faults_test.go
+++ b/internal/claimer/faults_test.go
@@ -43,7 +43,7 @@
 
 // send is one request of a caller, from its offer to what the caller is told.
 type send struct {
-	ask   Call
+	ask   Claim
 	at    *node
 	stage int
 	told  classifier.Ran
@@ -248,7 +248,7 @@
 	for i := range sends {
 		key := i % keys
 		at := world.agents[world.random.IntN(2)]
-		ask := Call{Key: RowKey("team", "orders", fmt.Sprint(key)), Request: fmt.Sprintf("request-%d", i), Fingerprint: 7}
+		ask := Claim{Key: RowKey("team", "orders", fmt.Sprint(key)), Request: fmt.Sprintf("request-%d", i), Fingerprint: 7}
 		if key == 0 {
 			ask.Key, ask.Minted, ask.Expires, at = RowKey("team", "orders", minted[0]), true, expires, home
 		}
--- a/internal/claimer/release_test.go
+++ b/internal/claimer/release_test.go
@@ -28,7 +28,7 @@
 			now := func() timekeeper.Instant { return 0 }
 			committer := NewCommitter(imitator.NewPlatform(timekeeper.Wall()).Seams().Table, now)
 			book := NewBook(Settings{Name: "leaver", Incarnation: 1})
-			ask := Call{Key: "key", Request: "first", Fingerprint: 9}
+			ask := Claim{Key: "key", Request: "first", Fingerprint: 9}
 			row := book.Claim(ask, 0).Row
 			So(book.Resolve(ask, committer.Commit(t.Context(), []Row{row})[0]).Step, ShouldEqual, Proceed)
 			test.then(book)
--- a/internal/runner/keys.go
+++ b/internal/runner/keys.go
@@ -41,8 +41,8 @@
 }
 
 // askOf returns the ask of a keyed offer, or why its key is not sound.
-func (keys *keys) askOf(offer *encoder.Offer) (claimer.Call, classifier.Failure, bool) {
-	ask := claimer.Call{
+func (keys *keys) askOf(offer *encoder.Offer) (claimer.Claim, classifier.Failure, bool) {
+	ask := claimer.Claim{
 		Key:         claimer.RowKey(offer.GetTeam(), offer.GetService(), offer.GetKey()),
 		Request:     offer.GetRequestId(),
 		Fingerprint: offer.GetFingerprint(),
@@ -102,7 +102,7 @@
 	return classifier.Failure{}, true
 }
 
-func (agent *Agent) ask(ask claimer.Call) claimer.Verdict {
+func (agent *Agent) ask(ask claimer.Claim) claimer.Verdict {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	now := agent.settings.Clock.Now()
@@ -115,7 +115,7 @@
 	return verdict
 }
 
-func (agent *Agent) settle(ask claimer.Call, result claimer.Result) claimer.Verdict {
+func (agent *Agent) settle(ask claimer.Claim, result claimer.Result) claimer.Verdict {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	verdict := agent.keys.book.Resolve(ask, result)
