--- a/internal/striker/doc.go
+++ b/internal/striker/doc.go
@@ -1,14 +1,15 @@
-// Package striker keeps requests that crash engines from crashing them all.
+// Package striker limits the number of engines that a poison request can crash.
 //
-// The agent outlives its engine, so it knows which requests were in flight at
-// a crash. Each of them gets a strike, by its fingerprint. With one strike a
-// request runs only in isolation, alone on an engine: should the engine crash
-// again, there is one suspect. With two it is refused until an expiry. An
-// innocent request that shared an engine with a bad one has one strike, runs
-// alone once, ends whole, and is cleared.
+// The agent outlives its engine, so it knows which requests were in flight when
+// the engine crashed. Each of them gets a strike, recorded by its fingerprint. A
+// request with one strike runs only in isolation, as the sole request on an
+// engine, so that a second crash identifies it as the cause. A request with two
+// strikes is refused until they expire. A harmless request that shared an engine
+// with a poison request has one strike; it is cleared when its isolated run
+// completes.
 //
-// Before an isolated run the second strike is written to the platform's table,
-// by compare-and-set, and taken back when the run ends whole. So a request
-// that is sent again through any entry to any agent meets its second strike
-// there, even if the agent that ran it was lost with its engine.
+// The agent writes the second strike to the platform's table, by
+// compare-and-set, before the isolated run, and removes it when the run
+// completes. So every agent refuses the request when it is sent again, even if
+// the agent that ran it was lost with its engine.
 package striker
--- a/internal/striker/gate.go
+++ b/internal/striker/gate.go
@@ -1,52 +1,55 @@
 package striker
 
-// Gate lets many requests onto an engine together, or one alone. It decides;
-// who waits is the caller's business.
+// Gate admits to an engine either several requests or one isolated request.
+// Callers implement the waiting.
 //
-// The load it is for: a busy engine that is never empty by itself. A request
-// that must run alone closes the gate to newcomers and gets in when those
-// inside have left. Only one may wait so: a second would hold the engine empty
-// for as long as bad requests keep coming.
+// A busy engine never becomes idle by itself, so a request that must be isolated
+// blocks new requests and enters when the running ones have left. Only one
+// request may block the gate at a time. If a second could, the engine would stay
+// idle for as long as poison requests keep arriving.
 type Gate struct {
-	inside  int
-	alone   bool
-	claimed string
+	running int
+	// isolated means that the exclusive request runs.
+	isolated bool
+	// exclusive is the request that runs in isolation or waits for it.
+	exclusive string
 }
 
-// Enter reports whether a request may go onto the engine now.
-func (gate *Gate) Enter(request string, alone bool) bool {
+// Enter reports whether a request may run on the engine now. An isolated request
+// that has to wait blocks other requests until Leave.
+func (gate *Gate) Enter(request string, isolated bool) bool {
 	switch {
-	case gate.alone:
+	case gate.isolated:
 		return false
-	case !alone:
-		if gate.claimed != "" {
+	case !isolated:
+		if gate.exclusive != "" {
 			return false
 		}
-		gate.inside++
+		gate.running++
 		return true
-	case gate.claimed != "" && gate.claimed != request:
+	case gate.exclusive != "" && gate.exclusive != request:
 		return false
 	}
-	gate.claimed = request
-	if gate.inside > 0 {
+	gate.exclusive = request
+	if gate.running > 0 {
 		return false
 	}
-	gate.alone = true
+	gate.isolated = true
 	return true
 }
 
-// Busy reports whether another request waits to run alone or does so.
+// Busy reports whether another request runs in isolation or waits for it.
 func (gate *Gate) Busy(request string) bool {
-	return gate.claimed != "" && gate.claimed != request
+	return gate.exclusive != "" && gate.exclusive != request
 }
 
-// Leave notes that a request left the engine, or gave up waiting to be alone on it.
+// Leave records that a request left the engine or stopped waiting for isolation.
 func (gate *Gate) Leave(request string, entered bool) {
-	if gate.claimed == request {
-		gate.claimed, gate.alone = "", false
+	if gate.exclusive == request {
+		gate.exclusive, gate.isolated = "", false
 		return
 	}
 	if entered {
-		gate.inside--
+		gate.running--
 	}
 }
--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// IsolationThreshold is the number of strikes from which a request runs alone.
+	// IsolationThreshold is the number of strikes from which a request runs in isolation.
 	IsolationThreshold = 1
-	// RefusalThreshold is the number of strikes from which a request is refused. It is
-	// the number of engines that one bad request may cost: the first crash
-	// can't tell it from what ran beside it, the second can.
+	// RefusalThreshold is the number of strikes from which a request is refused,
+	// and so the number of engines that one poison request may crash. The first
+	// crash doesn't tell it from the requests that ran with it, the second does.
 	RefusalThreshold = 2
-	// DefaultLifetime is how long a strike counts. It is longer than callers keep
-	// resending, and short enough that a request that was struck by an
-	// engine's own fault is not refused for a day.
+	// DefaultLifetime is the time until a strike expires. It is longer than callers
+	// keep resending, and short enough that a request struck because of an engine
+	// fault is not refused for a day.
 	DefaultLifetime = timekeeper.Hour
-	// mostStrikes bounds the ledger: a crash strikes at most the engine's
-	// slots, so this is some hundred crashes within an hour at one agent.
-	mostStrikes = 4096
+	// maxStrikes limits the ledger. A crash strikes at most as many requests as the
+	// engine has slots, so this allows about a hundred crashes an hour at one agent.
+	maxStrikes = 4096
 )
 
-// Strike is what is known of one request.
+// Strike holds the strikes of one request.
 type Strike struct {
 	Fingerprint uint64             `json:"fingerprint"`
 	Count       int                `json:"count"`
 	Expires     timekeeper.Instant `json:"expires"`
 	Service     string             `json:"service,omitempty"`
 	Team        string             `json:"team,omitempty"`
-	// Instances are where engines crashed while they ran the request.
+	// Instances are the instances whose engines crashed while running the request.
 	Instances []string `json:"instances,omitempty"`
-	// incident is the crash that the agent struck it for last.
+	// incident numbers the crash that the last strike of this agent is for.
 	incident int
-	// Saved says that the table has the strike; only then does its absence
-	// from the table mean that it was lifted or cleared elsewhere.
+	// Saved means that the strike was written to the table. Only then its absence
+	// from the table means that it was lifted or cleared elsewhere.
 	Saved bool `json:"-"`
 }
 
-// WithCrash returns the strike with one more crash at the instance.
+// WithCrash returns the strike with one more crash, at the instance.
 func (strike Strike) WithCrash(instance string, expires timekeeper.Instant) Strike {
 	strike.Count++
 	strike.Expires = expires
@@ -47,127 +47,130 @@
 	return strike
 }
 
-// Flight is a request that an engine runs.
+// Flight is a request in flight on an engine.
 type Flight struct {
 	Request     string
 	Fingerprint uint64
 	Team        string
 	Service     string
 	Began       timekeeper.Instant
-	// Isolated says that it runs in isolation, with its second strike written.
+	// Isolated means that the request runs in isolation and its second strike is
+	// already in the table.
 	Isolated bool
 }
 
-// Ledger is what one agent knows about strikes and about what is in flight.
+// Ledger tracks the strikes and the requests in flight at one agent.
 type Ledger struct {
-	name    string
-	life    timekeeper.Span
-	flights map[string]Flight
-	strikes map[uint64]Strike
-	// crashed is when the engine crashed last; down says it is not back yet.
-	crashed  timekeeper.Instant
-	down     bool
-	incident int
+	name     string
+	lifetime timekeeper.Span
+	flights  map[string]Flight
+	strikes  map[uint64]Strike
+	// crashedAt is the time of the last crash; down means that the engine has not
+	// answered since.
+	crashedAt timekeeper.Instant
+	down      bool
+	incident  int
 }
 
-// NewLedger returns an empty ledger of the named agent. Zero life means DefaultLife.
-func NewLedger(name string, life timekeeper.Span) *Ledger {
-	if life == 0 {
-		life = DefaultLifetime
+// NewLedger returns an empty ledger of the named agent. Zero lifetime means DefaultLifetime.
+func NewLedger(name string, lifetime timekeeper.Span) *Ledger {
+	if lifetime == 0 {
+		lifetime = DefaultLifetime
 	}
-	return &Ledger{name: name, life: life, flights: map[string]Flight{}, strikes: map[uint64]Strike{}}
+	return &Ledger{name: name, lifetime: lifetime, flights: map[string]Flight{}, strikes: map[uint64]Strike{}}
 }
 
-// Begin notes that a request goes to the engine.
+// Begin records that a request is sent to the engine.
 func (ledger *Ledger) Begin(flight Flight) {
 	ledger.flights[flight.Request] = flight
 }
 
-// ConnectionBroke notes that the engine broke the connection of a request before its
-// answer was whole. It returns the strike, and true when it is new; otherwise
-// the request has yet to be noted as Ended.
+// ConnectionBroke records that the engine closed the connection of a request
+// before its answer was complete. If the request gets a strike, it returns the
+// strike and true; otherwise the caller must still call Ended.
 //
-// The first break opens an incident, which lasts until the engine answers
-// again. What began after that met an engine that was gone and did it no harm:
-// without that rule every request that comes while an engine restarts would be
-// struck. Copies of one request in one incident are struck once, since they
-// cost one engine.
+// The first broken connection opens an incident, which lasts until the engine
+// answers again. Requests that began during an incident get no strike, since the
+// engine had already crashed; otherwise each request that arrives while an engine
+// restarts would get one. Copies of a request get one strike per incident, since
+// only one engine crashed.
 func (ledger *Ledger) ConnectionBroke(request string, now timekeeper.Instant) (Strike, bool) {
 	flight, ok := ledger.flights[request]
 	if !ok {
 		return Strike{}, false
 	}
 	if !ledger.down {
-		ledger.down, ledger.crashed = true, now
+		ledger.down, ledger.crashedAt = true, now
 		ledger.incident++
 	}
-	if ledger.crashed.Before(flight.Began) {
+	if ledger.crashedAt.Before(flight.Began) {
 		return Strike{}, false
 	}
-	known := ledger.Lookup(flight.Fingerprint, now)
-	if known.incident == ledger.incident {
+	strike := ledger.Lookup(flight.Fingerprint, now)
+	if strike.incident == ledger.incident {
 		return Strike{}, false
 	}
 	delete(ledger.flights, request)
-	expires := now.Add(ledger.life)
-	// The second strike of an isolated run was written before it began.
+	expires := now.Add(ledger.lifetime)
+	// The second strike of an isolated run was written before the run began.
 	if !flight.Isolated {
-		known = known.WithCrash(ledger.name, expires)
+		strike = strike.WithCrash(ledger.name, expires)
 	}
-	known.Fingerprint, known.Team, known.Service = flight.Fingerprint, flight.Team, flight.Service
-	known.incident = ledger.incident
-	ledger.Put(known)
-	return known, true
+	strike.Fingerprint, strike.Team, strike.Service = flight.Fingerprint, flight.Team, flight.Service
+	strike.incident = ledger.incident
+	ledger.Put(strike)
+	return strike, true
 }
 
-// MarkUnreachable notes that the engine can't be reached, without a crash that was seen.
+// MarkUnreachable records that the engine can't be reached, although no connection broke.
 func (ledger *Ledger) MarkUnreachable(now timekeeper.Instant) {
 	if !ledger.down {
-		ledger.down, ledger.crashed = true, now
+		ledger.down, ledger.crashedAt = true, now
 		ledger.incident++
 	}
 }
 
-// Ended notes that a request ended without a crash, and returns its flight. A
-// request that ran whole is innocent, so its strikes are forgotten; the second
-// result says that there were some.
+// Ended records that a request ended without a crash, and returns its flight. A
+// complete answer clears the strikes of the request; an incomplete isolated run
+// leaves one. The second result reports whether the strikes changed.
 func (ledger *Ledger) Ended(request string, whole bool) (Flight, bool) {
 	flight := ledger.flights[request]
 	delete(ledger.flights, request)
-	known, struck := ledger.strikes[flight.Fingerprint]
+	strike, struck := ledger.strikes[flight.Fingerprint]
 	if !struck {
 		return flight, false
 	}
 	if whole {
 		delete(ledger.strikes, flight.Fingerprint)
 	} else if flight.Isolated {
-		known.Count = IsolationThreshold
-		ledger.strikes[flight.Fingerprint] = known
+		strike.Count = IsolationThreshold
+		ledger.strikes[flight.Fingerprint] = strike
 	}
 	return flight, whole || flight.Isolated
 }
 
-// Recovered notes that the engine answers again.
+// Recovered records that the engine answers again.
 func (ledger *Ledger) Recovered() {
 	ledger.down = false
 }
 
-// Down reports whether the engine has crashed and not answered since.
+// Down reports whether the engine has not answered since it crashed or became unreachable.
 func (ledger *Ledger) Down() bool {
 	return ledger.down
 }
 
-// Lookup returns what is known of a fingerprint; a strike past its expiry is none.
+// Lookup returns the strike of a fingerprint, with a count of zero if there is
+// none or it has expired.
 func (ledger *Ledger) Lookup(fingerprint uint64, now timekeeper.Instant) Strike {
-	known, ok := ledger.strikes[fingerprint]
-	if !ok || !now.Before(known.Expires) {
+	strike, ok := ledger.strikes[fingerprint]
+	if !ok || !now.Before(strike.Expires) {
 		delete(ledger.strikes, fingerprint)
 		return Strike{Fingerprint: fingerprint}
 	}
-	return known
+	return strike
 }
 
-// Put stores what was learned of a fingerprint; a count of zero forgets it.
+// Put replaces the strike of a fingerprint; a count of zero removes it.
 func (ledger *Ledger) Put(strike Strike) {
 	if strike.Count == 0 {
 		delete(ledger.strikes, strike.Fingerprint)
@@ -175,7 +178,7 @@
 	}
 	ledger.strikes[strike.Fingerprint] = strike
 	for fingerprint := range ledger.strikes {
-		if len(ledger.strikes) <= mostStrikes {
+		if len(ledger.strikes) <= maxStrikes {
 			return
 		}
 		if fingerprint != strike.Fingerprint {
@@ -184,16 +187,17 @@
 	}
 }
 
-// Merge merges what the agent knows, what the table says and what the entry
-// heard into the strike that counts for an offer. The table decides where it
-// has been told; a strike that it may not have yet counts beside it.
-func Merge(own, row Strike, found bool, heard int) Strike {
+// Merge returns the strike that applies to an offer, from the agent's own strike,
+// the row in the table (valid if found) and the count in the entry's offer. A
+// saved own strike counts only as the row has it, since the table knows whether it
+// was cleared. The count is the maximum of the others, at most RefusalThreshold.
+func Merge(own, row Strike, found bool, offered int) Strike {
 	strike := own
 	if found {
 		strike = row
 		strike.incident = own.incident
 	}
-	count := heard
+	count := offered
 	if found {
 		count = max(count, row.Count)
 	}
--- a/internal/striker/table.go
+++ b/internal/striker/table.go
@@ -11,32 +11,32 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Table is the name of the platform's table that holds strikes.
+// Table is the name of the table of strikes in the platform's store.
 const Table = "strikes"
 
-// tries bounds how often a change that met another one is made again.
-const tries = 4
+// maxAttempts limits the attempts to change a row when writes conflict.
+const maxAttempts = 4
 
-// RowKey returns the key of a fingerprint's row.
+// RowKey returns the key of the row for a fingerprint.
 func RowKey(fingerprint uint64) string {
 	const width, radix = 16, 16
 	text := strconv.FormatUint(fingerprint, radix)
 	return "0000000000000000"[:width-len(text)] + text
 }
 
-// Book is the shared record of strikes in the platform's table.
+// Book reads and writes the strikes in the platform's table, which all agents share.
 type Book struct {
 	table storekeeper.Table
 	now   func() timekeeper.Instant
 }
 
-// NewBook returns the record in a table.
+// NewBook returns a Book for a table.
 func NewBook(table storekeeper.Table, now func() timekeeper.Instant) Book {
 	return Book{table: table, now: now}
 }
 
-// Read returns the row of a fingerprint and its version; the second result is
-// false when there is none that counts.
+// Read returns the strike of a fingerprint and the version of its row. The third
+// result is false if there is no row or the strike has expired.
 func (book Book) Read(ctx context.Context, fingerprint uint64) (Strike, uint64, bool, error) {
 	if book.table.Get == nil {
 		return Strike{}, 0, false, storekeeper.ErrUnknown
@@ -52,16 +52,15 @@
 	return strike, row.Version, err == nil && book.now().Before(strike.Expires), err
 }
 
-// Add adds a crash at an instance to the row.
+// Add adds a crash at an instance to the row of a strike.
 //
-// The load: an engine crashes with its whole batch in flight, and all of it is
-// struck at once. Hardly any of it has a row, so the row is written first and
-// read only when that met one: one crash of 64 calls would else read 64 rows
-// that aren't there.
+// An engine crash strikes its whole batch at once, and few of these requests
+// have a row. So Add first inserts a row and reads it only after a conflict;
+// otherwise a crash with 64 requests in flight would read 64 missing rows.
 func (book Book) Add(ctx context.Context, strike Strike, instance string) error {
-	fresh := strike
-	fresh.Count, fresh.Instances = 0, nil
-	err := book.write(ctx, fresh.WithCrash(instance, strike.Expires), 0)
+	initial := strike
+	initial.Count, initial.Instances = 0, nil
+	err := book.write(ctx, initial.WithCrash(instance, strike.Expires), 0)
 	if !eris.Is(err, storekeeper.ErrConflict) && !eris.Is(err, storekeeper.ErrUnknown) {
 		return err
 	}
@@ -70,32 +69,32 @@
 			row = strike
 			row.Count, row.Instances = 0, nil
 		}
-		if row.lastAt(instance, strike.Expires) {
+		if row.isLastCrash(instance, strike.Expires) {
 			return row, false
 		}
 		return row.WithCrash(instance, strike.Expires), true
 	})
 }
 
-// Raise writes the strike if the row says less, and returns ErrConflict when
-// the row says as much already, unless this strike said so.
+// Raise writes the strike if the row has a lower count. If not, it returns
+// ErrConflict, unless the row was written by an earlier attempt with this strike.
 func (book Book) Raise(ctx context.Context, strike Strike) error {
-	taken := false
+	alreadyRaised := false
 	err := book.change(ctx, strike.Fingerprint, func(row Strike, found bool) (Strike, bool) {
-		taken = found && row.Count >= strike.Count
-		if taken {
-			taken = !row.lastAt(last(strike.Instances), strike.Expires)
+		alreadyRaised = found && row.Count >= strike.Count
+		if alreadyRaised {
+			alreadyRaised = !row.isLastCrash(last(strike.Instances), strike.Expires)
 			return row, false
 		}
 		return strike, true
 	})
-	if err == nil && taken {
+	if err == nil && alreadyRaised {
 		return storekeeper.ErrConflict
 	}
 	return err
 }
 
-// Lower takes the second strike of an isolated run back to one.
+// Lower removes the second strike of an isolated run.
 func (book Book) Lower(ctx context.Context, fingerprint uint64) error {
 	return book.change(ctx, fingerprint, func(row Strike, found bool) (Strike, bool) {
 		row.Count = IsolationThreshold
@@ -103,8 +102,9 @@
 	})
 }
 
-// lastAt recognises a write of which the answer was lost.
-func (strike Strike) lastAt(instance string, expires timekeeper.Instant) bool {
+// isLastCrash reports whether the last crash in the strike has this instance and
+// expiry. It detects a write that succeeded although its answer was lost.
+func (strike Strike) isLastCrash(instance string, expires timekeeper.Instant) bool {
 	return strike.Expires == expires && last(strike.Instances) == instance
 }
 
@@ -115,16 +115,16 @@
 	return list[len(list)-1]
 }
 
-// change reads a row, changes it and writes it by compare-and-set. A change
-// that returns false needs no write, or was made by a write whose answer was lost.
-func (book Book) change(ctx context.Context, fingerprint uint64, with func(row Strike, found bool) (Strike, bool)) error {
+// change reads a row, applies a change and writes it by compare-and-set. It
+// doesn't write if apply returns false.
+func (book Book) change(ctx context.Context, fingerprint uint64, apply func(row Strike, found bool) (Strike, bool)) error {
 	err := storekeeper.ErrConflict
-	for range tries {
-		row, version, found, failed := book.Read(ctx, fingerprint)
-		if failed != nil {
-			return failed
+	for range maxAttempts {
+		row, version, found, readErr := book.Read(ctx, fingerprint)
+		if readErr != nil {
+			return readErr
 		}
-		changed, needed := with(row, found)
+		changed, needed := apply(row, found)
 		if !needed {
 			return nil
 		}
@@ -148,9 +148,9 @@
 	return book.table.Commit(ctx, []storekeeper.Write{write})
 }
 
-// Lift removes a strike; it returns false when there was none.
+// Lift deletes a strike. It returns false if there was none.
 func (book Book) Lift(ctx context.Context, fingerprint uint64) (bool, error) {
-	for range tries {
+	for range maxAttempts {
 		row, err := book.table.Get(ctx, Table, RowKey(fingerprint))
 		if eris.Is(err, storekeeper.ErrAbsent) {
 			return false, nil
@@ -166,8 +166,8 @@
 	return false, storekeeper.ErrConflict
 }
 
-// List returns up to limit strikes that come after a fingerprint's key, and
-// deletes the expired ones among them.
+// List scans up to limit rows after a row key, returns the strikes that have not
+// expired and deletes the others.
 func (book Book) List(ctx context.Context, after string, limit int) ([]Strike, error) {
 	rows, err := book.table.Scan(ctx, Table, "", after, limit)
 	if err != nil {
@@ -187,7 +187,8 @@
 		expired = append(expired, storekeeper.Write{Table: Table, Key: row.Key, Expect: row.Version, Delete: true})
 	}
 	if len(expired) > 0 {
-		// Another may delete or renew them at the same time; the next list shows it.
+		// Another agent may delete or renew these rows at the same time; the next
+		// List returns the outcome.
 		_ = book.table.Commit(ctx, expired)
 	}
 	return strikes, nil
