--- a/internal/minter/doc.go
+++ b/internal/minter/doc.go
@@ -1,10 +1,10 @@
 // Package minter makes and checks idempotency keys that need no store.
 //
-// A minted key names the one agent incarnation that may run it, an expiry and
-// a message authentication code (HMAC, RFC 2104) over both, the team and the
-// service. Because no other process will run the key, that incarnation's
-// memory is enough to run it at most once, and orders keep flowing while the
-// platform's store is down. The secret is made at random for each incarnation
-// and never leaves it: a new incarnation can't check an old one's keys, and
-// so can't run what the old one may have run.
+// A minted key contains the one agent incarnation that may run its call, an expiry
+// and a message authentication code (HMAC, RFC 2104) over both, the team and the
+// service. Since no other process accepts the key, the incarnation can run the
+// call at most once from its memory alone, and orders still run while the
+// platform's store is down. Each incarnation generates a random secret that never
+// leaves it. So a new incarnation rejects the keys of the old one, whose calls may
+// have run already.
 package minter
--- a/internal/minter/mint.go
+++ b/internal/minter/mint.go
@@ -13,49 +13,51 @@
 )
 
 const (
-	// Prefix begins every minted key; a caller's own key may not begin so.
+	// Prefix is the prefix of every minted key; a caller's own key must not have it.
 	Prefix = "tsk1."
-	// DefaultLifetime is how long a minted key may be used. It is longer than the
-	// store's long outages, and short enough that an agent's memory holds
-	// every key that it was given.
+	// DefaultLifetime is the time until a minted key expires. It is longer than long
+	// outages of the store, and short enough that an agent can hold every key that
+	// it receives in memory.
 	DefaultLifetime = timekeeper.Hour
-	// MaxKeys bounds the keys of one order for keys.
+	// MaxKeys limits the keys of one request for keys.
 	MaxKeys = 64
 
 	radix      = 36
 	nonceBytes = 12
-	partsOfKey = 5
+	keyParts   = 5
 )
 
 // Mint makes and checks the keys of one agent incarnation.
 type Mint struct {
 	name        string
 	incarnation uint64
-	life        timekeeper.Span
+	lifetime    timekeeper.Span
 	secret      [sha256.Size]byte
 }
 
-// New returns a mint with a random secret. Zero life means DefaultLife.
-func New(name string, incarnation uint64, life timekeeper.Span) *Mint {
-	if life == 0 {
-		life = DefaultLifetime
+// New returns a mint with a random secret. Zero lifetime means DefaultLifetime.
+func New(name string, incarnation uint64, lifetime timekeeper.Span) *Mint {
+	if lifetime == 0 {
+		lifetime = DefaultLifetime
 	}
-	mint := &Mint{name: name, incarnation: incarnation, life: life}
+	mint := &Mint{name: name, incarnation: incarnation, lifetime: lifetime}
 	_, _ = rand.Read(mint.secret[:])
 	return mint
 }
 
-// PublicPart is the public part of a minted key. It is not proven: it tells an
-// entry where to offer the call, and the agent there checks the code.
+// PublicPart is the part of a minted key that anyone can read. An entry uses it,
+// unauthenticated, to find the agent to offer the call to; that agent checks the
+// authentication code.
 type PublicPart struct {
 	Instance    string
 	Incarnation uint64
 	Expires     timekeeper.Instant
 }
 
-// Make returns count new keys for a team and service, and their expiry.
+// Make returns count new keys for a team and service, at least one and at most
+// MaxKeys, and their expiry.
 func (mint *Mint) Make(team, service string, count int, now timekeeper.Instant) ([]string, timekeeper.Instant) {
-	expires := now.Add(mint.life)
+	expires := now.Add(mint.lifetime)
 	keys := make([]string, min(max(count, 1), MaxKeys))
 	for i := range keys {
 		var nonce [nonceBytes]byte
@@ -66,23 +68,24 @@
 			strconv.FormatInt(int64(expires), radix),
 			base64.RawURLEncoding.EncodeToString(nonce[:]),
 		}, ".")
-		keys[i] = Prefix + payload + "." + mint.code(team, service, payload)
+		keys[i] = Prefix + payload + "." + mint.authCode(team, service, payload)
 	}
 	return keys, expires
 }
 
-func (mint *Mint) code(team, service, payload string) string {
+// authCode returns the encoded authentication code of a payload.
+func (mint *Mint) authCode(team, service, payload string) string {
 	mac := hmac.New(sha256.New, mint.secret[:])
 	_, _ = mac.Write([]byte(team + "\x00" + service + "\x00" + payload))
-	const shown = 16 // 128 bits can't be guessed within an hour
-	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:shown])
+	const macBytes = 16 // 128 bits can't be guessed within the hour until the key expires
+	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:macBytes])
 }
 
-// Parse returns the public part of a key; false when it has not the form of one.
+// Parse returns the public part of a minted key, and false if the key is malformed.
 func Parse(key string) (PublicPart, bool) {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	parts := strings.Split(rest, ".")
-	if !ok || len(parts) != partsOfKey {
+	if !ok || len(parts) != keyParts {
 		return PublicPart{}, false
 	}
 	name, err := base64.RawURLEncoding.DecodeString(parts[0])
@@ -94,21 +97,21 @@
 	return PublicPart{Instance: string(name), Incarnation: incarnation, Expires: timekeeper.Instant(expires)}, true
 }
 
-// Check reports whether this incarnation made the key for the team and
-// service, and when it expires. A key that passed its expiry is still sound:
-// whether it ran is answered from the book.
+// Check reports whether this incarnation made the key for the team and service,
+// and returns its expiry. Check accepts expired keys, since claimer.Book decides
+// whether their calls ran.
 func (mint *Mint) Check(team, service, key string) (timekeeper.Instant, classifier.Failure, bool) {
-	named, ok := Parse(key)
+	public, ok := Parse(key)
 	if !ok {
 		return 0, classifier.New(classifier.BadRequest, "the key begins like a minted one and is none"), false
 	}
-	if named.Instance != mint.name || named.Incarnation != mint.incarnation {
+	if public.Instance != mint.name || public.Incarnation != mint.incarnation {
 		return 0, classifier.New(classifier.WrongInstance, "the key names another incarnation"), false
 	}
 	rest := strings.TrimPrefix(key, Prefix)
 	cut := strings.LastIndexByte(rest, '.')
-	if !hmac.Equal([]byte(rest[cut+1:]), []byte(mint.code(team, service, rest[:cut]))) {
+	if !hmac.Equal([]byte(rest[cut+1:]), []byte(mint.authCode(team, service, rest[:cut]))) {
 		return 0, classifier.New(classifier.BadRequest, "the key was not minted for this team and service"), false
 	}
-	return named.Expires, classifier.Failure{}, true
+	return public.Expires, classifier.Failure{}, true
 }
--- a/internal/minter/mint_test.go
+++ b/internal/minter/mint_test.go
@@ -8,7 +8,9 @@
 	"github.com/trefoilseam/trefoilseam/internal/classifier"
 )
 
-func TestOnlyTheIncarnationThatMadeAKeyTakesIt(t *testing.T) {
+func TestOnlyTheMintingIncarnationAcceptsAKey(t *testing.T) {
+	// If two incarnations accepted one key, its call could run twice. A key must also
+	// be rejected for another team or service, and if it is forged.
 	mint := New("orders.1", 7, 0)
 	keys, expires := mint.Make("rig", "orders", 2, 1000)
 	forged := keys[0][:len(keys[0])-1] + "A"
@@ -20,15 +22,15 @@
 		mint                     *Mint
 		kind                     classifier.Kind
 	}{
-		{"its own", "rig", "orders", keys[0], mint, 0},
-		{"another team's", "other", "orders", keys[0], mint, classifier.BadRequest},
-		{"another service's", "rig", "portal", keys[0], mint, classifier.BadRequest},
-		{"a forged one", "rig", "orders", forged, mint, classifier.BadRequest},
-		{"a malformed one", "rig", "orders", Prefix + "x.y", mint, classifier.BadRequest},
-		{"the next incarnation", "rig", "orders", keys[0], New("orders.1", 8, 0), classifier.WrongInstance},
-		{"another secret", "rig", "orders", keys[0], New("orders.1", 7, 0), classifier.BadRequest},
+		{"a valid key", "rig", "orders", keys[0], mint, 0},
+		{"a key of another team", "other", "orders", keys[0], mint, classifier.BadRequest},
+		{"a key of another service", "rig", "portal", keys[0], mint, classifier.BadRequest},
+		{"a forged key", "rig", "orders", forged, mint, classifier.BadRequest},
+		{"a malformed key", "rig", "orders", Prefix + "x.y", mint, classifier.BadRequest},
+		{"a key of an earlier incarnation", "rig", "orders", keys[0], New("orders.1", 8, 0), classifier.WrongInstance},
+		{"a key made with another secret", "rig", "orders", keys[0], New("orders.1", 7, 0), classifier.BadRequest},
 	}
-	Convey("keys differ, and each is taken by its maker alone", t, func() {
+	Convey("keys differ, and only their mint accepts them", t, func() {
 		So(keys[0], ShouldNotEqual, keys[1])
 		for _, test := range tests {
 			got, failure, ok := test.mint.Check(test.team, test.service, test.key)
