--- a/internal/marker/doc.go
+++ b/internal/marker/doc.go
@@ -1,7 +1,6 @@
-// Package marker gives each event of a streamed answer an id that names its
-// place, so that a caller whose connection broke can ask for the rest of the
-// same answer.
+// Package marker adds an id with a byte offset to each event of a streamed answer,
+// so that a caller whose connection broke can request the rest of the answer.
 //
-// It works on bytes alone: no I/O, no goroutines. A Marker is for one stream and
-// one goroutine.
+// The package does no I/O and starts no goroutines. A Marker is for one stream and
+// is not safe for concurrent use.
 package marker
--- a/internal/marker/fuzz_test.go
+++ b/internal/marker/fuzz_test.go
@@ -5,10 +5,9 @@
 	"testing"
 )
 
-// FuzzMarkedStream holds the marker against any stream in any two parts: where
-// the stream is split makes no difference to what comes out, and without ids
-// the bytes are those of the stream without its own ids. Each id names the
-// place where the next one begins, and no other id stands between.
+// FuzzMarkedStream passes a stream to the marker in two parts. The output must not
+// depend on the split, and must equal the stream when id lines are removed from
+// both. Each id must give the offset of the next one, with no other id between.
 func FuzzMarkedStream(f *testing.F) {
 	for _, seed := range []string{
 		"", "data: a\n\n", "id: 9\ndata: a\n\ndata: b\n\n", "data: a\r\n\r\ndata: b\r\n\r\n", "data: a\n\ndata: b",
@@ -35,8 +34,8 @@
 	})
 }
 
-// marked runs the parts of a stream through a marker. It returns what came out
-// and the place that the last id names.
+// marked passes the parts of a stream to a marker. It returns the output and the
+// offset in the last id.
 func marked(parts ...[]byte) (out []byte, offset uint64, ok bool) {
 	marker := Marker{id: EventID{Instance: "planner-1"}}
 	for _, part := range parts {
@@ -48,7 +47,7 @@
 	return append(out, marker.Rest()...), marker.id.Offset, true
 }
 
-// requireIDs checks the ids of a stream of whole events.
+// requireIDs checks the ids of a stream of complete events.
 func requireIDs(t *testing.T, events []byte) {
 	t.Helper()
 	at, next := uint64(0), uint64(0)
@@ -56,19 +55,19 @@
 		if text, isID := bytes.CutPrefix(line, []byte("id:")); isID {
 			id, err := ParseEventID(string(bytes.TrimSpace(text)))
 			if err != nil || at != next {
-				t.Fatalf("%q at %d, the next id belongs at %d: %v", line, at, next, err)
+				t.Fatalf("%q at offset %d, want the next id at %d: %v", line, at, next, err)
 			}
 			next = id.Offset
 		}
 		at += uint64(len(line))
 	}
 	if at != next {
-		t.Fatalf("the last id names %d of %d bytes", next, at)
+		t.Fatalf("the last id has offset %d, the events are %d bytes long", next, at)
 	}
 }
 
-// withoutIDLines drops the lines that are ids, and nothing else. An id at the
-// very end that no line end follows is part of an event that isn't whole.
+// withoutIDLines removes the id lines. This includes an unterminated id line at the
+// end, which is part of an incomplete event.
 func withoutIDLines(stream []byte) []byte {
 	var out []byte
 	for line := range bytes.Lines(stream) {
--- a/internal/marker/marker.go
+++ b/internal/marker/marker.go
@@ -6,27 +6,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// Marker rewrites a stream of server-sent events so that each carries the
-// id of the place behind it. An id of the upstream's own is left out, since a
-// caller can send back only one.
+// Marker rewrites a stream of server-sent events so that the id of each event
+// gives the position after it. It removes ids of the upstream, since a caller can
+// send back only one.
 type Marker struct {
-	id      EventID
+	id EventID
+	// pending holds the bytes of an incomplete event.
 	pending []byte
-	// width is the length of an id of this stream, which is fixed; zero until
-	// the first event.
-	width int
+	// idLength is the fixed length of the ids of this stream; zero until the first
+	// event.
+	idLength int
 }
 
-// New returns a marker for a stream whose first event begins at id.
+// New returns a marker for a stream whose first event begins at the position id.
 func New(id EventID) *Marker { return &Marker{id: id} }
 
-// longestEvent bounds the bytes held back while an event is not whole.
-const longestEvent = 256 << 10
+// maxEventBytes limits the bytes that are buffered until an event is complete.
+const maxEventBytes = 256 << 10
 
 var errEventTooLong = eris.New("an event of the stream is over the limit")
 
-// Mark appends to out the whole events among the bytes so far, with ids. It
-// returns an error for an event over longestEvent bytes.
+// Mark reads part and appends the events that are now complete to out, with ids.
+// It returns an error if an incomplete event exceeds maxEventBytes.
 func (marker *Marker) Mark(out, part []byte) ([]byte, error) {
 	marker.pending = append(marker.pending, part...)
 	stream := marker.pending
@@ -39,13 +40,13 @@
 		stream = rest
 	}
 	marker.pending = marker.pending[:copy(marker.pending, stream)]
-	if len(marker.pending) > longestEvent {
+	if len(marker.pending) > maxEventBytes {
 		return nil, errEventTooLong
 	}
 	return out, nil
 }
 
-// Rest returns what is left when the stream ended inside an event.
+// Rest returns the bytes of an incomplete event at the end of the stream.
 func (marker *Marker) Rest() []byte {
 	return marker.pending
 }
@@ -55,17 +56,17 @@
 	blankLineCRLF = []byte("\r\n\r\n")
 )
 
-// cutEvent splits the first whole event off, with the blank line that ends it.
+// cutEvent splits off the first complete event, with the blank line that ends it.
 func cutEvent(stream []byte) (event, rest []byte, found bool) {
-	end := endOf(stream, blankLine)
-	if other := endOf(stream, blankLineCRLF); other > 0 && (end == 0 || other < end) {
-		end = other
+	end := blankLineEnd(stream, blankLine)
+	if endCRLF := blankLineEnd(stream, blankLineCRLF); endCRLF > 0 && (end == 0 || endCRLF < end) {
+		end = endCRLF
 	}
 	return stream[:end], stream[end:], end > 0
 }
 
-// endOf returns where the first blank line ends, and zero when there is none.
-func endOf(stream, blank []byte) int {
+// blankLineEnd returns the offset after the first blank line, or zero if there is none.
+func blankLineEnd(stream, blank []byte) int {
 	at := bytes.Index(stream, blank)
 	if at < 0 {
 		return 0
@@ -73,19 +74,21 @@
 	return at + len(blank)
 }
 
+// rewrite appends the event to out with the marker's id in place of its own.
 func (marker *Marker) rewrite(out, event []byte) []byte {
 	const field, newline = "id: ", "\n"
-	if marker.width == 0 {
-		marker.width = len(marker.id.append(nil))
+	if marker.idLength == 0 {
+		marker.idLength = len(marker.id.append(nil))
 	}
 	body := withoutID(event)
-	marker.id.Offset += uint64(len(field) + marker.width + len(newline) + len(body))
+	marker.id.Offset += uint64(len(field) + marker.idLength + len(newline) + len(body))
 	out = append(out, field...)
 	out = marker.id.append(out)
 	out = append(out, newline...)
 	return append(out, body...)
 }
 
+// withoutID returns the event without its id lines.
 func withoutID(event []byte) []byte {
 	if !bytes.HasPrefix(event, []byte("id:")) && !bytes.Contains(event, []byte("\nid:")) {
 		return event
--- a/internal/marker/marker_test.go
+++ b/internal/marker/marker_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-func TestEventIDsComeBack(t *testing.T) {
-	Convey("an id is read as it was written", t, func() {
+func TestEventIDsRoundTrip(t *testing.T) {
+	Convey("a parsed id equals the id that was formatted", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			id := EventID{
 				Instance:        rapid.StringMatching(`[a-z][a-z0-9.-]{0,20}`).Draw(t, "instance"),
@@ -17,18 +17,18 @@
 				Serial:          rapid.Uint64().Draw(t, "serial"),
 				Offset:          rapid.Uint64Max(1<<36).Draw(t, "offset"),
 			}
-			back, err := ParseEventID(id.String())
-			if err != nil || back != id {
-				t.Fatalf("%v came back as %v: %v", id, back, err)
+			parsed, err := ParseEventID(id.String())
+			if err != nil || parsed != id {
+				t.Fatalf("%v was parsed as %v: %v", id, parsed, err)
 			}
 		})
 	})
 	tests := []struct{ name, text string }{
-		{"nothing", ""},
-		{"too few parts", "planner-1.0.0"},
-		{"a number that is none", "planner-1.0.!.0"},
-		{"a mark out of range", "planner-1.zzzzzzzzz.0.0"},
-		{"a name without end", strings.Repeat("a", 300) + ".0.0.0"},
+		{"an empty id", ""},
+		{"an id with too few parts", "planner-1.0.0"},
+		{"an id with a malformed number", "planner-1.0.!.0"},
+		{"an id with a hash out of range", "planner-1.zzzzzzzzz.0.0"},
+		{"an id that is too long", strings.Repeat("a", 300) + ".0.0.0"},
 	}
 	for _, test := range tests {
 		Convey(test.name+" is refused", t, func() {
@@ -38,12 +38,12 @@
 	}
 }
 
-func TestMarkedStreams(t *testing.T) {
+func TestMarkAddsIDs(t *testing.T) {
 	tests := []struct{ name, stream, want string }{
 		{"an event gets an id", "data: a\n\n", "id: I\ndata: a\n\n"},
-		{"an upstream's own id is left out", "id: 9\ndata: a\n\n", "id: I\ndata: a\n\n"},
-		{"line ends of the other kind", "data: a\r\n\r\n", "id: I\ndata: a\r\n\r\n"},
-		{"a part of an event comes last, as it is", "data: a\n\ndata: b", "id: I\ndata: a\n\ndata: b"},
+		{"an id of the upstream is removed", "id: 9\ndata: a\n\n", "id: I\ndata: a\n\n"},
+		{"an event with CRLF line ends gets an id", "data: a\r\n\r\n", "id: I\ndata: a\r\n\r\n"},
+		{"an incomplete event at the end stays unchanged", "data: a\n\ndata: b", "id: I\ndata: a\n\ndata: b"},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -64,9 +64,9 @@
 			So(out, ShouldEqual, test.want)
 		})
 	}
-	Convey("an event without end is refused", t, func() {
+	Convey("an incomplete event over the limit is refused", t, func() {
 		marker := Marker{}
-		_, err := marker.Mark(nil, make([]byte, longestEvent+1))
+		_, err := marker.Mark(nil, make([]byte, maxEventBytes+1))
 		So(err, ShouldEqual, errEventTooLong)
 	})
 }
