--- a/internal/replayer/answer.go
+++ b/internal/replayer/answer.go
@@ -13,46 +13,48 @@
 )
 
 const (
-	// Window is how many bytes of an answer may wait for their reader. It
-	// bounds memory when a caller reads slowly; past it the upstream is held
-	// back, so flow control reaches from the caller to the engine.
+	// Window limits the unread bytes of an answer, and so the memory used for a slow
+	// caller. Add blocks while there are more, so that flow control extends from the
+	// caller to the engine.
 	Window = 256 << 10
-	// MaxRetained is how many bytes behind the reader stay for a resume.
+	// MaxRetained limits the bytes retained behind the reader for a resume.
 	MaxRetained = 1 << 20
-	// ChunkSize is the most that one Chunk frame carries.
+	// ChunkSize is the maximum number of bytes in a Chunk frame.
 	ChunkSize = 32 << 10
 )
 
-// Answer holds one upstream answer between the goroutine that reads it from
-// the upstream and the one that relays it.
+// Answer buffers one upstream answer between the goroutine that reads it from the
+// upstream and those that relay it.
 type Answer struct {
 	mu      sync.Mutex
 	changed chan struct{}
 	head    *encoder.Head
-	base    uint64
-	data    []byte
-	read    uint64
-	digest  *xxhash.Digest
-	end     *encoder.End
-	// unread says that nobody reads and that the upstream is drained all the same.
-	unread   bool
+	// dataOffset is the offset of data in the body.
+	dataOffset uint64
+	data       []byte
+	// readOffset is the offset of the first unread byte.
+	readOffset uint64
+	digest     *xxhash.Digest
+	end        *encoder.End
+	// draining means that Add doesn't wait for a reader.
+	draining bool
 	settings Settings
 }
 
-// Settings set up an answer. Each may be nil.
+// Settings configure an answer. Each field may be nil.
 type Settings struct {
-	// OnHead is called once the head is there.
+	// OnHead is called after SetHead stored the head.
 	OnHead func()
-	// AgentDigest returns what the end brings of the agent, or nil.
-	AgentDigest func() *encoder.Digest
+	// Now returns the agent's current digest for the End frame, or nil.
+	Now func() *encoder.Digest
 }
 
-// New returns an answer that nothing is known of yet.
+// New returns an empty answer.
 func New(settings Settings) *Answer {
 	return &Answer{settings: settings, changed: make(chan struct{}), digest: xxhash.New()}
 }
 
-// wake tells all waiters that something changed; the lock must be held.
+// wake wakes all waiters after a change; the lock must be held.
 func (answer *Answer) wake() {
 	close(answer.changed)
 	answer.changed = make(chan struct{})
@@ -69,12 +71,11 @@
 	}
 }
 
-// Add appends bytes of the body. It waits while more than Window bytes are
-// unread, and returns the error of ctx if that ends first. An answer that is
-// drained waits for nobody.
+// Add appends bytes of the body. It blocks while more than Window bytes are unread,
+// unless the answer is drained, and returns the error of ctx if ctx is done first.
 func (answer *Answer) Add(ctx context.Context, part []byte) error {
 	answer.mu.Lock()
-	for !answer.unread && answer.length() > answer.read+Window {
+	for !answer.draining && answer.length() > answer.readOffset+Window {
 		changed := answer.changed
 		answer.mu.Unlock()
 		select {
@@ -87,8 +88,8 @@
 	defer answer.mu.Unlock()
 	answer.data = append(answer.data, part...)
 	_, _ = answer.digest.Write(part)
-	if answer.unread {
-		answer.read = answer.length()
+	if answer.draining {
+		answer.readOffset = answer.length()
 		answer.trim()
 	}
 	answer.wake()
@@ -97,16 +98,17 @@
 
 // length returns the length of the body so far; the lock must be held.
 func (answer *Answer) length() uint64 {
-	return answer.base + uint64(len(answer.data))
+	return answer.dataOffset + uint64(len(answer.data))
 }
 
-// Close ends the answer. Only the first call counts.
+// Close ends the answer. Only the first call has an effect.
 func (answer *Answer) Close(requestID string, complete bool, failure classifier.Failure) {
-	// A broken answer brings nothing: its engine may be back sooner than the word of
-	// its loss fades. The agent's lock is taken before the answer's, never after it.
-	var now *encoder.Digest
-	if answer.settings.AgentDigest != nil && complete {
-		now = answer.settings.AgentDigest()
+	// The end of an incomplete answer carries no digest: its engine may recover before
+	// the report of its crash expires. Settings.Now takes the agent's lock, which must
+	// be taken before the answer's.
+	var agentDigest *encoder.Digest
+	if answer.settings.Now != nil && complete {
+		agentDigest = answer.settings.Now()
 	}
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
@@ -118,7 +120,7 @@
 		Complete:  complete,
 		Length:    answer.length(),
 		Digest:    answer.digest.Sum64(),
-		Now:       now,
+		Now:       agentDigest,
 	}
 	if !complete {
 		answer.end.Kind = failure.Kind.String()
@@ -127,26 +129,26 @@
 	answer.wake()
 }
 
-// trim forgets bytes that lie more than Kept bytes behind the reader.
+// trim drops bytes more than MaxRetained bytes behind the reader; the lock must be held.
 func (answer *Answer) trim() {
-	if answer.read <= answer.base+MaxRetained {
+	if answer.readOffset <= answer.dataOffset+MaxRetained {
 		return
 	}
-	drop := answer.read - MaxRetained - answer.base
+	drop := answer.readOffset - MaxRetained - answer.dataOffset
 	answer.data = append([]byte(nil), answer.data[drop:]...)
-	answer.base += drop
+	answer.dataOffset += drop
 }
 
-// next returns the frames that follow offset, waiting until there are some.
-// The head is among them only when headSent is false.
-func (answer *Answer) next(ctx context.Context, offset uint64, headSent bool) ([]*encoder.Frame, error) {
+// nextFrames waits for the frames that follow offset and returns them. They include
+// the head only if headSent is false.
+func (answer *Answer) nextFrames(ctx context.Context, offset uint64, headSent bool) ([]*encoder.Frame, error) {
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
 	for {
-		if offset < answer.base {
-			return nil, errDropped
+		if offset < answer.dataOffset {
+			return nil, errNotRetained
 		}
-		frames := answer.ready(offset, headSent)
+		frames := answer.readyFrames(offset, headSent)
 		if len(frames) > 0 {
 			return frames, nil
 		}
@@ -165,13 +167,14 @@
 	}
 }
 
-func (answer *Answer) ready(offset uint64, headSent bool) []*encoder.Frame {
+// readyFrames returns the frames that follow offset now; the lock must be held.
+func (answer *Answer) readyFrames(offset uint64, headSent bool) []*encoder.Frame {
 	var frames []*encoder.Frame
 	if answer.head != nil && !headSent {
 		frames = append(frames, encoder.Of(answer.head))
 	}
-	if offset < answer.length() && offset >= answer.base {
-		from := offset - answer.base
+	if offset < answer.length() && offset >= answer.dataOffset {
+		from := offset - answer.dataOffset
 		to := min(from+ChunkSize, uint64(len(answer.data)))
 		part := append([]byte(nil), answer.data[from:to]...)
 		return append(frames, encoder.Of(&encoder.Chunk{Offset: offset, Data: part}))
@@ -182,59 +185,60 @@
 	return frames
 }
 
-// errDropped says that the bytes that a reader is to get are no longer held.
-var errDropped = eris.New("the answer's bytes are no longer held")
+// errNotRetained is returned if the bytes at the offset of a reader have been dropped.
+var errNotRetained = eris.New("the answer's bytes are no longer held")
 
-// Drain lets the upstream write on with nobody reading.
+// Drain lets the upstream continue to write without a reader.
 //
-// The failure: the caller of an order leaves, the order's answer is longer
-// than the Window, and the run may not be ended. The symptom: the upstream is
-// Held back and the slot stays taken until the longest call. Drained, the run
-// ends as soon as the upstream does, and its last bytes, kept of them, wait for
-// a look-up; one that asks for earlier bytes is told that they are not kept.
+// The caller of an order may leave while its run must not be ended. If the answer
+// exceeded Window, the upstream would block and occupy its slot until the limit on
+// the longest call. With Drain, the run ends as soon as the upstream does. The last
+// MaxRetained bytes stay available for a look-up; a look-up of earlier bytes fails.
 func (answer *Answer) Drain() {
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
-	answer.unread = true
+	answer.draining = true
 	answer.wake()
 }
 
-// Rewind makes the upstream wait again, for a reader that has come to offset.
+// Rewind ends Drain for a reader that resumes at offset, so that Add waits for the
+// reader again.
 func (answer *Answer) Rewind(offset uint64) {
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
-	answer.unread = false
-	answer.read = min(answer.read, offset)
+	answer.draining = false
+	answer.readOffset = min(answer.readOffset, offset)
 }
 
-// MarkRead notes that the reader has taken all bytes before offset.
+// MarkRead records that the reader has read all bytes before offset.
 func (answer *Answer) MarkRead(offset uint64) {
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
-	if offset > answer.read {
-		answer.read = offset
+	if offset > answer.readOffset {
+		answer.readOffset = offset
 		answer.trim()
 		answer.wake()
 	}
 }
 
-// Resumable reports whether the bytes from offset on are still held.
+// Resumable reports whether a reader can resume at offset, that is, whether all
+// bytes from there on are retained.
 func (answer *Answer) Resumable(offset uint64) bool {
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
-	return offset >= answer.base && offset <= answer.length()
+	return offset >= answer.dataOffset && offset <= answer.length()
 }
 
-// Follow sends the answer from offset on until its end.
+// Follow writes the answer to the stream, from offset to its end.
 func (answer *Answer) Follow(ctx context.Context, stream *encoder.Stream, offset uint64) error {
 	headSent := false
-	carried := xxhash.New()
+	streamDigest := xxhash.New()
 	for {
-		frames, err := answer.next(ctx, offset, headSent)
+		frames, err := answer.nextFrames(ctx, offset, headSent)
 		if err != nil {
 			return err
 		}
-		seal(frames, carried)
+		setPartDigest(frames, streamDigest)
 		if err := stream.Write(frames...); err != nil {
 			return err
 		}
@@ -249,38 +253,39 @@
 	}
 }
 
-// seal puts the digest of the bytes that one stream carried on its End. A
-// reader that came to an offset can't check the digest of the whole.
-func seal(frames []*encoder.Frame, carried *xxhash.Digest) {
+// setPartDigest adds the frames to the digest of one stream and sets that digest in
+// the End frame. A reader that started at an offset can't check the digest of the
+// whole answer.
+func setPartDigest(frames []*encoder.Frame, streamDigest *xxhash.Digest) {
 	for i, frame := range frames {
-		_, _ = carried.Write(frame.GetChunk().GetData())
+		_, _ = streamDigest.Write(frame.GetChunk().GetData())
 		if frame.GetEnd() != nil {
-			// The End is shared by all readers, so each seals a copy.
+			// All readers share the End frame, so each changes a copy.
 			end := proto.CloneOf(frame.GetEnd())
-			end.PartDigest = carried.Sum64()
+			end.PartDigest = streamDigest.Sum64()
 			frames[i] = encoder.Of(end)
 		}
 	}
 }
 
-// End returns how the answer ended, or nil while it goes on.
+// End returns the End frame of the answer, or nil until it has ended.
 func (answer *Answer) End() *encoder.End {
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
 	return answer.end
 }
 
-// RetainedBytes returns how many bytes of the body are kept.
+// RetainedBytes returns the number of bytes of the body in memory.
 func (answer *Answer) RetainedBytes() int {
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
 	return len(answer.data)
 }
 
-// Drop forgets the body. What was read of it can't be read again.
+// Drop removes the body from memory, so that it can't be read again.
 func (answer *Answer) Drop() {
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
-	answer.base = answer.length()
+	answer.dataOffset = answer.length()
 	answer.data = nil
 }
--- a/internal/replayer/answer_test.go
+++ b/internal/replayer/answer_test.go
@@ -14,8 +14,8 @@
 	"github.com/trefoilseam/trefoilseam/internal/encoder"
 )
 
-// relayed returns the body that a reader gets from an offset on.
-func relayed(t *testing.T, answer *Answer, offset uint64) []byte {
+// readBody returns the body that a reader receives from offset to the end.
+func readBody(t *testing.T, answer *Answer, offset uint64) []byte {
 	t.Helper()
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
@@ -37,22 +37,22 @@
 	}
 }
 
-func TestAReaderComesBackForTheRest(t *testing.T) {
-	// A caller's connection breaks in the middle of an answer. The answer goes on
-	// without it; the caller comes back and gets what it has not had, and only that.
+func TestAReaderResumesAtItsOffset(t *testing.T) {
+	// A caller's connection breaks in the middle of an answer, and the answer
+	// continues. The returning caller must receive exactly the bytes it lacks.
 	answer := New(Settings{})
-	whole := bytes.Repeat([]byte("0123456789abcdef"), 8<<10)
+	body := bytes.Repeat([]byte("0123456789abcdef"), 8<<10)
 	answer.SetHead(&encoder.Head{Status: 200})
-	Convey("from where it stopped", t, func() {
-		So(answer.Add(t.Context(), whole), ShouldBeNil)
+	Convey("at an offset while the body is retained", t, func() {
+		So(answer.Add(t.Context(), body), ShouldBeNil)
 		answer.Close("run", true, classifier.Failure{})
 		So(answer.Resumable(1000), ShouldBeTrue)
-		So(bytes.Equal(relayed(t, answer, 1000), whole[1000:]), ShouldBeTrue)
-		So(bytes.Equal(relayed(t, answer, 0), whole), ShouldBeTrue)
-		So(answer.End().GetDigest(), ShouldEqual, xxhash.Sum64(whole))
+		So(bytes.Equal(readBody(t, answer, 1000), body[1000:]), ShouldBeTrue)
+		So(bytes.Equal(readBody(t, answer, 0), body), ShouldBeTrue)
+		So(answer.End().GetDigest(), ShouldEqual, xxhash.Sum64(body))
 	})
-	Convey("until the body is dropped", t, func() {
-		So(answer.RetainedBytes(), ShouldEqual, len(whole))
+	Convey("not after the body is dropped", t, func() {
+		So(answer.RetainedBytes(), ShouldEqual, len(body))
 		answer.Drop()
 		So(answer.RetainedBytes(), ShouldEqual, 0)
 		So(answer.Resumable(1000), ShouldBeFalse)
@@ -60,34 +60,34 @@
 	})
 }
 
-func TestASlowReaderHoldsBackTheUpstream(t *testing.T) {
-	// Nobody reads. Once the window is full the upstream has to wait, so that memory
-	// stays bounded; an answer that is drained waits for nobody and keeps its tail.
+func TestASlowReaderBlocksTheUpstream(t *testing.T) {
+	// Guards against unlimited memory when a caller stops reading. Once the window is
+	// full, Add must block; a drained answer doesn't block and retains its last bytes.
 	part := make([]byte, Window+1)
 	tests := []struct {
-		name   string
-		drains bool
-		held   int
-		waits  bool
+		name     string
+		drained  bool
+		retained int
+		blocks   bool
 	}{
-		{"held back", false, Window + 1, true},
+		{"not drained", false, Window + 1, true},
 		{"drained", true, MaxRetained, false},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			answer := New(Settings{})
-			if test.drains {
+			if test.drained {
 				answer.Drain()
 			}
 			So(answer.Add(t.Context(), part), ShouldBeNil)
-			gone, cancel := context.WithCancel(t.Context())
+			canceled, cancel := context.WithCancel(t.Context())
 			cancel()
-			err := answer.Add(gone, part)
-			So(err != nil, ShouldEqual, test.waits)
+			err := answer.Add(canceled, part)
+			So(err != nil, ShouldEqual, test.blocks)
 			for range 5 {
-				_ = answer.Add(gone, part)
+				_ = answer.Add(canceled, part)
 			}
-			So(answer.RetainedBytes(), ShouldEqual, test.held)
+			So(answer.RetainedBytes(), ShouldEqual, test.retained)
 		})
 	}
 }
--- a/internal/replayer/doc.go
+++ b/internal/replayer/doc.go
@@ -1,7 +1,7 @@
-// Package replayer keeps one answer of an upstream while it is relayed, and
-// for a while after: who reads it may stop, come back and go on where it was.
+// Package replayer buffers an answer of an upstream while it is relayed and for
+// some time after, so that a reader can stop and later resume at the same offset.
 //
-// An Answer stands between the goroutine that reads it from the upstream and
-// those that relay it. It bounds what waits for a reader, so that flow control
-// reaches from a slow caller to the upstream, and what is kept behind a reader.
+// An Answer connects the goroutine that reads the answer from the upstream to those
+// that relay it. It limits the unread bytes, so that a slow caller slows down the
+// upstream, and the bytes that it retains behind a reader.
 package replayer
--- a/internal/runner/run.go
+++ b/internal/runner/run.go
@@ -50,8 +50,8 @@
 		cancel:     cancel,
 	}
 	started.answer = replayer.New(replayer.Settings{
-		OnHead:      func() { agent.opened(started.id) },
-		AgentDigest: func() *encoder.Digest { return agent.atEnd(offer) },
+		OnHead: func() { agent.opened(started.id) },
+		Now:    func() *encoder.Digest { return agent.atEnd(offer) },
 	})
 	agent.mu.Lock()
 	if known := agent.runs[started.id]; known != nil {
