--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -133,20 +133,20 @@
 // Ended records that a request ended without a crash, and returns its flight. A
 // complete answer clears the strikes of the request; an incomplete isolated run
 // leaves one. The second result reports whether the strikes changed.
-func (ledger *Ledger) Ended(request string, whole bool) (Flight, bool) {
+func (ledger *Ledger) Ended(request string, complete bool) (Flight, bool) {
 	flight := ledger.flights[request]
 	delete(ledger.flights, request)
 	strike, struck := ledger.strikes[flight.Fingerprint]
 	if !struck {
 		return flight, false
 	}
-	if whole {
+	if complete {
 		delete(ledger.strikes, flight.Fingerprint)
 	} else if flight.Isolated {
 		strike.Count = IsolationThreshold
 		ledger.strikes[flight.Fingerprint] = strike
 	}
-	return flight, whole || flight.Isolated
+	return flight, complete || flight.Isolated
 }
 
 // Recovered records that the engine answers again.
@@ -188,9 +188,9 @@
 }
 
 // Merge returns the strike that applies to an offer, from the agent's own strike,
-// the row in the table (valid if found) and the count in the entry's offer. A
-// saved own strike counts only as the row has it, since the table knows whether it
-// was cleared. The count is the maximum of the others, at most RefusalThreshold.
+// the row in the table (if found) and the count in the entry's offer. Its count is
+// the maximum of the three, at most RefusalThreshold. A saved own strike is left
+// out, since the row is more recent: the strike may have been lifted or cleared.
 func Merge(own, row Strike, found bool, offered int) Strike {
 	strike := own
 	if found {
