--- a/internal/claimer/book.go
+++ b/internal/claimer/book.go
@@ -288,7 +288,7 @@
 	delete(book.byRequest, request)
 }
 
-// End records that a run has ended. TakeDone later returns the rows of complete
+// End records that a run has ended. TakeCompleted later returns the rows of complete
 // answers.
 func (book *Book) End(request string, complete bool, digest uint64) {
 	key := book.byRequest[request]
@@ -315,9 +315,9 @@
 	}
 }
 
-// TakeDone returns up to limit rows of completed runs, to be marked in the table,
+// TakeCompleted returns up to limit rows of completed runs, to be marked in the table,
 // and removes their keys from the waiting ones.
-func (book *Book) TakeDone(limit int) []Row {
+func (book *Book) TakeCompleted(limit int) []Row {
 	count := min(limit, len(book.completed))
 	var rows []Row
 	for _, key := range book.completed[:count] {
--- a/internal/runner/drain.go
+++ b/internal/runner/drain.go
@@ -47,7 +47,7 @@
 		return
 	}
 	agent.mu.Lock()
-	done := agent.keys.book.TakeDone(mostMarks)
+	done := agent.keys.book.TakeCompleted(mostMarks)
 	unused := agent.keys.book.TakeUnused()
 	agent.mu.Unlock()
 	if err := agent.keys.committer.Release(ctx, unused); err != nil {
--- a/internal/runner/keys.go
+++ b/internal/runner/keys.go
@@ -194,7 +194,7 @@
 
 func (agent *Agent) mark(ctx context.Context) {
 	agent.mu.Lock()
-	rows := agent.keys.book.TakeDone(mostMarks)
+	rows := agent.keys.book.TakeCompleted(mostMarks)
 	agent.mu.Unlock()
 	if err := agent.keys.committer.Mark(ctx, rows); err != nil {
 		agent.settings.Log.WithError(err).WithField("rows", len(rows)).Info("runs not marked as done")
