--- a/internal/forwarder/mint.go
+++ b/internal/forwarder/mint.go
@@ -59,7 +59,7 @@
 		return KeyGrant{}, err
 	}
 	var order KeyOrder
-	if err := json.Unmarshal(body, &order); err != nil || order.Count < 0 || order.Count > minter.MaxKeys {
+	if err := json.Unmarshal(body, &order); err != nil || order.Count < 0 || order.Count > minter.MaxKeysPerRequest {
 		return KeyGrant{}, classifier.New(classifier.BadRequest, `send {"service": NAME, "count": 1 to 64}`)
 	}
 	if _, ok := config.Service(order.Service); !ok {
--- a/internal/minter/mint.go
+++ b/internal/minter/mint.go
@@ -19,8 +19,8 @@
 	// outages of the store, and short enough that an agent can hold every key that
 	// it receives in memory.
 	DefaultLifetime = timekeeper.Hour
-	// MaxKeys limits the keys of one request for keys.
-	MaxKeys = 64
+	// MaxKeysPerRequest limits the keys of one request for keys.
+	MaxKeysPerRequest = 64
 
 	radix      = 36
 	nonceBytes = 12
@@ -55,10 +55,10 @@
 }
 
 // Make returns count new keys for a team and service, at least one and at most
-// MaxKeys, and their expiry.
+// MaxKeysPerRequest, and their expiry.
 func (mint *Mint) Make(team, service string, count int, now timekeeper.Instant) ([]string, timekeeper.Instant) {
 	expires := now.Add(mint.lifetime)
-	keys := make([]string, min(max(count, 1), MaxKeys))
+	keys := make([]string, min(max(count, 1), MaxKeysPerRequest))
 	for i := range keys {
 		var nonce [nonceBytes]byte
 		_, _ = rand.Read(nonce[:])
