--- a/internal/claimer/book.go
+++ b/internal/claimer/book.go
@@ -28,7 +28,8 @@
 
 // The steps.
 const (
-	// Insert means that the claim's row must be written and its result passed to Resolve.
+	// Insert means that the claim's row must be written, and the result of that write
+	// passed to Resolve.
 	Insert Step = iota + 1
 	// Proceed means that the request holds the key and may start.
 	Proceed
@@ -54,7 +55,7 @@
 	claiming stage = iota + 1
 	// held: the request may start.
 	held
-	// free: this agent owns the row and no request has started.
+	// free: this agent owns the key, and no request under it has reached the upstream.
 	free
 	// unconfirmed: a write of the row has an unknown outcome; no request has started.
 	unconfirmed
@@ -91,11 +92,11 @@
 }
 
 // Grace is how long other agents respect a claim after its expiry. An owner
-// starts nothing after the expiry and other agents take the row over only after
-// the grace, so their clocks may differ by up to Grace.
+// starts no request after the expiry, and other agents take the row over only
+// after the grace, so their clocks may differ by up to Grace.
 const Grace = timekeeper.Hour
 
-// maxCompleted limits the completed runs that wait for their mark in the table.
+// maxCompleted limits the completed runs that are not yet marked in the table.
 const maxCompleted = 1024
 
 // Book tracks the idempotency keys of one agent incarnation in memory.
@@ -119,9 +120,9 @@
 	return &Book{settings: settings, records: map[string]*keyRecord{}, byRequest: map[string]string{}}
 }
 
-// Check reports whether Claim would refuse a call, without changing the book.
-// Callers use it before the queue, so that a resend of a key that ran here
-// doesn't wait for a slot.
+// Check reports whether Claim would refuse a call because of its key's record,
+// without changing the book. Callers use it before the queue, so that a resend of
+// a key that ran here doesn't wait for a slot.
 func (book *Book) Check(claim Claim) (Verdict, bool) {
 	record := book.records[claim.Key]
 	if record == nil {
@@ -204,7 +205,7 @@
 	return Verdict{Step: Refuse, Failure: failure}
 }
 
-// Resolve applies the result of writing a claim's row.
+// Resolve applies the result of writing a claim's row and returns the next step.
 func (book *Book) Resolve(claim Claim, result Result) Verdict {
 	record := book.records[claim.Key]
 	if record == nil || record.stage != claiming || record.owner.Request != claim.Request {
@@ -217,26 +218,29 @@
 	case Lost:
 		return book.resolveLost(claim, record, result.Row)
 	}
-	// The write may still take effect. No request started, so "not run" is true.
-	// A later call at this agent inserts again and finds its own row if the write
-	// did take effect.
+	// The write may still take effect. No request has started, so the failure may
+	// report "not run". A later call at this agent inserts again and finds its own
+	// row if the write did take effect.
 	record.stage, record.insertTried = unconfirmed, true
 	delete(book.byRequest, claim.Request)
 	failure := classifier.New(classifier.StoreDown, "the claim could not be written")
 	return refuse(failure.WithRetryAfter(2 * timekeeper.Second))
 }
 
-// resolveLost applies a claim result whose row names another request.
+// resolveLost applies a Lost result; row names another request or another
+// incarnation.
 func (book *Book) resolveLost(claim Claim, record *keyRecord, row Row) Verdict {
 	own := row.Owner.Agent == book.settings.Name && row.Owner.Incarnation == book.settings.Incarnation
 	if own && record.insertTried && row.Fingerprint == claim.Fingerprint {
+		// The row is taken to be from an earlier insert for this record, whose outcome
+		// was unknown and under which no request has started.
 		record.stage, record.expires = held, row.Expires
 		return Verdict{Step: Proceed}
 	}
 	delete(book.byRequest, claim.Request)
 	if own {
-		// This incarnation wrote the row, and makeRoom has dropped its record, so
-		// whether the call ran is unknown.
+		// This incarnation wrote the row, and makeRoom has dropped its record, so only
+		// a row marked as done tells whether the call ran.
 		delete(book.records, claim.Key)
 		return refuse(forgottenFailure(row))
 	}
@@ -246,7 +250,8 @@
 	return book.evaluate(record, claim)
 }
 
-// forgottenFailure returns the failure for a row of this incarnation without a record.
+// forgottenFailure returns the failure for a row that names this incarnation and
+// whose record makeRoom has dropped.
 func forgottenFailure(row Row) classifier.Failure {
 	if row.Done {
 		return classifier.New(classifier.KeyDone, "")
@@ -255,7 +260,8 @@
 }
 
 // Start reports whether the request may be sent to the upstream now. A keyed
-// call runs only after Start, which returns true once for each key.
+// call runs only after Start, which returns true once for each key, unless
+// RevertStart undoes it.
 func (book *Book) Start(request string, now timekeeper.Instant) bool {
 	record := book.records[book.byRequest[request]]
 	if record == nil || record.stage != held || record.owner.Request != request {
@@ -299,8 +305,8 @@
 	record.stage, record.completed, record.digest = ended, complete, digest
 	delete(book.byRequest, request)
 	if complete && !record.minted {
-		// A full list drops its oldest key. The row of that key stays unmarked, so
-		// its outcome is reported as unknown once this agent is gone.
+		// Above maxCompleted the oldest key is dropped. Its row stays unmarked, so the
+		// outcome is reported as unknown once this agent is gone.
 		book.completed = append(book.completed[max(0, len(book.completed)+1-maxCompleted):], key)
 	}
 }
@@ -316,7 +322,7 @@
 }
 
 // TakeCompleted returns up to limit rows of completed runs, to be marked in the table,
-// and removes their keys from the waiting ones.
+// and removes their keys from book.completed.
 func (book *Book) TakeCompleted(limit int) []Row {
 	count := min(limit, len(book.completed))
 	var rows []Row
@@ -329,8 +335,8 @@
 	return rows
 }
 
-// TakeUnused returns the rows of keys under which no request has started, and
-// removes their records so that none can start later.
+// TakeUnused returns the rows of keys under which no request has reached the
+// upstream, and removes their records so that none can start later.
 func (book *Book) TakeUnused() []Row {
 	var rows []Row
 	for key, record := range book.records {
@@ -343,8 +349,9 @@
 }
 
 // makeRoom drops records that expired more than Grace ago. It then drops ended and
-// foreign keys that have a row in the table, until seven eighths of MaxKeys are
-// left. It reports whether the book has room.
+// foreign keys, whose rows in the table still bind them, until seven eighths of
+// MaxKeys are left. It never drops an unexpired minted key, which has no row. It
+// reports whether the book has room.
 func (book *Book) makeRoom(now timekeeper.Instant) bool {
 	target := book.settings.MaxKeys - book.settings.MaxKeys/8
 	book.dropRecords(func(record *keyRecord) bool { return now.Since(record.expires) > Grace })
@@ -359,8 +366,8 @@
 // dropRecords removes droppable records of keys without a current request.
 func (book *Book) dropRecords(droppable func(record *keyRecord) bool) {
 	for key, record := range book.records {
-		running := record.stage == started || record.stage == claiming || record.stage == held
-		if !running && droppable(record) {
+		inUse := record.stage == started || record.stage == claiming || record.stage == held
+		if !inUse && droppable(record) {
 			delete(book.records, key)
 		}
 	}
--- a/internal/claimer/committer.go
+++ b/internal/claimer/committer.go
@@ -9,7 +9,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Outcome is the outcome of inserting a claim's row.
+// Outcome says whether a claim's row was inserted.
 type Outcome uint8
 
 // The outcomes.
@@ -52,7 +52,8 @@
 	queue chan pendingClaim
 }
 
-// NewCommitter returns a committer. Claims are written only while Run runs.
+// NewCommitter returns a committer. Unless Run runs, Claim blocks until its context
+// is done; Commit doesn't need Run.
 func NewCommitter(table storekeeper.Table, now func() timekeeper.Instant) *Committer {
 	return &Committer{table: table, now: now, queue: make(chan pendingClaim, maxGroup)}
 }
@@ -155,10 +156,10 @@
 	return committer.table.Commit(ctx, writes)
 }
 
-// readBack reads the rows of unresolved claims, stores the outcomes in results
-// and returns the claims to insert again. Inserting again is safe: if the first
-// write still takes effect, the second conflicts and the next readBack finds the
-// claim's own row.
+// readBack reads the rows of unresolved claims. It returns the claims to insert
+// again, with their row versions in expect, and sets the results of the others.
+// Inserting again is safe: if the first write still takes effect, the second
+// conflicts and the next readBack finds the claim's own row.
 func (committer *Committer) readBack(ctx context.Context, rows []Row, unresolved []int, expect []uint64, results []Result) []int {
 	var retry []int
 	for _, i := range unresolved {
@@ -209,10 +210,10 @@
 	return committer.table.Commit(ctx, writes)
 }
 
-// Sweep scans up to limit rows after the key after, deletes in one write those
-// whose expiry is more than 2*Grace ago, and returns their number. These rows no
-// longer bind their keys; without Sweep the table would keep a row for each
-// keyed call forever.
+// Sweep deletes, in one write, the claims that expired more than 2*Grace ago, and
+// returns their number. It scans up to limit rows that follow the row key `after`.
+// The deleted rows no longer bind their keys; without Sweep the table would keep a
+// row for each keyed call forever.
 func (committer *Committer) Sweep(ctx context.Context, after string, limit int) (int, error) {
 	rows, err := committer.table.Scan(ctx, Table, "", after, limit)
 	if err != nil {
--- a/internal/claimer/committer_test.go
+++ b/internal/claimer/committer_test.go
@@ -108,8 +108,8 @@
 }
 
 func TestExpiredClaimsAreSwept(t *testing.T) {
-	// Sweep deletes rows long past their expiry in one write; other rows stay and
-	// still bind their keys.
+	// Sweep deletes the rows that expired more than 2*Grace ago, in one write; other
+	// rows stay and still bind their keys.
 	clock := timekeeper.NewManual(1)
 	platform := imitator.NewPlatform(clock.Clock())
 	committer := NewCommitter(platform.Seams().Table, clock.Now)
--- a/internal/claimer/faults_test.go
+++ b/internal/claimer/faults_test.go
@@ -13,8 +13,9 @@
 )
 
 // simulation runs two agents and a store in virtual time. Each send stands for an
-// entry with one request. It goes to either agent; frames and store writes may be
-// lost, agents may crash, and frames may arrive long after their entry gave up.
+// entry with one request. It goes to either agent; frames, store writes and answers
+// of the store may be lost, the store may be down, agents may crash, and frames may
+// arrive long after their entry gave up.
 type simulation struct {
 	random       *rand.Rand
 	clock        *timekeeper.Manual
@@ -39,7 +40,8 @@
 	committer   *Committer
 	mint        *minter.Mint
 	tombstones  map[string]bool
-	done        map[string]string
+	// answers maps a request to its complete answer.
+	answers map[string]string
 }
 
 // send is one request of a caller, from the offer to the report to the caller.
@@ -81,7 +83,7 @@
 		book:       NewBook(Settings{Name: name, Incarnation: simulation.incarnations}),
 		committer:  NewCommitter(simulation.platform.Seams().Table, simulation.clock.Now),
 		mint:       minter.New(name, simulation.incarnations, 0),
-		tombstones: map[string]bool{}, done: map[string]string{},
+		tombstones: map[string]bool{}, answers: map[string]string{},
 	}
 }
 
@@ -125,7 +127,7 @@
 		send.stage = sent
 		simulation.deliverRun(send)
 	case sent:
-		if body, ok := send.agent.done[send.claim.Request]; ok && simulation.chance(60) {
+		if body, ok := send.agent.answers[send.claim.Request]; ok && simulation.chance(60) {
 			send.answer = body
 			send.finish("")
 			return
@@ -149,10 +151,11 @@
 		send.stage = writingClaim
 		return
 	}
-	simulation.resolve(send, verdict)
+	simulation.applyVerdict(send, verdict)
 }
 
-func (simulation *simulation) resolve(send *send, verdict Verdict) {
+// applyVerdict advances a send by the book's verdict.
+func (simulation *simulation) applyVerdict(send *send, verdict Verdict) {
 	if verdict.Step == Proceed {
 		send.stage = granted
 		if simulation.chance(10) {
@@ -164,7 +167,7 @@
 	// The owner of the key returns the answer of its request, if it still runs.
 	for _, owner := range simulation.agents {
 		if owner.name == verdict.Owner.Agent && owner.incarnation == verdict.Owner.Incarnation {
-			send.answer = owner.done[verdict.Owner.Request]
+			send.answer = owner.answers[verdict.Owner.Request]
 		}
 	}
 	if send.answer != "" {
@@ -189,7 +192,7 @@
 	}
 	results := agent.committer.Commit(context.Background(), rows)
 	for i, send := range group {
-		simulation.resolve(send, agent.book.Resolve(send.claim, results[i]))
+		simulation.applyVerdict(send, agent.book.Resolve(send.claim, results[i]))
 	}
 }
 
@@ -197,7 +200,7 @@
 func (simulation *simulation) deliverRun(send *send) {
 	agent, claim := send.agent, send.claim
 	deliver := func() {
-		if !simulation.isRunning(agent) || agent.done[claim.Request] != "" {
+		if !simulation.isRunning(agent) || agent.answers[claim.Request] != "" {
 			return
 		}
 		if agent.tombstones[claim.Request] && simulation.disabled != "tombstone" {
@@ -209,7 +212,7 @@
 		}
 		simulation.byRequest[claim.Request]++
 		simulation.byKey[claim.Key]++
-		agent.done[claim.Request] = "answer to " + claim.Request
+		agent.answers[claim.Request] = "answer to " + claim.Request
 		agent.book.End(claim.Request, true, 1)
 	}
 	switch simulation.random.IntN(4) {
@@ -228,7 +231,7 @@
 
 // lookup queries the same incarnation after a lost connection.
 func (simulation *simulation) lookup(send *send) {
-	body, ok := send.agent.done[send.claim.Request]
+	body, ok := send.agent.answers[send.claim.Request]
 	switch {
 	case simulation.chance(20):
 		send.finish(classifier.RanUnknown)
--- a/internal/claimer/release.go
+++ b/internal/claimer/release.go
@@ -8,13 +8,14 @@
 	"github.com/trefoilseam/trefoilseam/internal/storekeeper"
 )
 
-// Release deletes rows of this owner under which no request ran, so that other
-// agents can claim their keys.
+// Release deletes the rows returned by Book.TakeUnused, under which no request ran,
+// so that other agents can claim their keys.
 //
 // An agent may leave with an unused claim if the caller's connection broke
-// before the Run frame. If the row stayed, callers would get "unknown" until it
-// expires, for an order that never ran. Release is best effort, since a row that
-// stays has no other effect. It skips rows with a new owner or marked as done.
+// before the Run frame. If the row stayed, callers would get "unknown" until Grace
+// after its expiry, for an order that never ran. Release is best effort, since a
+// row that stays has no other effect. It skips rows that another incarnation has
+// taken over or that are marked as done.
 func (committer *Committer) Release(ctx context.Context, rows []Row) error {
 	for len(rows) > 0 {
 		group := rows[:min(len(rows), maxGroup)]
