--- a/internal/striker/doc.go
+++ b/internal/striker/doc.go
@@ -5,8 +5,8 @@
 // request with one strike runs only in isolation, as the sole request on an
 // engine, so that a second crash identifies it as the cause. A request with two
 // strikes is refused until they expire. A harmless request that shared an engine
-// with a poison request has one strike; it is cleared when its isolated run
-// completes.
+// with a poison request has one strike; the strike is cleared when the isolated run
+// of the request completes.
 //
 // The agent writes the second strike to the platform's table, by
 // compare-and-set, before the isolated run, and removes it when the run
--- a/internal/striker/gate.go
+++ b/internal/striker/gate.go
@@ -16,7 +16,7 @@
 }
 
 // Enter reports whether a request may run on the engine now. An isolated request
-// that has to wait blocks other requests until Leave.
+// that has to wait for running requests blocks all others until its Leave.
 func (gate *Gate) Enter(request string, isolated bool) bool {
 	switch {
 	case gate.isolated:
@@ -44,6 +44,7 @@
 }
 
 // Leave records that a request left the engine or stopped waiting for isolation.
+// entered is the request's last result of Enter.
 func (gate *Gate) Leave(request string, entered bool) {
 	if gate.exclusive == request {
 		gate.exclusive, gate.isolated = "", false
--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -11,7 +11,8 @@
 	IsolationThreshold = 1
 	// RefusalThreshold is the number of strikes from which a request is refused,
 	// and so the number of engines that one poison request may crash. The first
-	// crash doesn't tell it from the requests that ran with it, the second does.
+	// crash doesn't distinguish it from the requests in flight with it; the second,
+	// in isolation, does.
 	RefusalThreshold = 2
 	// DefaultLifetime is the time until a strike expires. It is longer than callers
 	// keep resending, and short enough that a request struck because of an engine
@@ -22,7 +23,7 @@
 	maxStrikes = 4096
 )
 
-// Strike holds the strikes of one request.
+// Strike is the record of one request's strikes; Count is their number.
 type Strike struct {
 	Fingerprint uint64             `json:"fingerprint"`
 	Count       int                `json:"count"`
@@ -31,10 +32,11 @@
 	Team        string             `json:"team,omitempty"`
 	// Instances are the instances whose engines crashed while running the request.
 	Instances []string `json:"instances,omitempty"`
-	// incident numbers the crash that the last strike of this agent is for.
+	// incident is the number of the incident in which this agent last struck the
+	// request.
 	incident int
-	// Saved means that the strike was written to the table. Only then its absence
-	// from the table means that it was lifted or cleared elsewhere.
+	// Saved means that the strike was written to the table. Only then does
+	// absence from the table mean that the strike was lifted or cleared elsewhere.
 	Saved bool `json:"-"`
 }
 
@@ -65,9 +67,9 @@
 	lifetime timekeeper.Span
 	flights  map[string]Flight
 	strikes  map[uint64]Strike
-	// crashedAt is the time of the last crash; down means that the engine has not
-	// answered since.
-	crashedAt timekeeper.Instant
+	// downSince is the time when the engine last crashed or became unreachable; down
+	// means that it has not answered since.
+	downSince timekeeper.Instant
 	down      bool
 	incident  int
 }
@@ -86,8 +88,8 @@
 }
 
 // ConnectionBroke records that the engine closed the connection of a request
-// before its answer was complete. If the request gets a strike, it returns the
-// strike and true; otherwise the caller must still call Ended.
+// before its answer was complete. If the crash counts against the request, it
+// returns the request's strike and true; otherwise the caller must still call Ended.
 //
 // The first broken connection opens an incident, which lasts until the engine
 // answers again. Requests that began during an incident get no strike, since the
@@ -100,10 +102,10 @@
 		return Strike{}, false
 	}
 	if !ledger.down {
-		ledger.down, ledger.crashedAt = true, now
+		ledger.down, ledger.downSince = true, now
 		ledger.incident++
 	}
-	if ledger.crashedAt.Before(flight.Began) {
+	if ledger.downSince.Before(flight.Began) {
 		return Strike{}, false
 	}
 	strike := ledger.Lookup(flight.Fingerprint, now)
@@ -125,14 +127,14 @@
 // MarkUnreachable records that the engine can't be reached, although no connection broke.
 func (ledger *Ledger) MarkUnreachable(now timekeeper.Instant) {
 	if !ledger.down {
-		ledger.down, ledger.crashedAt = true, now
+		ledger.down, ledger.downSince = true, now
 		ledger.incident++
 	}
 }
 
 // Ended records that a request ended without a crash, and returns its flight. A
-// complete answer clears the strikes of the request; an incomplete isolated run
-// leaves one. The second result reports whether the strikes changed.
+// complete answer shows that the request is harmless and clears its strikes; an
+// incomplete isolated run leaves one. The second result reports whether the strikes changed.
 func (ledger *Ledger) Ended(request string, complete bool) (Flight, bool) {
 	flight := ledger.flights[request]
 	delete(ledger.flights, request)
@@ -170,7 +172,8 @@
 	return strike
 }
 
-// Put replaces the strike of a fingerprint; a count of zero removes it.
+// Put replaces the strike of a fingerprint; a count of zero removes it. Above
+// maxStrikes it drops other strikes in no particular order.
 func (ledger *Ledger) Put(strike Strike) {
 	if strike.Count == 0 {
 		delete(ledger.strikes, strike.Fingerprint)
@@ -187,10 +190,11 @@
 	}
 }
 
-// Merge returns the strike that applies to an offer, from the agent's own strike,
-// the row in the table (if found) and the count in the entry's offer. Its count is
-// the maximum of the three, at most RefusalThreshold. A saved own strike is left
-// out, since the row is more recent: the strike may have been lifted or cleared.
+// Merge returns the strike that applies to an offer. Its count is the maximum of the
+// count of the row in the table (if found), the count in the entry's offer and the
+// agent's own count, at most RefusalThreshold. A saved own count is ignored, since
+// the table is authoritative for it: a lower count or a missing row means that the
+// strike was lifted or cleared.
 func Merge(own, row Strike, found bool, offered int) Strike {
 	strike := own
 	if found {
--- a/internal/striker/table.go
+++ b/internal/striker/table.go
@@ -14,7 +14,8 @@
 // Table is the name of the table of strikes in the platform's store.
 const Table = "strikes"
 
-// maxAttempts limits the attempts to change a row when writes conflict.
+// maxAttempts limits the attempts to change a row, after a conflict or a write with
+// an unknown outcome, and to delete one, after a conflict.
 const maxAttempts = 4
 
 // RowKey returns the key of the row for a fingerprint.
@@ -55,8 +56,8 @@
 // Add adds a crash at an instance to the row of a strike.
 //
 // An engine crash strikes its whole batch at once, and few of these requests
-// have a row. So Add first inserts a row and reads it only after a conflict;
-// otherwise a crash with 64 requests in flight would read 64 missing rows.
+// have a row. So Add first inserts a row, and reads it only after a conflict or
+// a lost answer; otherwise a crash with 64 requests in flight would read 64 missing rows.
 func (book Book) Add(ctx context.Context, strike Strike, instance string) error {
 	initial := strike
 	initial.Count, initial.Instances = 0, nil
@@ -79,16 +80,16 @@
 // Raise writes the strike if the row has a lower count. If not, it returns
 // ErrConflict, unless the row was written by an earlier attempt with this strike.
 func (book Book) Raise(ctx context.Context, strike Strike) error {
-	alreadyRaised := false
+	raisedByOther := false
 	err := book.change(ctx, strike.Fingerprint, func(row Strike, found bool) (Strike, bool) {
-		alreadyRaised = found && row.Count >= strike.Count
-		if alreadyRaised {
-			alreadyRaised = !row.isLastCrash(last(strike.Instances), strike.Expires)
+		raisedByOther = found && row.Count >= strike.Count
+		if raisedByOther {
+			raisedByOther = !row.isLastCrash(last(strike.Instances), strike.Expires)
 			return row, false
 		}
 		return strike, true
 	})
-	if err == nil && alreadyRaised {
+	if err == nil && raisedByOther {
 		return storekeeper.ErrConflict
 	}
 	return err
