--- a/internal/minter/mint.go
+++ b/internal/minter/mint.go
@@ -15,9 +15,9 @@
 const (
 	// Prefix is the prefix of every minted key; a caller's own key must not have it.
 	Prefix = "tsk1."
-	// DefaultLifetime is the time until a minted key expires. It is longer than long
-	// outages of the store, and short enough that an agent can hold every key that
-	// it receives in memory.
+	// DefaultLifetime is the time until a minted key expires. It outlasts long outages
+	// of the store, and is short enough that an agent can keep in memory every key
+	// that it has received.
 	DefaultLifetime = timekeeper.Hour
 	// MaxKeysPerRequest limits the keys of one request for keys.
 	MaxKeysPerRequest = 64
@@ -77,7 +77,7 @@
 func (mint *Mint) authCode(team, service, payload string) string {
 	mac := hmac.New(sha256.New, mint.secret[:])
 	_, _ = mac.Write([]byte(team + "\x00" + service + "\x00" + payload))
-	const macBytes = 16 // 128 bits can't be guessed within the hour until the key expires
+	const macBytes = 16 // 128 bits can't be guessed before the key expires
 	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:macBytes])
 }
 
@@ -97,9 +97,9 @@
 	return PublicPart{Instance: string(name), Incarnation: incarnation, Expires: timekeeper.Instant(expires)}, true
 }
 
-// Check reports whether this incarnation made the key for the team and service,
-// and returns its expiry. Check accepts expired keys, since claimer.Book decides
-// whether their calls ran.
+// Check reports whether this incarnation made the key for the team and service, and
+// returns its expiry, or the reason why it is rejected. Check accepts expired keys,
+// since claimer.Book holds whether their calls ran and doesn't start them.
 func (mint *Mint) Check(team, service, key string) (timekeeper.Instant, classifier.Failure, bool) {
 	public, ok := Parse(key)
 	if !ok {
