--- a/internal/marker/event_id.go
+++ b/internal/marker/event_id.go
@@ -40,7 +40,7 @@
 	return uint32(xxhash.Sum64String(strconv.FormatUint(incarnation, base36)))
 }
 
-// String returns the id in its form in an event.
+// String returns the id as written in the id field of an event.
 func (id EventID) String() string {
 	return string(id.append(nil))
 }
--- a/internal/marker/fuzz_test.go
+++ b/internal/marker/fuzz_test.go
@@ -18,19 +18,19 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, stream []byte, at uint) {
-		whole, offset, ok := marked(stream)
+		unsplit, offset, ok := marked(stream)
 		if !ok {
 			return
 		}
 		cut := at % uint(len(stream)+1)
 		split, _, _ := marked(stream[:cut], stream[cut:])
-		if !bytes.Equal(split, whole) {
-			t.Fatalf("split at %d: %q, whole: %q", cut, split, whole)
+		if !bytes.Equal(split, unsplit) {
+			t.Fatalf("split at %d: %q, unsplit: %q", cut, split, unsplit)
 		}
-		if got, want := withoutIDLines(whole), withoutIDLines(stream); !bytes.Equal(got, want) {
+		if got, want := withoutIDLines(unsplit), withoutIDLines(stream); !bytes.Equal(got, want) {
 			t.Fatalf("without ids %q, want %q", got, want)
 		}
-		requireIDs(t, whole[:offset])
+		requireIDs(t, unsplit[:offset])
 	})
 }
 
--- a/internal/marker/marker_test.go
+++ b/internal/marker/marker_test.go
@@ -13,7 +13,7 @@
 		rapid.Check(t, func(t *rapid.T) {
 			id := EventID{
 				Instance:        rapid.StringMatching(`[a-z][a-z0-9.-]{0,20}`).Draw(t, "instance"),
-				IncarnationHash: rapid.Uint32().Draw(t, "mark"),
+				IncarnationHash: rapid.Uint32().Draw(t, "hash"),
 				Serial:          rapid.Uint64().Draw(t, "serial"),
 				Offset:          rapid.Uint64Max(1<<36).Draw(t, "offset"),
 			}
