--- a/internal/replayer/answer.go
+++ b/internal/replayer/answer.go
@@ -45,7 +45,8 @@
 type Settings struct {
 	// OnHead is called after SetHead stored the head.
 	OnHead func()
-	// Now returns the agent's current digest for the End frame, or nil.
+	// Now returns the agent's current load digest (not a hash of the answer) for
+	// End.Now, or nil. It is called only for complete answers.
 	Now func() *encoder.Digest
 }
 
@@ -103,9 +104,9 @@
 
 // Close ends the answer. Only the first call has an effect.
 func (answer *Answer) Close(requestID string, complete bool, failure classifier.Failure) {
-	// The end of an incomplete answer carries no digest: its engine may recover before
-	// the report of its crash expires. Settings.Now takes the agent's lock, which must
-	// be taken before the answer's.
+	// The End frame of an incomplete answer carries no agent digest (Now): the engine
+	// may recover before the report of its crash expires. Settings.Now takes the
+	// agent's lock, which must be taken before the answer's.
 	var agentDigest *encoder.Digest
 	if answer.settings.Now != nil && complete {
 		agentDigest = answer.settings.Now()
@@ -167,7 +168,8 @@
 	}
 }
 
-// readyFrames returns the frames that follow offset now; the lock must be held.
+// readyFrames returns the frames available at offset, with at most one chunk; the
+// lock must be held.
 func (answer *Answer) readyFrames(offset uint64, headSent bool) []*encoder.Frame {
 	var frames []*encoder.Frame
 	if answer.head != nil && !headSent {
@@ -191,8 +193,8 @@
 // Drain lets the upstream continue to write without a reader.
 //
 // The caller of an order may leave while its run must not be ended. If the answer
-// exceeded Window, the upstream would block and occupy its slot until the limit on
-// the longest call. With Drain, the run ends as soon as the upstream does. The last
+// exceeded Window, the upstream would block and occupy its slot until
+// LongestCall ends the run. With Drain, the run ends as soon as the upstream does. The last
 // MaxRetained bytes stay available for a look-up; a look-up of earlier bytes fails.
 func (answer *Answer) Drain() {
 	answer.mu.Lock()
