--- a/internal/assembler/budget_test.go
+++ b/internal/assembler/budget_test.go
@@ -111,7 +111,7 @@
 		{"each of these calls resent: its strike read, raised and lifted", storekeeper.ForStrikes, func(client storeClient, name string) {
 			for i := range uint64(struck) {
 				strike, _, _, _ := client.book.Read(t.Context(), uint64(name[len(name)-1])<<8+i)
-				_ = client.book.Raise(t.Context(), strike.More(name, clock.Clock().Now().Add(2*timekeeper.Hour)))
+				_ = client.book.Raise(t.Context(), strike.WithCrash(name, clock.Clock().Now().Add(2*timekeeper.Hour)))
 				_, _ = client.book.Lift(t.Context(), strike.Fingerprint)
 			}
 		}, 3 * struck, 2 * struck},
--- a/internal/assembler/memory_bench_test.go
+++ b/internal/assembler/memory_bench_test.go
@@ -69,11 +69,11 @@
 func claims(count int) any {
 	book := claimer.NewBook(claimer.Settings{Name: "orders-1", Incarnation: 1})
 	for i := range count {
-		ask := claimer.Ask{
+		ask := claimer.Claim{
 			Key: claimer.RowKey("team", "orders", strconv.Itoa(i)), Request: "entry-1-1y2p0ij32e8e7-" + strconv.Itoa(i),
 			Expires: benchTime.Add(timekeeper.Hour), Minted: true,
 		}
-		book.Ask(ask, benchTime)
+		book.Claim(ask, benchTime)
 		book.Start(ask.Request, benchTime)
 		book.End(ask.Request, true, spreadHash(i))
 	}
@@ -84,7 +84,7 @@
 	ledger := striker.NewLedger("planner-1", 0)
 	for i := range count {
 		none := striker.Strike{Fingerprint: spreadHash(i), Service: "planner", Team: "team"}
-		ledger.Put(none.More("planner-1", benchTime.Add(timekeeper.Hour)))
+		ledger.Put(none.WithCrash("planner-1", benchTime.Add(timekeeper.Hour)))
 	}
 	return ledger
 }
--- a/internal/runner/abandoned_test.go
+++ b/internal/runner/abandoned_test.go
@@ -19,7 +19,7 @@
 	// its bytes. The agent drains it, so that the upstream can finish and the slot is
 	// freed, and keeps the end of the answer for a look-up.
 	harness := newHarness(t)
-	whole := bytes.Repeat([]byte("0123456789abcdef"), (2*replayer.Kept+replayer.Window)/16)
+	whole := bytes.Repeat([]byte("0123456789abcdef"), (2*replayer.MaxRetained+replayer.Window)/16)
 	harness.upstream.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(whole) })
 	near, far := net.Pipe()
 	go harness.agent.serveStream(t.Context(), far)
@@ -36,7 +36,7 @@
 		lookup := &encoder.Lookup{RequestId: "lost", Team: "rig", Follow: true}
 		early, _ := harness.agent.findRun(lookup)
 		So(early.GetState(), ShouldEqual, encoder.RunState_RUN_STATE_FORGOTTEN)
-		lookup.Offset = uint64(len(whole)) - replayer.Kept
+		lookup.Offset = uint64(len(whole)) - replayer.MaxRetained
 		rest, end := restOf(harness.open(lookup))
 		So(bytes.Equal(rest, whole[lookup.Offset:]), ShouldBeTrue)
 		So(end.GetDigest(), ShouldEqual, xxhash.Sum64(whole))
--- a/internal/runner/drain.go
+++ b/internal/runner/drain.go
@@ -48,7 +48,7 @@
 		return
 	}
 	agent.mu.Lock()
-	done := agent.keys.book.TakeDone(maxMarks)
+	done := agent.keys.book.TakeCompleted(maxMarks)
 	unused := agent.keys.book.TakeUnused()
 	agent.mu.Unlock()
 	if err := agent.keys.committer.Release(ctx, unused); err != nil {
--- a/internal/runner/keys.go
+++ b/internal/runner/keys.go
@@ -41,8 +41,8 @@
 
 // claimAsk returns the request for a claim of the offer's key, or a failure when the key is
 // invalid.
-func (keys *keys) claimAsk(offer *encoder.Offer) (claimer.Ask, classifier.Failure, bool) {
-	ask := claimer.Ask{
+func (keys *keys) claimAsk(offer *encoder.Offer) (claimer.Claim, classifier.Failure, bool) {
+	ask := claimer.Claim{
 		Key:         claimer.RowKey(offer.GetTeam(), offer.GetService(), offer.GetKey()),
 		Request:     offer.GetRequestId(),
 		Fingerprint: offer.GetFingerprint(),
@@ -102,7 +102,7 @@
 	return classifier.Failure{}, true
 }
 
-func (agent *Agent) decideClaim(ask claimer.Ask) claimer.Verdict {
+func (agent *Agent) decideClaim(ask claimer.Claim) claimer.Verdict {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	now := agent.settings.Clock.Now()
@@ -110,15 +110,15 @@
 		// The book may have dropped the key, so whether it has run is unknown here.
 		return claimer.Verdict{Step: claimer.Refuse, Failure: classifier.New(classifier.KeyExpired, "")}
 	}
-	verdict := agent.keys.book.Ask(ask, now)
+	verdict := agent.keys.book.Claim(ask, now)
 	agent.recordOwner(ask.Request, verdict)
 	return verdict
 }
 
-func (agent *Agent) resolveClaim(ask claimer.Ask, result claimer.Result) claimer.Verdict {
+func (agent *Agent) resolveClaim(ask claimer.Claim, result claimer.Result) claimer.Verdict {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	verdict := agent.keys.book.Settle(ask, result)
+	verdict := agent.keys.book.Resolve(ask, result)
 	agent.recordOwner(ask.Request, verdict)
 	return verdict
 }
@@ -194,7 +194,7 @@
 
 func (agent *Agent) markDone(ctx context.Context) {
 	agent.mu.Lock()
-	rows := agent.keys.book.TakeDone(maxMarks)
+	rows := agent.keys.book.TakeCompleted(maxMarks)
 	agent.mu.Unlock()
 	if err := agent.keys.committer.Mark(ctx, rows); err != nil {
 		agent.settings.Log.WithError(err).WithField("rows", len(rows)).Info("runs not marked as done")
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -248,7 +248,7 @@
 		So(newest.GetState(), ShouldEqual, encoder.RunState_RUN_STATE_DONE)
 		total := 0
 		for _, retained := range agent.runs {
-			total += retained.answer.Held()
+			total += retained.answer.RetainedBytes()
 		}
 		So(total, ShouldEqual, maxRetainedBytes)
 	})
--- a/internal/runner/resume.go
+++ b/internal/runner/resume.go
@@ -118,7 +118,7 @@
 }
 
 func (agent *Agent) runByEvent(id marker.EventID) *run {
-	if id.Instance != agent.settings.Name || id.Mark != marker.MarkOf(agent.settings.Incarnation) {
+	if id.Instance != agent.settings.Name || id.IncarnationHash != marker.HashIncarnation(agent.settings.Incarnation) {
 		return nil
 	}
 	agent.mu.Lock()
--- a/internal/runner/retention.go
+++ b/internal/runner/retention.go
@@ -28,7 +28,7 @@
 	ended.endedAt = now
 	size := 0
 	if ended.answer != nil {
-		size = ended.answer.Held()
+		size = ended.answer.RetainedBytes()
 	}
 	agent.retained.order = append(agent.retained.order, retainedRun{run: ended, size: size})
 	agent.retained.bytes += size
--- a/internal/runner/run.go
+++ b/internal/runner/run.go
@@ -50,7 +50,7 @@
 		cancel:     cancel,
 	}
 	started.answer = replayer.New(replayer.Settings{
-		Opened: func() { agent.recordFirstByte(started.id) },
+		OnHead: func() { agent.recordFirstByte(started.id) },
 		Now:    func() *encoder.Digest { return agent.endDigest(offer) },
 	})
 	agent.mu.Lock()
--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -57,7 +57,7 @@
 func (agent *Agent) enterGate(ctx context.Context, offer *encoder.Offer) (classifier.Failure, bool) {
 	agent.mu.Lock()
 	down := agent.strikes.ledger.Down()
-	own := agent.strikes.ledger.Of(offer.GetFingerprint(), agent.settings.Clock.Now())
+	own := agent.strikes.ledger.Lookup(offer.GetFingerprint(), agent.settings.Clock.Now())
 	agent.mu.Unlock()
 	if down {
 		return agent.engineDown(), false
@@ -70,9 +70,9 @@
 		return failure, false
 	}
 	switch {
-	case strike.Count >= striker.Barred:
+	case strike.Count >= striker.RefusalThreshold:
 		return classifier.New(classifier.Struck, "until "+strike.Expires.String()), false
-	case strike.Count < striker.Isolated:
+	case strike.Count < striker.IsolationThreshold:
 		return agent.waitAtGate(ctx, offer.GetRequestId(), false)
 	}
 	return agent.isolate(ctx, offer, strike)
@@ -94,10 +94,10 @@
 		failure := classifier.New(classifier.StoreDown, "the request has a strike, and the record of strikes can't be read")
 		return striker.Strike{}, failure.WithRetryAfter(2 * timekeeper.Second), false
 	}
-	strike := striker.Weigh(own, row, found, int(offer.GetStrikes()))
+	strike := striker.Merge(own, row, found, int(offer.GetStrikes()))
 	strike.Fingerprint, strike.Team, strike.Service = offer.GetFingerprint(), offer.GetTeam(), offer.GetService()
 	if !found {
-		strike.Expires = agent.settings.Clock.Now().Add(striker.DefaultLife)
+		strike.Expires = agent.settings.Clock.Now().Add(striker.DefaultLifetime)
 	}
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -112,7 +112,7 @@
 	if failure, ok := agent.waitAtGate(ctx, id, true); !ok {
 		return failure, false
 	}
-	raised := strike.More(agent.settings.Name, agent.settings.Clock.Now().Add(striker.DefaultLife))
+	raised := strike.WithCrash(agent.settings.Name, agent.settings.Clock.Now().Add(striker.DefaultLifetime))
 	err := agent.strikes.book.Raise(ctx, raised)
 	if err == nil {
 		raised.Saved = true
@@ -186,8 +186,8 @@
 	if fingerprint, ok := agent.strikes.raised[id]; ok {
 		// The request never started, so the strike written in advance is withdrawn.
 		delete(agent.strikes.raised, id)
-		current := agent.strikes.ledger.Of(fingerprint, agent.settings.Clock.Now())
-		current.Count = striker.Isolated
+		current := agent.strikes.ledger.Lookup(fingerprint, agent.settings.Clock.Now())
+		current.Count = striker.IsolationThreshold
 		agent.strikes.ledger.Put(current)
 		go func() { _ = agent.strikes.book.Lower(context.Background(), fingerprint) }()
 	}
@@ -204,7 +204,7 @@
 		Team:        offer.GetTeam(),
 		Service:     offer.GetService(),
 		Began:       agent.settings.Clock.Now(),
-		Alone:       agent.strikes.entered[offer.GetRequestId()],
+		Isolated:    agent.strikes.entered[offer.GetRequestId()],
 	})
 }
 
@@ -216,8 +216,8 @@
 		agent.withdrawStrike(ended, true)
 	case failure.Kind == classifier.NotReady:
 		agent.mu.Lock()
-		agent.strikes.ledger.Away(agent.settings.Clock.Now())
-		agent.keys.book.NotRun(ended.id)
+		agent.strikes.ledger.MarkUnreachable(agent.settings.Clock.Now())
+		agent.keys.book.RevertStart(ended.id)
 		agent.mu.Unlock()
 		agent.withdrawStrike(ended, false)
 	case canceled || failure.Detail == missingTerminal:
@@ -275,7 +275,7 @@
 func (agent *Agent) recordCrash(ended *run) {
 	now := agent.settings.Clock.Now()
 	agent.mu.Lock()
-	strike, struck := agent.strikes.ledger.Broke(ended.id, now)
+	strike, struck := agent.strikes.ledger.ConnectionBroke(ended.id, now)
 	agent.mu.Unlock()
 	if !struck {
 		agent.withdrawStrike(ended, false)
@@ -300,7 +300,7 @@
 	}
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	current := agent.strikes.ledger.Of(strike.Fingerprint, agent.settings.Clock.Now())
+	current := agent.strikes.ledger.Lookup(strike.Fingerprint, agent.settings.Clock.Now())
 	if current.Count == 0 {
 		// The request has completed here while the row was written.
 		go func() { _, _ = agent.strikes.book.Lift(context.Background(), strike.Fingerprint) }()
@@ -313,7 +313,7 @@
 
 // strikesFor returns the strikes of a request for a digest; Agent.mu must be held.
 func (agent *Agent) strikesFor(fingerprint uint64) []*encoder.Strike {
-	current := agent.strikes.ledger.Of(fingerprint, agent.settings.Clock.Now())
+	current := agent.strikes.ledger.Lookup(fingerprint, agent.settings.Clock.Now())
 	if current.Count == 0 {
 		return nil
 	}
--- a/internal/runner/upstream.go
+++ b/internal/runner/upstream.go
@@ -53,7 +53,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	stream := strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
-	started.answer.Open(&encoder.Head{
+	started.answer.SetHead(&encoder.Head{
 		RequestId:   started.id,
 		Incarnation: settings.Incarnation,
 		Status:      uint32(response.StatusCode),
@@ -115,7 +115,7 @@
 	if !stream {
 		return body
 	}
-	id := marker.EventID{Instance: settings.Name, Mark: marker.MarkOf(settings.Incarnation), Serial: started.serial}
+	id := marker.EventID{Instance: settings.Name, IncarnationHash: marker.HashIncarnation(settings.Incarnation), Serial: started.serial}
 	return &markedReader{body: body, marker: marker.New(id)}
 }
 
--- a/internal/striker/ledger.go
+++ b/internal/striker/ledger.go
@@ -7,39 +7,41 @@
 )
 
 const (
-	// Isolated is the number of strikes from which a request runs alone.
-	Isolated = 1
-	// Barred is the number of strikes from which a request is refused. It is
-	// the number of engines that one bad request may cost: the first crash
-	// can't tell it from what ran beside it, the second can.
-	Barred = 2
-	// DefaultLife is how long a strike counts. It is longer than callers keep
-	// resending, and short enough that a request that was struck by an
-	// engine's own fault is not refused for a day.
-	DefaultLife = timekeeper.Hour
-	// mostStrikes bounds the ledger: a crash strikes at most the engine's
-	// slots, so this is some hundred crashes within an hour at one agent.
-	mostStrikes = 4096
+	// IsolationThreshold is the number of strikes from which a request runs in isolation.
+	IsolationThreshold = 1
+	// RefusalThreshold is the number of strikes from which a request is refused,
+	// and so the number of engines that one poison request may crash. The first
+	// crash doesn't distinguish it from the requests in flight with it; the second,
+	// in isolation, does.
+	RefusalThreshold = 2
+	// DefaultLifetime is the time until a strike expires. It is longer than callers
+	// keep resending, and short enough that a request struck because of an engine
+	// fault is not refused for a day.
+	DefaultLifetime = timekeeper.Hour
+	// maxStrikes limits the ledger. A crash strikes at most as many requests as the
+	// engine has slots, so this allows about a hundred crashes an hour at one agent.
+	maxStrikes = 4096
 )
 
-// Strike is what is known of one request.
+// Strike is the record of one request's strikes; Count is their number.
 type Strike struct {
 	Fingerprint uint64             `json:"fingerprint"`
 	Count       int                `json:"count"`
 	Expires     timekeeper.Instant `json:"expires"`
 	Service     string             `json:"service,omitempty"`
 	Team        string             `json:"team,omitempty"`
-	// Instances are where engines crashed while they ran the request.
+	// Instances are the instances whose engines crashed while running the request.
 	Instances []string `json:"instances,omitempty"`
-	// incident is the crash that the agent struck it for last.
+	// incident is the number of the incident in which this agent last struck the
+	// request.
 	incident int
-	// Saved says that the table has the strike; only then does its absence
-	// from the table mean that it was lifted or cleared elsewhere.
+	// Saved means that the strike was written to the table. Only then does
+	// absence from the table mean that the strike was lifted or cleared elsewhere.
 	Saved bool `json:"-"`
 }
 
-// More returns the strike with one more crash at the instance.
-func (strike Strike) More(instance string, expires timekeeper.Instant) Strike {
+// WithCrash returns the strike with one more crash, at the instance.
+func (strike Strike) WithCrash(instance string, expires timekeeper.Instant) Strike {
 	strike.Count++
 	strike.Expires = expires
 	strike.Instances = append(slices.Clone(strike.Instances), instance)
@@ -47,127 +49,131 @@
 	return strike
 }
 
-// Flight is a request that an engine runs.
+// Flight is a request in flight on an engine.
 type Flight struct {
 	Request     string
 	Fingerprint uint64
 	Team        string
 	Service     string
 	Began       timekeeper.Instant
-	// Alone says that it runs in isolation, with its second strike written.
-	Alone bool
+	// Isolated means that the request runs in isolation and its second strike is
+	// already in the table.
+	Isolated bool
 }
 
-// Ledger is what one agent knows about strikes and about what is in flight.
+// Ledger tracks the strikes and the requests in flight at one agent.
 type Ledger struct {
-	name    string
-	life    timekeeper.Span
-	flights map[string]Flight
-	strikes map[uint64]Strike
-	// crashed is when the engine crashed last; down says it is not back yet.
-	crashed  timekeeper.Instant
-	down     bool
-	incident int
+	name     string
+	lifetime timekeeper.Span
+	flights  map[string]Flight
+	strikes  map[uint64]Strike
+	// downSince is the time when the engine last crashed or became unreachable; down
+	// means that it has not answered since.
+	downSince timekeeper.Instant
+	down      bool
+	incident  int
 }
 
-// NewLedger returns an empty ledger of the named agent. Zero life means DefaultLife.
-func NewLedger(name string, life timekeeper.Span) *Ledger {
-	if life == 0 {
-		life = DefaultLife
+// NewLedger returns an empty ledger of the named agent. Zero lifetime means DefaultLifetime.
+func NewLedger(name string, lifetime timekeeper.Span) *Ledger {
+	if lifetime == 0 {
+		lifetime = DefaultLifetime
 	}
-	return &Ledger{name: name, life: life, flights: map[string]Flight{}, strikes: map[uint64]Strike{}}
+	return &Ledger{name: name, lifetime: lifetime, flights: map[string]Flight{}, strikes: map[uint64]Strike{}}
 }
 
-// Begin notes that a request goes to the engine.
+// Begin records that a request is sent to the engine.
 func (ledger *Ledger) Begin(flight Flight) {
 	ledger.flights[flight.Request] = flight
 }
 
-// Broke notes that the engine broke the connection of a request before its
-// answer was whole. It returns the strike, and true when it is new; otherwise
-// the request has yet to be noted as Ended.
+// ConnectionBroke records that the engine closed the connection of a request
+// before its answer was complete. If the crash counts against the request, it
+// returns the request's strike and true; otherwise the caller must still call Ended.
 //
-// The first break opens an incident, which lasts until the engine answers
-// again. What began after that met an engine that was gone and did it no harm:
-// without that rule every request that comes while an engine restarts would be
-// struck. Copies of one request in one incident are struck once, since they
-// cost one engine.
-func (ledger *Ledger) Broke(request string, now timekeeper.Instant) (Strike, bool) {
+// The first broken connection opens an incident, which lasts until the engine
+// answers again. Requests that began during an incident get no strike, since the
+// engine had already crashed; otherwise each request that arrives while an engine
+// restarts would get one. Copies of a request get one strike per incident, since
+// only one engine crashed.
+func (ledger *Ledger) ConnectionBroke(request string, now timekeeper.Instant) (Strike, bool) {
 	flight, ok := ledger.flights[request]
 	if !ok {
 		return Strike{}, false
 	}
 	if !ledger.down {
-		ledger.down, ledger.crashed = true, now
+		ledger.down, ledger.downSince = true, now
 		ledger.incident++
 	}
-	if ledger.crashed.Before(flight.Began) {
+	if ledger.downSince.Before(flight.Began) {
 		return Strike{}, false
 	}
-	known := ledger.Of(flight.Fingerprint, now)
-	if known.incident == ledger.incident {
+	strike := ledger.Lookup(flight.Fingerprint, now)
+	if strike.incident == ledger.incident {
 		return Strike{}, false
 	}
 	delete(ledger.flights, request)
-	expires := now.Add(ledger.life)
-	// The second strike of an isolated run was written before it began.
-	if !flight.Alone {
-		known = known.More(ledger.name, expires)
+	expires := now.Add(ledger.lifetime)
+	// The second strike of an isolated run was written before the run began.
+	if !flight.Isolated {
+		strike = strike.WithCrash(ledger.name, expires)
 	}
-	known.Fingerprint, known.Team, known.Service = flight.Fingerprint, flight.Team, flight.Service
-	known.incident = ledger.incident
-	ledger.Put(known)
-	return known, true
+	strike.Fingerprint, strike.Team, strike.Service = flight.Fingerprint, flight.Team, flight.Service
+	strike.incident = ledger.incident
+	ledger.Put(strike)
+	return strike, true
 }
 
-// Away notes that the engine can't be reached, without a crash that was seen.
-func (ledger *Ledger) Away(now timekeeper.Instant) {
+// MarkUnreachable records that the engine can't be reached, although no connection broke.
+func (ledger *Ledger) MarkUnreachable(now timekeeper.Instant) {
 	if !ledger.down {
-		ledger.down, ledger.crashed = true, now
+		ledger.down, ledger.downSince = true, now
 		ledger.incident++
 	}
 }
 
-// Ended notes that a request ended without a crash, and returns its flight. A
-// request that ran whole is innocent, so its strikes are forgotten; the second
-// result says that there were some.
-func (ledger *Ledger) Ended(request string, whole bool) (Flight, bool) {
+// Ended records that a request ended without a crash, and returns its flight. A
+// complete answer shows that the request is harmless and clears its strikes; an
+// incomplete isolated run leaves one. The second result reports whether the strikes changed.
+func (ledger *Ledger) Ended(request string, complete bool) (Flight, bool) {
 	flight := ledger.flights[request]
 	delete(ledger.flights, request)
-	known, struck := ledger.strikes[flight.Fingerprint]
+	strike, struck := ledger.strikes[flight.Fingerprint]
 	if !struck {
 		return flight, false
 	}
-	if whole {
+	if complete {
 		delete(ledger.strikes, flight.Fingerprint)
-	} else if flight.Alone {
-		known.Count = Isolated
-		ledger.strikes[flight.Fingerprint] = known
+	} else if flight.Isolated {
+		strike.Count = IsolationThreshold
+		ledger.strikes[flight.Fingerprint] = strike
 	}
-	return flight, whole || flight.Alone
+	return flight, complete || flight.Isolated
 }
 
-// Recovered notes that the engine answers again.
+// Recovered records that the engine answers again.
 func (ledger *Ledger) Recovered() {
 	ledger.down = false
 }
 
-// Down reports whether the engine has crashed and not answered since.
+// Down reports whether the engine has not answered since it crashed or became unreachable.
 func (ledger *Ledger) Down() bool {
 	return ledger.down
 }
 
-// Of returns what is known of a fingerprint; a strike past its expiry is none.
-func (ledger *Ledger) Of(fingerprint uint64, now timekeeper.Instant) Strike {
-	known, ok := ledger.strikes[fingerprint]
-	if !ok || !now.Before(known.Expires) {
+// Lookup returns the strike of a fingerprint, with a count of zero if there is
+// none or it has expired.
+func (ledger *Ledger) Lookup(fingerprint uint64, now timekeeper.Instant) Strike {
+	strike, ok := ledger.strikes[fingerprint]
+	if !ok || !now.Before(strike.Expires) {
 		delete(ledger.strikes, fingerprint)
 		return Strike{Fingerprint: fingerprint}
 	}
-	return known
+	return strike
 }
 
-// Put stores what was learned of a fingerprint; a count of zero forgets it.
+// Put replaces the strike of a fingerprint; a count of zero removes it. Above
+// maxStrikes it drops other strikes in no particular order.
 func (ledger *Ledger) Put(strike Strike) {
 	if strike.Count == 0 {
 		delete(ledger.strikes, strike.Fingerprint)
@@ -175,7 +181,7 @@
 	}
 	ledger.strikes[strike.Fingerprint] = strike
 	for fingerprint := range ledger.strikes {
-		if len(ledger.strikes) <= mostStrikes {
+		if len(ledger.strikes) <= maxStrikes {
 			return
 		}
 		if fingerprint != strike.Fingerprint {
@@ -184,16 +190,18 @@
 	}
 }
 
-// Weigh merges what the agent knows, what the table says and what the entry
-// heard into the strike that counts for an offer. The table decides where it
-// has been told; a strike that it may not have yet counts beside it.
-func Weigh(own, row Strike, found bool, heard int) Strike {
+// Merge returns the strike that applies to an offer. Its count is the maximum of the
+// count of the row in the table (if found), the count in the entry's offer and the
+// agent's own count, at most RefusalThreshold. A saved own count is ignored, since
+// the table is authoritative for it: a lower count or a missing row means that the
+// strike was lifted or cleared.
+func Merge(own, row Strike, found bool, offered int) Strike {
 	strike := own
 	if found {
 		strike = row
 		strike.incident = own.incident
 	}
-	count := heard
+	count := offered
 	if found {
 		count = max(count, row.Count)
 	}
@@ -201,6 +209,6 @@
 		count = max(count, own.Count)
 	}
 	strike.Saved = found && count == row.Count
-	strike.Count = min(count, Barred)
+	strike.Count = min(count, RefusalThreshold)
 	return strike
 }
