--- a/internal/classifier/failure.go
+++ b/internal/classifier/failure.go
@@ -15,8 +15,8 @@
 	Kind       Kind
 	Detail     string
 	RetryAfter timekeeper.Span
-	// Where is the replica that the chat last ran at, or "".
-	Where string
+	// LastReplica is the replica that the chat last ran at, or "".
+	LastReplica string
 	// Room is a replica with room, or "".
 	Room string
 }
--- a/internal/forwarder/route.go
+++ b/internal/forwarder/route.go
@@ -38,7 +38,7 @@
 	refusal := placer.Refusal{
 		Moved:       failure.Kind == classifier.Moved,
 		AtBound:     failure.Kind == classifier.AtBound,
-		LastReplica: failure.Where,
+		LastReplica: failure.LastReplica,
 		Alternative: failure.Room,
 	}
 	if refusal.AtBound {
