--- a/internal/classifier/failure.go
+++ b/internal/classifier/failure.go
@@ -17,8 +17,8 @@
 	RetryAfter timekeeper.Span
 	// LastReplica is the replica that the chat last ran at, or "".
 	LastReplica string
-	// Room is a replica with room, or "".
-	Room string
+	// Alternative is a replica with room, or "".
+	Alternative string
 }
 
 // New returns a failure of the kind with a detail for the caller.
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -176,7 +176,7 @@
 		entry.settings.Learn(refused.GetDigest())
 	}
 	failure := classifier.New(classifier.KindOf(refused.GetKind()), refused.GetDetail())
-	failure.LastReplica, failure.Room = refused.GetWhere(), refused.GetRoom()
+	failure.LastReplica, failure.Alternative = refused.GetWhere(), refused.GetRoom()
 	return failure.WithRetryAfter(timekeeper.Span(refused.GetRetryAfter()))
 }
 
--- a/internal/forwarder/route.go
+++ b/internal/forwarder/route.go
@@ -39,10 +39,10 @@
 		Moved:       failure.Kind == classifier.Moved,
 		AtBound:     failure.Kind == classifier.AtBound,
 		LastReplica: failure.LastReplica,
-		Alternative: failure.Room,
+		Alternative: failure.Alternative,
 	}
 	if refusal.AtBound {
-		refusal.Alternative = entry.roomiest(call, route, failure.Room)
+		refusal.Alternative = entry.roomiest(call, route, failure.Alternative)
 	}
 	return refusal
 }
