--- a/internal/classifier/kind.go
+++ b/internal/classifier/kind.go
@@ -67,9 +67,9 @@
 	// Retry reports whether trying again later can help, so that the answer
 	// carries Retry-After.
 	Retry bool
-	// Elsewhere reports whether another replica may be tried for the same
+	// RetryElsewhere reports whether another replica may be tried for the same
 	// request: the refusal is about this replica only, and nothing ran.
-	Elsewhere bool
+	RetryElsewhere bool
 }
 
 var answers = [...]Answer{
--- a/internal/forwarder/earlier.go
+++ b/internal/forwarder/earlier.go
@@ -31,7 +31,7 @@
 // size, where one call in ten has one.
 func (entry *Entry) ofKey(ctx context.Context, call call, err error) error {
 	answer := classifier.AnswerOf(classifier.Of(err).Kind)
-	if call.key == "" || call.idempotent || answer.Ran != classifier.RanNo || !answer.Elsewhere {
+	if call.key == "" || call.idempotent || answer.Ran != classifier.RanNo || !answer.RetryElsewhere {
 		return err
 	}
 	if _, minted := minter.Read(call.key); minted {
--- a/internal/forwarder/recover.go
+++ b/internal/forwarder/recover.go
@@ -187,7 +187,7 @@
 		attempts.unknown = true
 		return call.idempotent
 	}
-	return classifier.AnswerOf(failure.Kind).Elsewhere
+	return classifier.AnswerOf(failure.Kind).RetryElsewhere
 }
 
 func (attempts *attempts) failure() classifier.Failure {
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -35,7 +35,7 @@
 // hints returns where the caller of a refused offer should go: to the replica
 // that the chat last ran at, else to one with room.
 func (agent *Agent) hints(offer *encoder.Offer, failure classifier.Failure) (where, room string) {
-	if !classifier.AnswerOf(failure.Kind).Elsewhere {
+	if !classifier.AnswerOf(failure.Kind).RetryElsewhere {
 		return "", ""
 	}
 	agent.mu.Lock()
