--- a/internal/assembler/entry.go
+++ b/internal/assembler/entry.go
@@ -70,7 +70,7 @@
 		Holders:     entry.view.Holders,
 		Locate:      entry.view.Locate,
 		Claimed:     entry.claimed,
-		Learn:       entry.applyDigest,
+		OnDigest:       entry.applyDigest,
 		Failed:      entry.view.Fail,
 		Record:      entry.record.Record,
 	})
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -173,7 +173,7 @@
 	call.heard.note(refused)
 	entry.hints.learn(refused.GetDigest(), entry.settings.Clock.Now())
 	if refused.GetDigest() != nil {
-		entry.settings.Learn(refused.GetDigest())
+		entry.settings.OnDigest(refused.GetDigest())
 	}
 	failure := classifier.New(classifier.KindOf(refused.GetKind()), refused.GetDetail())
 	failure.LastReplica, failure.Alternative = refused.GetWhere(), refused.GetRoom()
--- a/internal/forwarder/entry.go
+++ b/internal/forwarder/entry.go
@@ -40,8 +40,8 @@
 	// Claimed returns the request that has claimed a key, by the key of its row;
 	// nil means that no key is ever claimed.
 	Claimed func(ctx context.Context, rowKey string) (request string, found bool, err error)
-	// Learn takes in a digest that came with an answer; nil means it is dropped.
-	Learn func(digest *encoder.Digest)
+	// OnDigest takes in a digest that came with an answer; nil means it is dropped.
+	OnDigest func(digest *encoder.Digest)
 	// Failed takes a replica that could not be reached, or could not be asked
 	// what became of a call; nil means it is dropped.
 	Failed func(service, instance string)
@@ -63,8 +63,8 @@
 	if settings.Claimed == nil {
 		settings.Claimed = func(context.Context, string) (string, bool, error) { return "", false, nil }
 	}
-	if settings.Learn == nil {
-		settings.Learn = func(*encoder.Digest) {}
+	if settings.OnDigest == nil {
+		settings.OnDigest = func(*encoder.Digest) {}
 	}
 	if settings.Failed == nil {
 		settings.Failed = func(string, string) {}
--- a/internal/forwarder/relay.go
+++ b/internal/forwarder/relay.go
@@ -149,7 +149,7 @@
 func (answer *relayed) close(end *encoder.End) (classifier.Failure, bool) {
 	answer.entry.hints.learn(end.GetNow(), answer.entry.settings.Clock.Now())
 	if end.GetNow() != nil {
-		answer.entry.settings.Learn(end.GetNow())
+		answer.entry.settings.OnDigest(end.GetNow())
 	}
 	if !end.GetComplete() {
 		if kind := classifier.KindOf(end.GetKind()); kind == classifier.UpstreamBroken || kind == classifier.AnswerCut {
