--- a/internal/assembler/entry.go
+++ b/internal/assembler/entry.go
@@ -71,7 +71,7 @@
 		Locate:      entry.view.Locate,
 		Claimed:     entry.claimed,
 		OnDigest:       entry.applyDigest,
-		Failed:      entry.view.Fail,
+		OnUnreachable:      entry.view.Fail,
 		Record:      entry.record.Record,
 	})
 	return entry, entry.release, nil
--- a/internal/forwarder/entry.go
+++ b/internal/forwarder/entry.go
@@ -42,9 +42,9 @@
 	Claimed func(ctx context.Context, rowKey string) (request string, found bool, err error)
 	// OnDigest takes in a digest that came with an answer; nil means it is dropped.
 	OnDigest func(digest *encoder.Digest)
-	// Failed takes a replica that could not be reached, or could not be asked
+	// OnUnreachable takes a replica that could not be reached, or could not be asked
 	// what became of a call; nil means it is dropped.
-	Failed func(service, instance string)
+	OnUnreachable func(service, instance string)
 	// Record takes events of the fleet's record; nil means they are dropped.
 	Record func(event recorder.Event)
 	// BodyTimeout bounds the arrival of a request body; zero means 10 seconds.
@@ -66,8 +66,8 @@
 	if settings.OnDigest == nil {
 		settings.OnDigest = func(*encoder.Digest) {}
 	}
-	if settings.Failed == nil {
-		settings.Failed = func(string, string) {}
+	if settings.OnUnreachable == nil {
+		settings.OnUnreachable = func(string, string) {}
 	}
 	if settings.Locate == nil {
 		settings.Locate = func(string) (string, bool) { return "", false }
--- a/internal/forwarder/failed_test.go
+++ b/internal/forwarder/failed_test.go
@@ -20,7 +20,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			count := 0
-			entry := New(Settings{Failed: func(string, string) { count++ }})
+			entry := New(Settings{OnUnreachable: func(string, string) { count++ }})
 			ctx, leave := context.WithCancel(t.Context())
 			defer leave()
 			if test.left {
--- a/internal/forwarder/recover.go
+++ b/internal/forwarder/recover.go
@@ -86,7 +86,7 @@
 // has a replica held dead; a caller that left proves nothing.
 func (entry *Entry) failed(ctx context.Context, call call, replica placer.Replica) {
 	if ctx.Err() == nil {
-		entry.settings.Failed(call.service, replica.Name)
+		entry.settings.OnUnreachable(call.service, replica.Name)
 	}
 }
 
