--- a/internal/assembler/entry.go
+++ b/internal/assembler/entry.go
@@ -69,7 +69,7 @@
 		Roster:      entry.view.Roster,
 		Holders:     entry.view.Holders,
 		Locate:      entry.view.Locate,
-		Claimed:     entry.claimed,
+		FindClaim:     entry.claimed,
 		OnDigest:       entry.applyDigest,
 		OnUnreachable:      entry.view.Fail,
 		Record:      entry.record.Record,
--- a/internal/forwarder/earlier.go
+++ b/internal/forwarder/earlier.go
@@ -39,7 +39,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout.Duration())
 	defer cancel()
-	holder, found, errRead := entry.settings.Claimed(ctx, claimer.RowKey(call.team, call.service, call.key))
+	holder, found, errRead := entry.settings.FindClaim(ctx, claimer.RowKey(call.team, call.service, call.key))
 	if errRead != nil || !found || holder == call.id {
 		return err
 	}
--- a/internal/forwarder/entry.go
+++ b/internal/forwarder/entry.go
@@ -37,9 +37,9 @@
 	// Locate returns the address of a replica that is listed, also of one that
 	// gets no new work.
 	Locate func(instance string) (address string, known bool)
-	// Claimed returns the request that has claimed a key, by the key of its row;
+	// FindClaim returns the request that has claimed a key, by the key of its row;
 	// nil means that no key is ever claimed.
-	Claimed func(ctx context.Context, rowKey string) (request string, found bool, err error)
+	FindClaim func(ctx context.Context, rowKey string) (request string, found bool, err error)
 	// OnDigest takes in a digest that came with an answer; nil means it is dropped.
 	OnDigest func(digest *encoder.Digest)
 	// OnUnreachable takes a replica that could not be reached, or could not be asked
@@ -60,8 +60,8 @@
 	if settings.WriteTimeout == 0 {
 		settings.WriteTimeout = 20 * timekeeper.Second
 	}
-	if settings.Claimed == nil {
-		settings.Claimed = func(context.Context, string) (string, bool, error) { return "", false, nil }
+	if settings.FindClaim == nil {
+		settings.FindClaim = func(context.Context, string) (string, bool, error) { return "", false, nil }
 	}
 	if settings.OnDigest == nil {
 		settings.OnDigest = func(*encoder.Digest) {}
--- a/internal/forwarder/entry_test.go
+++ b/internal/forwarder/entry_test.go
@@ -295,7 +295,7 @@
 				_ = stream.Write(encoder.Of(&encoder.Refused{RequestId: own, Kind: "overloaded", RetryAfter: 1000}))
 			})
 			server := frontWith(t, func(settings *Settings) {
-				settings.Claimed = func(context.Context, string) (string, bool, error) {
+				settings.FindClaim = func(context.Context, string) (string, bool, error) {
 					if test.holder == "" {
 						return own, test.found, test.err
 					}
