--- a/internal/assembler/entry.go
+++ b/internal/assembler/entry.go
@@ -67,7 +67,7 @@
 		Pool:        entry.pool,
 		Config:      entry.watcher.Current,
 		Roster:      entry.view.Roster,
-		Holders:     entry.view.Holders,
+		AdapterHolders:     entry.view.Holders,
 		Locate:      entry.view.Locate,
 		FindClaim:     entry.claimed,
 		OnDigest:       entry.applyDigest,
--- a/internal/forwarder/entry.go
+++ b/internal/forwarder/entry.go
@@ -32,8 +32,8 @@
 	Config func() resolver.Config
 	// Roster returns the replicas of a service that may get new work.
 	Roster func(service string) placer.Roster
-	// Holders returns those of them that hold an adapter; nil means that none is known.
-	Holders func(service, adapter string) placer.Roster
+	// AdapterHolders returns those of them that hold an adapter; nil means that none is known.
+	AdapterHolders func(service, adapter string) placer.Roster
 	// Locate returns the address of a replica that is listed, also of one that
 	// gets no new work.
 	Locate func(instance string) (address string, known bool)
--- a/internal/forwarder/route.go
+++ b/internal/forwarder/route.go
@@ -25,8 +25,8 @@
 // adapter, for an engine without it can't answer. While nobody is known to hold
 // it all are asked, since what is known of engines may be late.
 func (entry *Entry) roster(call call) placer.Roster {
-	if call.adapter != "" && entry.settings.Holders != nil {
-		if holders := entry.settings.Holders(call.service, call.adapter); holders.Len() > 0 {
+	if call.adapter != "" && entry.settings.AdapterHolders != nil {
+		if holders := entry.settings.AdapterHolders(call.service, call.adapter); holders.Len() > 0 {
 			return holders
 		}
 	}
