--- a/internal/forwarder/mint.go
+++ b/internal/forwarder/mint.go
@@ -17,8 +17,8 @@
 // keysPath is where callers get minted keys.
 const keysPath = "/v1/keys"
 
-// KeyOrder asks for minted keys.
-type KeyOrder struct {
+// KeyRequest asks for minted keys.
+type KeyRequest struct {
 	// Service is the service that the keys are for.
 	Service string `json:"service"`
 	// Count is how many keys are wanted, 1 to 64; zero means 1.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return KeyGrant{}, err
 	}
-	var order KeyOrder
+	var order KeyRequest
 	if err := json.Unmarshal(body, &order); err != nil || order.Count < 0 || order.Count > minter.MostAtOnce {
 		return KeyGrant{}, classifier.New(classifier.BadRequest, `send {"service": NAME, "count": 1 to 64}`)
 	}
