--- a/internal/forwarder/mint.go
+++ b/internal/forwarder/mint.go
@@ -25,8 +25,8 @@
 	Count int `json:"count"`
 }
 
-// KeyGrant is the answer to a KeyOrder.
-type KeyGrant struct {
+// KeyResponse is the answer to a KeyOrder.
+type KeyResponse struct {
 	Keys []string `json:"keys"`
 	// Expires is the last moment at which the keys may be used first.
 	Expires string `json:"expires"`
@@ -43,34 +43,34 @@
 	_ = json.NewEncoder(w).Encode(grant)
 }
 
-func (entry *Entry) mint(w http.ResponseWriter, r *http.Request, id string) (KeyGrant, error) {
+func (entry *Entry) mint(w http.ResponseWriter, r *http.Request, id string) (KeyResponse, error) {
 	config := entry.settings.Config()
 	team, ok := entry.keys.teamOf(config, r.Header.Get("Authorization"))
 	if !ok {
-		return KeyGrant{}, classifier.New(classifier.Unauthorized, "send a team's key as Authorization: Bearer KEY")
+		return KeyResponse{}, classifier.New(classifier.Unauthorized, "send a team's key as Authorization: Bearer KEY")
 	}
 	if r.Method != http.MethodPost {
 		w.Header().Set("Allow", http.MethodPost)
-		return KeyGrant{}, classifier.New(classifier.MethodNotAllowed, "use POST")
+		return KeyResponse{}, classifier.New(classifier.MethodNotAllowed, "use POST")
 	}
 	const limit = 4096
 	body, err := entry.readBody(w, r, limit)
 	if err != nil {
-		return KeyGrant{}, err
+		return KeyResponse{}, err
 	}
 	var order KeyRequest
 	if err := json.Unmarshal(body, &order); err != nil || order.Count < 0 || order.Count > minter.MostAtOnce {
-		return KeyGrant{}, classifier.New(classifier.BadRequest, `send {"service": NAME, "count": 1 to 64}`)
+		return KeyResponse{}, classifier.New(classifier.BadRequest, `send {"service": NAME, "count": 1 to 64}`)
 	}
 	if _, ok := config.Service(order.Service); !ok {
-		return KeyGrant{}, classifier.New(classifier.NotFound, "no such service")
+		return KeyResponse{}, classifier.New(classifier.NotFound, "no such service")
 	}
 	return entry.mintAt(r, id, &encoder.MintAsk{Team: team, Service: order.Service, Count: uint32(max(1, order.Count))})
 }
 
 // mintAt asks one agent after the other. Each order starts at another agent,
 // so that the calls made with the keys spread as other calls do.
-func (entry *Entry) mintAt(r *http.Request, id string, ask *encoder.MintAsk) (KeyGrant, error) {
+func (entry *Entry) mintAt(r *http.Request, id string, ask *encoder.MintAsk) (KeyResponse, error) {
 	failure := classifier.New(classifier.NoUpstream, ask.GetService()).WithRetryAfter(timekeeper.Second)
 	for _, replica := range entry.settings.Roster(ask.GetService()).Rank(xxhash.Sum64String(id), placer.MaxOffers) {
 		conn, err := entry.settings.Pool.Open(r.Context(), replica.Address)
@@ -86,10 +86,10 @@
 		case minted.GetKind() != "":
 			failure = classifier.New(classifier.KindOf(minted.GetKind()), replica.Name)
 		default:
-			return KeyGrant{Keys: minted.GetKeys(), Expires: timekeeper.Instant(minted.GetExpires()).String()}, nil
+			return KeyResponse{Keys: minted.GetKeys(), Expires: timekeeper.Instant(minted.GetExpires()).String()}, nil
 		}
 	}
-	return KeyGrant{}, failure
+	return KeyResponse{}, failure
 }
 
 // askOnce sends one message, reads the answer and closes the connection.
