--- a/internal/dialer/pool.go
+++ b/internal/dialer/pool.go
@@ -39,9 +39,9 @@
 }
 
 const (
-	// AnswerKeepAlive is the time between probes on the side that was dialled:
+	// ServerKeepAlive is the time between probes on the side that was dialled:
 	// rare, for the side that dials probes too.
-	AnswerKeepAlive = 2 * timekeeper.Minute
+	ServerKeepAlive = 2 * timekeeper.Minute
 	// probeShare is the least time between any two probes of a pool. It keeps
 	// what probes cost the same at any number of peers: 20 probes a second, of
 	// 24 bytes with their answer, are 480 bytes a second.
@@ -249,7 +249,7 @@
 	rate := func(every timekeeper.Span) float64 {
 		return float64(sessions) * ProbeSize * float64(timekeeper.Second) / float64(every)
 	}
-	return rate(settings.keepAlive(sessions)) + rate(AnswerKeepAlive)
+	return rate(settings.keepAlive(sessions)) + rate(ServerKeepAlive)
 }
 
 func (pool *Pool) peer(address string) *peer {
--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -176,7 +176,7 @@
 }
 
 func (agent *Agent) serveSession(ctx context.Context, conn net.Conn) {
-	session, err := yamux.Server(conn, dialer.Settings{KeepAlive: dialer.AnswerKeepAlive}.Session())
+	session, err := yamux.Server(conn, dialer.Settings{KeepAlive: dialer.ServerKeepAlive}.Session())
 	if err != nil {
 		_ = conn.Close()
 		return
