--- a/internal/assembler/control.go
+++ b/internal/assembler/control.go
@@ -85,7 +85,7 @@
 		ctrl.env.Clock.Every(ctx, func() timekeeper.Span { return probeInterval }, func(context.Context) {
 			bytes := ctrl.pool.ProbeRate() * float64(probeInterval) / float64(timekeeper.Second)
 			ctrl.budget.Spend(ctrl.env.Clock.Now(), budgeter.Probe, int64(bytes))
-			ctrl.pool.Reap()
+			ctrl.pool.CloseIdle()
 		})
 	})
 }
--- a/internal/dialer/pool.go
+++ b/internal/dialer/pool.go
@@ -206,11 +206,11 @@
 // idleFor is how long a session without streams stays open.
 const idleFor = timekeeper.Minute
 
-// Reap closes sessions that have carried nothing for a minute. An entry meets
+// CloseIdle closes sessions that have carried nothing for a minute. An entry meets
 // every replica sooner or later: at 3,100 replicas, sessions kept for ever
 // would take several times the memory that a process may have, while its few
 // calls a second need some dozens.
-func (pool *Pool) Reap() {
+func (pool *Pool) CloseIdle() {
 	pool.mu.Lock()
 	peers := maps.Clone(pool.peers)
 	pool.mu.Unlock()
--- a/internal/dialer/pool_test.go
+++ b/internal/dialer/pool_test.go
@@ -44,7 +44,7 @@
 				So(err, ShouldBeNil)
 			}
 			manual.Advance(test.idle)
-			pool.Reap()
+			pool.CloseIdle()
 			So(pool.size(), ShouldEqual, test.left)
 		})
 	}
