--- a/internal/dialer/pool.go
+++ b/internal/dialer/pool.go
@@ -55,8 +55,8 @@
 	return max(settings.withDefaults().KeepAlive, timekeeper.Span(sessions)*probeShare)
 }
 
-// Session returns the yamux configuration that both ends of a session use.
-func (settings Settings) Session() *yamux.Config {
+// SessionConfig returns the yamux configuration that both ends of a session use.
+func (settings Settings) SessionConfig() *yamux.Config {
 	settings = settings.withDefaults()
 	config := yamux.DefaultConfig()
 	config.KeepAliveInterval = settings.KeepAlive.Duration()
@@ -162,7 +162,7 @@
 	}
 	settings := pool.settings
 	settings.KeepAlive = settings.keepAlive(pool.size())
-	session, err := yamux.Client(conn, settings.Session())
+	session, err := yamux.Client(conn, settings.SessionConfig())
 	if err != nil {
 		_ = conn.Close()
 		return nil, Peer{}, eris.Wrap(err, "start session")
--- a/internal/dialer/pool_test.go
+++ b/internal/dialer/pool_test.go
@@ -56,7 +56,7 @@
 // welcomeEach is welcomeAll, and tells of each session.
 func welcomeEach(listener net.Listener, sessions chan<- *yamux.Session) {
 	for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
-		session, _ := yamux.Server(conn, Settings{}.Session())
+		session, _ := yamux.Server(conn, Settings{}.SessionConfig())
 		sessions <- session
 		go func() {
 			first, err := session.Accept()
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return yamux.Client(conn, Settings{}.Session())
+	return yamux.Client(conn, Settings{}.SessionConfig())
 }
 
 func TestASessionThatEndsBeforeAStreamIsOpened(t *testing.T) {
--- a/internal/forwarder/entry_test.go
+++ b/internal/forwarder/entry_test.go
@@ -49,7 +49,7 @@
 }
 
 func serveScript(conn net.Conn, script func(stream *encoder.Stream, offer *encoder.Offer)) {
-	session, err := yamux.Server(conn, dialer.Settings{}.Session())
+	session, err := yamux.Server(conn, dialer.Settings{}.SessionConfig())
 	if err != nil {
 		return
 	}
--- a/internal/publisher/peer_test.go
+++ b/internal/publisher/peer_test.go
@@ -22,7 +22,7 @@
 	defer func() { _ = listener.Close() }()
 	go func() {
 		if conn, err := listener.Accept(); err == nil {
-			session, _ := yamux.Server(conn, dialer.Settings{}.Session())
+			session, _ := yamux.Server(conn, dialer.Settings{}.SessionConfig())
 			_, _ = session.Accept()
 		}
 	}()
--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -176,7 +176,7 @@
 }
 
 func (agent *Agent) serveSession(ctx context.Context, conn net.Conn) {
-	session, err := yamux.Server(conn, dialer.Settings{KeepAlive: dialer.ServerKeepAlive}.Session())
+	session, err := yamux.Server(conn, dialer.Settings{KeepAlive: dialer.ServerKeepAlive}.SessionConfig())
 	if err != nil {
 		_ = conn.Close()
 		return
