--- a/internal/classifier/doc.go
+++ b/internal/classifier/doc.go
@@ -1,8 +1,8 @@
-// Package classifier holds the closed list of error kinds and the table from
-// kind to the answer that a caller gets.
+// Package classifier defines the closed list of error kinds and the answer that
+// a caller gets for each.
 //
-// Every failure that can reach a caller has one Kind. The table says which
-// HTTP status it is answered with, whether the request ran (no, unknown), and
-// whether a later try can help. Answers are problem details of RFC 9457 with
+// Every failure that can reach a caller has one Kind. The table gives its HTTP
+// status, whether the request ran (no, unknown or yes), and whether a later retry
+// can help. Answers are problem details of RFC 9457 with
 // the extra members "ran" and "request-id".
 package classifier
--- a/internal/classifier/failure.go
+++ b/internal/classifier/failure.go
@@ -15,9 +15,9 @@
 	Kind       Kind
 	Detail     string
 	RetryAfter timekeeper.Span
-	// LastReplica is the replica that the chat last ran at, or "".
+	// LastReplica is the replica at which the chat last ran, or "".
 	LastReplica string
-	// Alternative is a replica with room, or "".
+	// Alternative is a replica with free capacity, or "".
 	Alternative string
 }
 
@@ -26,7 +26,8 @@
 	return Failure{Kind: kind, Detail: detail}
 }
 
-// WithRetryAfter returns the failure with the span after which a retry is welcome.
+// WithRetryAfter returns the failure with the delay after which the caller may
+// retry.
 func (failure Failure) WithRetryAfter(span timekeeper.Span) Failure {
 	failure.RetryAfter = span
 	return failure
@@ -60,13 +61,13 @@
 }
 
 // Write answers a request with the problem details of the failure. It must be
-// called before any part of the answer was written.
+// called before any part of an answer is written.
 func Write(w http.ResponseWriter, failure Failure, requestID string) {
 	WriteWithRetry(w, failure, requestID, strconv.FormatInt(RetrySeconds(failure.RetryAfter), 10))
 }
 
-// WriteWithRetry is Write for callers who read the time to come back in another
-// form than whole seconds.
+// WriteWithRetry is like Write, for callers that read Retry-After in another form
+// than whole seconds.
 func WriteWithRetry(w http.ResponseWriter, failure Failure, requestID, retryAfter string) {
 	answer := AnswerOf(failure.Kind)
 	body, err := json.Marshal(Problem{
@@ -91,7 +92,7 @@
 }
 
 // RetrySeconds returns the whole seconds of a Retry-After header: at least one,
-// rounded up, so that a caller never comes back early.
+// rounded up, so that no caller retries early.
 func RetrySeconds(span timekeeper.Span) int64 {
 	seconds := int64((span + timekeeper.Second - 1) / timekeeper.Second)
 	return max(1, seconds)
--- a/internal/classifier/kind.go
+++ b/internal/classifier/kind.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// Kind is one of the closed list of error kinds.
+// Kind is an error kind from a closed list.
 type Kind uint8
 
-// The closed list. Kinds are appended, never renumbered, since records keep them.
+// The error kinds. New ones are appended and none is renumbered, since records keep them.
 const (
 	Internal Kind = iota + 1
 	BadRequest
@@ -64,11 +64,11 @@
 	Title string
 	// Ran says whether the request ran.
 	Ran Ran
-	// Retry reports whether trying again later can help, so that the answer
-	// carries Retry-After.
+	// Retry reports whether a later retry can help, so that the answer carries
+	// Retry-After.
 	Retry bool
-	// RetryElsewhere reports whether another replica may be tried for the same
-	// request: the refusal is about this replica only, and nothing ran.
+	// RetryElsewhere reports whether the same request may be tried at another
+	// replica: the refusal concerns this replica only, and nothing ran.
 	RetryElsewhere bool
 }
 
@@ -134,8 +134,8 @@
 	return AnswerOf(kind).Name
 }
 
-// KindOf returns the kind with the given name, and Internal for a name that
-// this version does not know.
+// KindOf returns the kind with the given name, or Internal if this version does not
+// know the name.
 func KindOf(name string) Kind {
 	for kind := range answers {
 		if answers[kind].Name == name {
