--- a/internal/encoder/headers.go
+++ b/internal/encoder/headers.go
@@ -1,19 +1,20 @@
 package encoder
 
-// Header names of the project's own.
+// Names of the HTTP headers that the fleet uses.
 const (
 	// ChatHeader names the chat that a call belongs to.
 	ChatHeader = "Trefoilseam-Chat"
 	// UpstreamHeader names the replica that answered.
 	UpstreamHeader = "Trefoilseam-Upstream"
-	// CachedHeader tells how many prompt tokens were found cached.
+	// CachedHeader carries the number of prompt tokens that were found cached.
 	CachedHeader = "Trefoilseam-Cached"
-	// RequestHeader names the call inside the fleet.
+	// RequestHeader carries the id of the call inside the fleet.
 	RequestHeader = "Trefoilseam-Request"
-	// ReplayedHeader says that an answer was kept from an earlier call with the same key.
+	// ReplayedHeader marks an answer that was kept from an earlier call with the
+	// same key.
 	ReplayedHeader = "Idempotency-Replayed"
-	// CacheChatHeader names the chat to an engine whose cache can be exported:
-	// the hash by which the fleet knows it, in hexadecimal.
+	// CacheChatHeader names the chat to an engine whose cache can be exported: the
+	// hexadecimal hash that identifies the chat in the fleet.
 	CacheChatHeader = "Trefoilseam-Cache-Chat"
 	// KeyHeader carries the caller's key for a call that must not run twice.
 	KeyHeader = "Idempotency-Key"
--- a/internal/encoder/stream.go
+++ b/internal/encoder/stream.go
@@ -9,11 +9,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxFrame is the longest frame in bytes. It must hold the largest request
+// MaxFrame is the maximum frame size in bytes. It must hold the largest request
 // body that a configuration may allow, which is MaxBody.
 const MaxFrame = 9 << 20
 
-// MaxBody is the longest request body in bytes that any service may allow.
+// MaxBody is the largest request body in bytes that any service may allow.
 const MaxBody = 8 << 20
 
 const lengthBytes = 4
@@ -21,7 +21,8 @@
 // ErrFrameTooLong is returned for a frame over MaxFrame.
 var ErrFrameTooLong = eris.New("frame over the limit")
 
-// ErrUnexpected is returned when a frame of another type stands on the stream.
+// ErrUnexpected is returned for a frame without a message, or with another one than
+// expected.
 var ErrUnexpected = eris.New("unexpected frame")
 
 // Stream reads and writes frames. One goroutine may read while another writes.
@@ -36,8 +37,8 @@
 	return &Stream{in: bufio.NewReader(conn), out: conn}
 }
 
-// Write sends one or more frames with a single write to the connection, so
-// that an offer and its run frame travel together.
+// Write sends one or more frames with a single write to the connection, so that an
+// offer and its Run frame are sent together.
 func (stream *Stream) Write(frames ...*Frame) error {
 	buf := stream.buf[:0]
 	for _, frame := range frames {
@@ -47,17 +48,17 @@
 			return err
 		}
 	}
-	stream.buf = keepSmall(buf)
+	stream.buf = reusable(buf)
 	if _, err := stream.out.Write(buf); err != nil {
 		return eris.Wrap(err, "write frame")
 	}
 	return nil
 }
 
-// keepSmall returns buf for reuse unless one large frame has made it large.
-func keepSmall(buf []byte) []byte {
-	const keep = 64 << 10
-	if cap(buf) > keep {
+// reusable returns buf for reuse, or nil if a large frame has grown it.
+func reusable(buf []byte) []byte {
+	const maxReused = 64 << 10
+	if cap(buf) > maxReused {
 		return nil
 	}
 	return buf
@@ -104,20 +105,20 @@
 	return frame, nil
 }
 
-// readBody reads size bytes. It grows its buffer as bytes arrive, so that a
+// readBody reads size bytes. It grows a large buffer as bytes arrive, so that a
 // length without its body can't make the process allocate MaxFrame bytes.
 func readBody(in io.Reader, size int) ([]byte, error) {
-	const trusted = 64 << 10
-	if size <= trusted {
+	const maxPreallocated = 64 << 10
+	if size <= maxPreallocated {
 		body := make([]byte, size)
 		if _, err := io.ReadFull(in, body); err != nil {
-			return nil, midFrame(err)
+			return nil, unexpectedEOF(err)
 		}
 		return body, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(in, int64(size)))
 	if err != nil {
-		return nil, midFrame(err)
+		return nil, unexpectedEOF(err)
 	}
 	if len(body) < size {
 		return nil, io.ErrUnexpectedEOF
@@ -125,25 +126,25 @@
 	return body, nil
 }
 
-func midFrame(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// ReadAs reads the next frame and picks one message out of it, as in
-// ReadAs(stream, (*Frame).GetOffer). It returns ErrUnexpected when the frame
-// holds another message.
-func ReadAs[T comparable](stream *Stream, pick func(*Frame) T) (T, error) {
-	var none T
+// ReadAs reads the next frame and returns the message that get selects, as in
+// ReadAs(stream, (*Frame).GetOffer). It returns ErrUnexpected if the frame holds
+// another message.
+func ReadAs[T comparable](stream *Stream, get func(*Frame) T) (T, error) {
+	var zero T
 	frame, err := stream.Read()
 	if err != nil {
-		return none, err
+		return zero, err
 	}
-	message := pick(frame)
-	if message == none {
-		return none, ErrUnexpected
+	message := get(frame)
+	if message == zero {
+		return zero, ErrUnexpected
 	}
 	return message, nil
 }
--- a/internal/encoder/stream_test.go
+++ b/internal/encoder/stream_test.go
@@ -16,7 +16,7 @@
 	bytes.Buffer
 }
 
-func TestFramesComeBackAsTheyWent(t *testing.T) {
+func TestFramesRoundTrip(t *testing.T) {
 	offer := Of(&Offer{RequestId: "r-1", Service: "planner", Work: 12})
 	run := Of(&Run{RequestId: "r-1", Body: bytes.Repeat([]byte("x"), 300<<10)})
 	Convey("two frames in one write", t, func() {
@@ -34,13 +34,13 @@
 	})
 }
 
-func TestBrokenFramesAreRefused(t *testing.T) {
+func TestMalformedFramesAreRefused(t *testing.T) {
 	whole, err := Append(nil, Of(&Granted{RequestId: "r-1"}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	long := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
-	promised := binary.BigEndian.AppendUint32(nil, MaxFrame)
+	tooLong := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
+	withoutBody := binary.BigEndian.AppendUint32(nil, MaxFrame)
 	tests := []struct {
 		name string
 		wire []byte
@@ -48,8 +48,8 @@
 	}{
 		{"a frame cut in its length", whole[:2], io.ErrUnexpectedEOF},
 		{"a frame cut in its body", whole[:len(whole)-1], io.ErrUnexpectedEOF},
-		{"a length over the limit", long, ErrFrameTooLong},
-		{"a length without its body", promised, io.ErrUnexpectedEOF},
+		{"a length over the limit", tooLong, ErrFrameTooLong},
+		{"a length without its body", withoutBody, io.ErrUnexpectedEOF},
 		{"a frame without a message", []byte{0, 0, 0, 0}, ErrUnexpected},
 		{"a frame of another type", whole, ErrUnexpected},
 	}
@@ -63,14 +63,14 @@
 	}
 }
 
-func TestAMessageThatIsNoMemberPanics(t *testing.T) {
-	Convey("wrapping a digest alone is a mistake in the program", t, func() {
-		So(func() { Of(&Digest{}) }, ShouldPanicWith, notAFrame)
+func TestOfPanicsForAMessageThatIsNotAMember(t *testing.T) {
+	Convey("a Digest is not a member of Frame", t, func() {
+		So(func() { Of(&Digest{}) }, ShouldPanicWith, notAMember)
 	})
 }
 
-// FuzzRead feeds the reader with anything: it must return a frame or an error,
-// and a frame that it returns must come back the same when written again.
+// FuzzRead reads arbitrary bytes. Read must return an error, or a frame that is the
+// same after it is written and read again.
 func FuzzRead(f *testing.F) {
 	for _, message := range []any{
 		&Offer{RequestId: "r-1"}, &Run{Body: []byte("{}")}, &Chunk{Offset: 7, Data: []byte("data: x\n\n")},
--- a/internal/encoder/wrap.go
+++ b/internal/encoder/wrap.go
@@ -1,7 +1,7 @@
 package encoder
 
-// Of returns the frame that carries the message. It panics for a message that
-// is no member of Frame, which is a mistake in the program.
+// Of returns the frame that carries the message. It panics if the message is not a
+// member of Frame, which is a programming error.
 func Of(message any) *Frame {
 	switch m := message.(type) {
 	case *Offer:
@@ -34,7 +34,7 @@
 	return ofControl(message)
 }
 
-const notAFrame = "encoder: the message is no member of Frame"
+const notAMember = "encoder: the message is not a member of Frame"
 
 func ofControl(message any) *Frame {
 	switch m := message.(type) {
@@ -65,5 +65,5 @@
 	case *PrefixBody:
 		return &Frame{Body: &Frame_PrefixBody{PrefixBody: m}}
 	}
-	panic(notAFrame)
+	panic(notAMember)
 }
