--- a/internal/dialer/pool.go
+++ b/internal/dialer/pool.go
@@ -15,11 +15,12 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Settings of sessions. The zero value means the defaults.
+// Settings configure sessions. Zero fields mean the defaults.
 type Settings struct {
 	// DialTimeout bounds a connection attempt; zero means one second.
 	DialTimeout timekeeper.Span
-	// KeepAlive is the time between probes of an idle session; zero means 5 seconds.
+	// KeepAlive is the interval between probes of an idle session; zero means 5
+	// seconds.
 	KeepAlive timekeeper.Span
 	// WriteTimeout bounds a write to a stalled peer; zero means 10 seconds.
 	WriteTimeout timekeeper.Span
@@ -39,20 +40,20 @@
 }
 
 const (
-	// ServerKeepAlive is the time between probes on the side that was dialled:
-	// rare, for the side that dials probes too.
+	// ServerKeepAlive is the probe interval on the accepting side: long, because
+	// the dialling side probes too.
 	ServerKeepAlive = 2 * timekeeper.Minute
-	// probeShare is the least time between any two probes of a pool. It keeps
-	// what probes cost the same at any number of peers: 20 probes a second, of
-	// 24 bytes with their answer, are 480 bytes a second.
-	probeShare = 50 * timekeeper.Millisecond
-	// ProbeSize is what one probe and its answer take in bytes.
+	// minProbeGap is the minimum interval between any two probes of a pool. It
+	// keeps the cost of probes constant for any number of peers: 20 probes a
+	// second, of 24 bytes with their answers, are 480 bytes a second.
+	minProbeGap = 50 * timekeeper.Millisecond
+	// ProbeSize is the size of a probe and its answer in bytes.
 	ProbeSize = 24
 )
 
-// keepAlive returns the time between probes of one session among many.
+// keepAlive returns the probe interval of each session of a pool with that many.
 func (settings Settings) keepAlive(sessions int) timekeeper.Span {
-	return max(settings.withDefaults().KeepAlive, timekeeper.Span(sessions)*probeShare)
+	return max(settings.withDefaults().KeepAlive, timekeeper.Span(sessions)*minProbeGap)
 }
 
 // SessionConfig returns the yamux configuration that both ends of a session use.
@@ -68,25 +69,26 @@
 
 // Pool holds the sessions of one process to its peers.
 type Pool struct {
-	settings Settings
-	now      func() timekeeper.Instant
-	open     atomic.Int64
-	dial     func(ctx context.Context, address string) (net.Conn, error)
+	settings     Settings
+	now          func() timekeeper.Instant
+	sessionCount atomic.Int64
+	dial         func(ctx context.Context, address string) (net.Conn, error)
 
 	mu    sync.Mutex
 	peers map[string]*peer
 }
 
-// peer has a lock of its own, so that dialling one peer doesn't hold up others.
-// Lock order: Pool.mu is never held while peer.mu is taken.
+// peer holds the session to one address. It has its own lock, so that dialling one
+// peer doesn't block others. Lock order: Pool.mu is never held while peer.mu is
+// taken.
 type peer struct {
-	mu      sync.Mutex
-	session *yamux.Session
-	used    timekeeper.Instant
-	who     Peer
+	mu       sync.Mutex
+	session  *yamux.Session
+	lastUsed timekeeper.Instant
+	identity Peer
 }
 
-// Peer is who answers at an address.
+// Peer identifies the process that answers at an address.
 type Peer struct {
 	Instance    string
 	Incarnation uint64
@@ -95,10 +97,10 @@
 // NewPool returns a pool and a function that closes all its sessions.
 func NewPool(settings Settings) (*Pool, func()) {
 	settings = settings.withDefaults()
-	plain := net.Dialer{Timeout: settings.DialTimeout.Duration()}
+	netDialer := net.Dialer{Timeout: settings.DialTimeout.Duration()}
 	pool := &Pool{settings: settings, now: timekeeper.SinceBoot().Now, peers: map[string]*peer{}}
 	pool.dial = func(ctx context.Context, address string) (net.Conn, error) {
-		return plain.DialContext(ctx, "tcp", address)
+		return netDialer.DialContext(ctx, "tcp", address)
 	}
 	return pool, pool.close
 }
@@ -110,30 +112,30 @@
 	return stream, err
 }
 
-// OpenPeer is Open, and also tells which incarnation the stream leads to. All
-// streams of a session lead to the same one, since a session is one connection.
+// OpenPeer is like Open and also returns the incarnation that the stream leads to.
+// All streams of a session lead to the same one, since a session is one connection.
 func (pool *Pool) OpenPeer(ctx context.Context, address string) (net.Conn, Peer, error) {
-	var failed error
-	for range openTries {
-		session, who, err := pool.session(ctx, address)
+	var lastErr error
+	for range maxOpenTries {
+		session, identity, err := pool.session(ctx, address)
 		if err != nil {
 			return nil, Peer{}, err
 		}
 		stream, err := session.OpenStream()
 		if err == nil {
-			return stream, who, nil
+			return stream, identity, nil
 		}
-		failed = eris.Wrap(err, "open stream")
+		lastErr = eris.Wrap(err, "open stream")
 		pool.discard(address, session)
 	}
-	return nil, Peer{}, failed
+	return nil, Peer{}, lastErr
 }
 
-// openTries is on how many sessions a stream is tried: a kept one may end after it was
-// looked at, or take no more streams.
-const openTries = 2
+// maxOpenTries is the number of sessions tried for one stream: a kept session may
+// end after it was checked, or accept no more streams.
+const maxOpenTries = 2
 
-// discard forgets a session that opens no more streams. Those that it carries go on.
+// discard forgets a session that opens no more streams. Its open streams continue.
 func (pool *Pool) discard(address string, session *yamux.Session) {
 	peer := pool.peer(address)
 	peer.mu.Lock()
@@ -145,44 +147,45 @@
 		_ = session.Close()
 	}
 	peer.session = nil
-	pool.open.Add(-1)
+	pool.sessionCount.Add(-1)
 }
 
 func (pool *Pool) session(ctx context.Context, address string) (*yamux.Session, Peer, error) {
 	peer := pool.peer(address)
 	peer.mu.Lock()
 	defer peer.mu.Unlock()
-	peer.used = pool.now()
+	peer.lastUsed = pool.now()
 	if peer.session != nil && !peer.session.IsClosed() {
-		return peer.session, peer.who, nil
+		return peer.session, peer.identity, nil
 	}
 	conn, err := pool.dial(ctx, address)
 	if err != nil {
 		return nil, Peer{}, eris.Wrap(err, "dial")
 	}
 	settings := pool.settings
-	settings.KeepAlive = settings.keepAlive(pool.size())
+	settings.KeepAlive = settings.keepAlive(pool.openSessions())
 	session, err := yamux.Client(conn, settings.SessionConfig())
 	if err != nil {
 		_ = conn.Close()
 		return nil, Peer{}, eris.Wrap(err, "start session")
 	}
-	who, err := greet(ctx, session, pool.settings.DialTimeout)
+	identity, err := handshake(ctx, session, pool.settings.DialTimeout)
 	if err != nil {
 		_ = session.Close()
-		return nil, Peer{}, eris.Wrap(err, "no welcome")
+		return nil, Peer{}, eris.Wrap(err, "session handshake")
 	}
 	if peer.session == nil {
-		pool.open.Add(1)
+		pool.sessionCount.Add(1)
 	}
-	peer.session, peer.who = session, who
-	return session, who, nil
+	peer.session, peer.identity = session, identity
+	return session, identity, nil
 }
 
-// greet asks who answers: something between may take connections for a peer that is gone,
-// or has started again. With a welcome first, no frame of a call leaves before it is known
-// which incarnation it goes to. It costs one round trip a session, not a call.
-func greet(ctx context.Context, session *yamux.Session, timeout timekeeper.Span) (Peer, error) {
+// handshake asks the peer for its identity: a proxy may accept connections for a
+// peer that is gone or has restarted. As the welcome comes first, no frame of a
+// call is sent before its receiving incarnation is known. It costs one round trip
+// per session, not per call.
+func handshake(ctx context.Context, session *yamux.Session, timeout timekeeper.Span) (Peer, error) {
 	conn, err := session.OpenStream()
 	if err != nil {
 		return Peer{}, err
@@ -203,29 +206,29 @@
 	return Peer{Instance: welcome.GetInstance(), Incarnation: welcome.GetIncarnation()}, nil
 }
 
-// idleFor is how long a session without streams stays open.
-const idleFor = timekeeper.Minute
+// idleTimeout is how long a session without streams stays open.
+const idleTimeout = timekeeper.Minute
 
-// CloseIdle closes sessions that have carried nothing for a minute. An entry meets
-// every replica sooner or later: at 3,100 replicas, sessions kept for ever
-// would take several times the memory that a process may have, while its few
-// calls a second need some dozens.
+// CloseIdle closes sessions that have been idle for a minute. Over time an entry
+// connects to every replica: at 3,100 replicas, keeping all sessions would take
+// several times the memory that a process may use, while its few calls a second
+// need only some dozens.
 func (pool *Pool) CloseIdle() {
 	pool.mu.Lock()
 	peers := maps.Clone(pool.peers)
 	pool.mu.Unlock()
 	for _, peer := range peers {
-		if peer.reap(pool.now()) {
-			pool.open.Add(-1)
+		if peer.closeIfIdle(pool.now()) {
+			pool.sessionCount.Add(-1)
 		}
 	}
 }
 
-// reap closes the session if it is idle and reports whether it did.
-func (peer *peer) reap(now timekeeper.Instant) bool {
+// closeIfIdle closes the session if it is idle and reports whether it did.
+func (peer *peer) closeIfIdle(now timekeeper.Instant) bool {
 	peer.mu.Lock()
 	defer peer.mu.Unlock()
-	if peer.session == nil || peer.session.NumStreams() > 0 || now.Since(peer.used) < idleFor {
+	if peer.session == nil || peer.session.NumStreams() > 0 || now.Since(peer.lastUsed) < idleTimeout {
 		return false
 	}
 	_ = peer.session.Close()
@@ -233,21 +236,23 @@
 	return true
 }
 
-// size returns how many sessions are open, or were when last used.
-func (pool *Pool) size() int {
-	return int(pool.open.Load())
+// openSessions returns the number of open sessions. A session that broke counts
+// until its peer is next used.
+func (pool *Pool) openSessions() int {
+	return int(pool.sessionCount.Load())
 }
 
-// ProbeRate returns what the probes of the open sessions cost in bytes a
-// second: those that the pool sends, and those that it answers.
+// ProbeRate returns the traffic in bytes a second of the probes of the open
+// sessions: those that the pool sends and those that it answers.
 func (pool *Pool) ProbeRate() float64 {
-	return pool.settings.ProbeRate(pool.size())
+	return pool.settings.ProbeRate(pool.openSessions())
 }
 
-// ProbeRate returns what the probes of a number of sessions cost in bytes a second.
+// ProbeRate returns the traffic in bytes a second of the probes of that many
+// sessions.
 func (settings Settings) ProbeRate(sessions int) float64 {
-	rate := func(every timekeeper.Span) float64 {
-		return float64(sessions) * ProbeSize * float64(timekeeper.Second) / float64(every)
+	rate := func(interval timekeeper.Span) float64 {
+		return float64(sessions) * ProbeSize * float64(timekeeper.Second) / float64(interval)
 	}
 	return rate(settings.keepAlive(sessions)) + rate(ServerKeepAlive)
 }
--- a/internal/dialer/pool_test.go
+++ b/internal/dialer/pool_test.go
@@ -18,43 +18,45 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
-	go welcomeAll(listener)
+	go serveWelcomes(listener)
 	pool, release := NewPool(Settings{})
 	defer release()
 	manual := timekeeper.NewManual(1)
 	pool.now = manual.Now
 	tests := []struct {
-		name string
-		idle timekeeper.Span
-		held bool
-		left int
+		name       string
+		idle       timekeeper.Span
+		withStream bool
+		wantOpen   int
 	}{
-		{"a session that was used lately stays", idleFor - 1, false, 1},
-		{"a session with a stream stays", idleFor, true, 1},
-		{"an idle session is closed", idleFor, false, 0},
+		{"a recently used session stays open", idleTimeout - 1, false, 1},
+		{"a session with a stream stays open", idleTimeout, true, 1},
+		{"an idle session is closed", idleTimeout, false, 0},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			stream, err := pool.Open(t.Context(), listener.Addr().String())
 			So(err, ShouldBeNil)
 			defer func() { _ = stream.Close() }()
-			if !test.held {
-				// The peer accepts no stream, so closing it alone leaves it half open.
-				pool.peers[listener.Addr().String()].session, err = fresh(listener)
+			if !test.withStream {
+				// The peer never accepts the stream, so closing it on this side only
+				// leaves it half open.
+				pool.peers[listener.Addr().String()].session, err = newSession(listener)
 				So(err, ShouldBeNil)
 			}
 			manual.Advance(test.idle)
 			pool.CloseIdle()
-			So(pool.size(), ShouldEqual, test.left)
+			So(pool.openSessions(), ShouldEqual, test.wantOpen)
 		})
 	}
 }
 
-// welcomeAll serves sessions whose first stream is welcomed; others stay unread.
-func welcomeAll(listener net.Listener) { welcomeEach(listener, make(chan *yamux.Session, 16)) }
+// serveWelcomes answers the first stream of each session with a welcome and reads
+// no others.
+func serveWelcomes(listener net.Listener) { serveWelcomesTo(listener, make(chan *yamux.Session, 16)) }
 
-// welcomeEach is welcomeAll, and tells of each session.
-func welcomeEach(listener net.Listener, sessions chan<- *yamux.Session) {
+// serveWelcomesTo is serveWelcomes, and sends each session to the channel.
+func serveWelcomesTo(listener net.Listener, sessions chan<- *yamux.Session) {
 	for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
 		session, _ := yamux.Server(conn, Settings{}.SessionConfig())
 		sessions <- session
@@ -71,8 +73,8 @@
 	}
 }
 
-// fresh returns a session without streams.
-func fresh(listener net.Listener) (*yamux.Session, error) {
+// newSession returns a session without streams.
+func newSession(listener net.Listener) (*yamux.Session, error) {
 	conn, err := net.Dial("tcp", listener.Addr().String()) //nolint:noctx // It ends with the listener.
 	if err != nil {
 		return nil, err
@@ -80,15 +82,15 @@
 	return yamux.Client(conn, Settings{}.SessionConfig())
 }
 
-func TestASessionThatEndsBeforeAStreamIsOpened(t *testing.T) {
-	// Guards against a peer that counts as unreachable because the session to it has ended
-	// since it was looked at.
+func TestOpenReplacesASessionThatEnded(t *testing.T) {
+	// Guards against a peer that counts as unreachable because its session ended
+	// after the pool had checked it.
 	tests := []struct {
 		name string
 		end  func(session *yamux.Session)
 	}{
-		{"the peer takes no more streams on it", func(session *yamux.Session) { _ = session.GoAway() }},
-		{"it is closed", func(session *yamux.Session) { _ = session.Close() }},
+		{"the peer accepts no more streams on the session", func(session *yamux.Session) { _ = session.GoAway() }},
+		{"the session is closed", func(session *yamux.Session) { _ = session.Close() }},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -96,24 +98,24 @@
 			So(err, ShouldBeNil)
 			defer func() { _ = listener.Close() }()
 			sessions := make(chan *yamux.Session, 4)
-			go welcomeEach(listener, sessions)
+			go serveWelcomesTo(listener, sessions)
 			pool, release := NewPool(Settings{})
 			defer release()
 			first, err := pool.Open(t.Context(), listener.Addr().String())
 			So(err, ShouldBeNil)
 			defer func() { _ = first.Close() }()
 			test.end(<-sessions)
-			So(await(func() bool { return ended(pool, listener.Addr().String()) }), ShouldBeTrue)
+			So(eventually(func() bool { return opensNoStream(pool, listener.Addr().String()) }), ShouldBeTrue)
 			second, err := pool.Open(t.Context(), listener.Addr().String())
 			So(err, ShouldBeNil)
 			_ = second.Close()
-			So(pool.size(), ShouldEqual, 1)
+			So(pool.openSessions(), ShouldEqual, 1)
 		})
 	}
 }
 
-// ended reports whether the pool's session opens no more streams.
-func ended(pool *Pool, address string) bool {
+// opensNoStream reports whether the pool's session opens no more streams.
+func opensNoStream(pool *Pool, address string) bool {
 	stream, err := pool.peers[address].session.OpenStream()
 	if err != nil {
 		return true
@@ -122,10 +124,10 @@
 	return false
 }
 
-// await waits for a condition for a few seconds.
-func await(holds func() bool) bool {
+// eventually waits a few seconds for a condition and reports whether it was met.
+func eventually(condition func() bool) bool {
 	for range 1000 {
-		if holds() {
+		if condition() {
 			return true
 		}
 		_ = timekeeper.Steady().Sleep(context.Background(), 5)
