--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -14,61 +14,61 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// carry offers the call to its candidates until one answers. It returns an
-// error only when nothing of an answer was written.
-func (entry *Entry) carry(ctx context.Context, w http.ResponseWriter, call call) error {
-	if named, ok := minter.Read(call.key); ok && !call.idempotent {
-		return entry.carryMinted(ctx, w, call, named)
+// forward offers the call to its candidates until one answers. It returns an error
+// only if nothing of an answer was written.
+func (entry *Entry) forward(ctx context.Context, w http.ResponseWriter, call call) error {
+	if minted, ok := minter.Read(call.key); ok && !call.idempotent {
+		return entry.forwardMinted(ctx, w, call, minted)
 	}
-	defer entry.demand.begin(call)()
-	route := entry.route(call)
-	entry.logPlacement(call, route.Ranked())
+	defer entry.inFlight.begin(call)()
+	plan := entry.plan(call)
+	entry.logPlacement(call, plan.Ranked())
 	entry.budgets.earn(call.service)
 	attempts := attempts{last: classifier.New(classifier.NoUpstream, call.service)}
 	deadline := entry.settings.Clock.Now().Add(call.settings.FirstByte)
 	for i := uint32(0); ; i++ {
-		call.left = deadline.Since(entry.settings.Clock.Now())
-		stop, ok := route.Next()
+		call.remaining = deadline.Since(entry.settings.Clock.Now())
+		planned, ok := plan.Next()
 		if !ok {
-			stop, ok = route.RetryAtBound()
+			planned, ok = plan.RetryAtBound()
 			i = placer.MaxOffers - 1
 		}
-		if !ok || call.left <= 0 || (i > 0 && !stop.BudgetExempt && !entry.budgets.spend(call.service)) {
+		if !ok || call.remaining <= 0 || (i > 0 && !planned.BudgetExempt && !entry.budgets.spend(call.service)) {
 			break
 		}
-		call.seek, call.ranked = stop.OnlyIfCached, route.Ranked()
-		failure, done := entry.attempt(ctx, w, call, stop.Replica, i)
+		call.onlyIfCached, call.ranked = planned.OnlyIfCached, plan.Ranked()
+		failure, done := entry.attempt(ctx, w, call, planned.Replica, i)
 		if done {
-			go entry.tellHolders(context.WithoutCancel(ctx), call, route.PointerHolders(stop.Replica), stop.Replica)
+			go entry.updatePointers(context.WithoutCancel(ctx), call, plan.PointerHolders(planned.Replica), planned.Replica)
 			return nil
 		}
-		entry.logAttempt(call, stop.Replica, failure)
-		entry.away.note(stop.Replica, failure, entry.settings.Clock.Now())
+		entry.logAttempt(call, planned.Replica, failure)
+		entry.unreachable.recordFailure(planned.Replica, failure, entry.settings.Clock.Now())
 		if failure.Kind != classifier.Moved {
-			entry.recordAttempt(call, stop.Replica, failure)
+			entry.recordAttempt(call, planned.Replica, failure)
 		}
 		if ctx.Err() != nil {
 			return classifier.New(classifier.CallerGone, "")
 		}
-		if call.heard.owner.agent != "" {
-			return entry.carryOwned(ctx, w, call, failure)
+		if call.refusalInfo.owner.agent != "" {
+			return entry.forwardToOwner(ctx, w, call, failure)
 		}
 		if !attempts.add(call, failure) {
 			break
 		}
-		route.RecordRefusal(entry.refusalOf(call, route, failure))
+		plan.RecordRefusal(entry.planRefusal(call, plan, failure))
 	}
-	return giveUp(attempts.failure())
+	return finalFailure(attempts.failure())
 }
 
-// attempt offers the call to one replica. It returns true when an answer, or
-// the start of one, went to the caller.
+// attempt offers the call to one replica. It returns true once an answer, or the
+// start of one, was written to the caller.
 //
-// The failure: a connection breaks between two calls, and the session notices
-// only when the next offer is written. The symptom: a caller is told that a
-// replica can't be reached which one new dial would reach. So an offer that
-// could not be written is offered there once more. That is safe, as the run
-// frame had not been sent, and enough, as the broken session is closed by then.
+// A connection may break between two calls, and the session notices only when the
+// next offer is written. attempt repeats such an unsent offer once; otherwise the
+// caller would be told that a replica is unreachable although one new dial would
+// reach it. The repeat is safe because the Run frame was not sent, and one is
+// enough because the broken session is closed by then.
 func (entry *Entry) attempt(
 	ctx context.Context, w http.ResponseWriter, call call, replica placer.Replica, attempt uint32,
 ) (classifier.Failure, bool) {
@@ -79,52 +79,53 @@
 	return failure, done
 }
 
-// attemptOnce is one attempt over one connection. The third result is true when
-// the offer could not be written and may be made again; it is under the same
-// request id then, so no tombstone is left for it before the last try.
+// attemptOnce makes one attempt over one connection. unsent is true if the offer
+// could not be written and may be repeated. The repeat has the same request id, so
+// an unsent offer leaves no tombstone before the last try.
 func (entry *Entry) attemptOnce(
 	ctx context.Context, w http.ResponseWriter, call call, replica placer.Replica, attempt uint32, last bool,
 ) (failure classifier.Failure, done, unsent bool) {
 	conn, peer, err := entry.settings.Pool.OpenPeer(ctx, replica.Address)
 	if err != nil {
-		entry.failed(ctx, call, replica)
+		entry.reportUnreachable(ctx, call, replica)
 		return classifier.New(classifier.Unreachable, replica.Name), false, false
 	}
 	defer func() { _ = conn.Close() }()
-	// The caller's leaving must reach the agent, or the engine works for
-	// nobody and its slot stays taken. The agent sees the stream close, gives a
-	// queued place back at once, and ends a run after its grace for a resume.
+	// Close the stream when the caller leaves: the agent then frees a queued place
+	// at once, and ends a run after its grace period for a resume. Otherwise the
+	// engine would work for nobody and its slot would stay taken.
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	defer entry.demand.beginAt(call, replica.Name)()
+	defer entry.inFlight.beginAt(call, replica.Name)()
 	stream := encoder.NewStream(conn)
-	at := contact{replica: replica, incarnation: peer.Incarnation, since: entry.settings.Clock.Now()}
-	entry.recordOffer(call, at)
-	failure, committed, lost := entry.commit(stream, call, &at, attempt)
+	dest := destination{replica: replica, incarnation: peer.Incarnation, offeredAt: entry.settings.Clock.Now()}
+	entry.recordOffer(call, dest)
+	failure, committed, lost := entry.commit(stream, call, &dest, attempt)
 	switch {
 	case lost:
-		failure, done = entry.settle(ctx, entry.newRelayed(w, call), at)
+		failure, done = entry.recoverAnswer(ctx, entry.newRelayedAnswer(w, call), dest)
 		return failure, done, false
-	case !committed && at.unsent && !last:
+	case !committed && dest.unsent && !last:
 		return failure, false, true
 	case !committed:
-		entry.bury(ctx, call, at, failure)
+		entry.leaveTombstone(ctx, call, dest, failure)
 		return failure, false, false
 	}
-	failure, done = entry.relay(ctx, w, call, at, stream)
+	failure, done = entry.relay(ctx, w, call, dest, stream)
 	return failure, done, false
 }
 
-// commit brings the call to the point where it is committed: offered, granted
-// and sent. It returns false with the reason when it was not. The third result
-// is true when the connection broke while the Run frame was sent: part of it,
-// or all, may have reached the agent.
+// commit offers the call, waits for the grant and sends the Run frame, which
+// commits the call. The Run frame of an idempotent call follows its offer without a
+// grant. commit returns false with the reason if the call was not committed. The
+// third result is true if the connection broke while the Run frame was sent: part
+// or all of it may have reached the agent.
 func (entry *Entry) commit(
-	stream *encoder.Stream, call call, at *contact, attempt uint32,
+	stream *encoder.Stream, call call, dest *destination, attempt uint32,
 ) (classifier.Failure, bool, bool) {
-	offer := call.offer(entry.settings.Name, at.replica, attempt)
-	offer.UnderWay = entry.demand.of(call.service)
-	offer.Strikes = entry.hints.of(offer.GetFingerprint(), entry.settings.Clock.Now()).strikes
+	offer := call.offer(entry.settings.Name, dest.replica, attempt)
+	offer.UnderWay = entry.inFlight.get(call.service)
+	offer.Strikes = entry.strikeCache.get(offer.GetFingerprint(), entry.settings.Clock.Now()).count
 	run := &encoder.Run{
 		RequestId: call.id, Method: call.method, Path: call.path, Headers: call.headers, Body: call.body,
 	}
@@ -134,20 +135,21 @@
 		return classifier.Failure{}, err == nil, err != nil
 	}
 	if err := stream.Write(encoder.Of(offer)); err != nil {
-		at.unsent = true
-		return classifier.New(classifier.Unreachable, at.replica.Name), false, false
+		dest.unsent = true
+		return classifier.New(classifier.Unreachable, dest.replica.Name), false, false
 	}
-	incarnation, failure, ok := entry.granted(stream, call)
+	incarnation, failure, ok := entry.awaitGrant(stream, call)
 	if !ok {
 		return failure, false, false
 	}
-	at.incarnation = incarnation
+	dest.incarnation = incarnation
 	err := stream.Write(encoder.Of(run))
 	return classifier.Failure{}, err == nil, err != nil
 }
 
-// granted waits for the answer to an offer.
-func (entry *Entry) granted(stream *encoder.Stream, call call) (uint64, classifier.Failure, bool) {
+// awaitGrant waits until the agent grants or refuses the offer. It returns the
+// incarnation that granted it.
+func (entry *Entry) awaitGrant(stream *encoder.Stream, call call) (uint64, classifier.Failure, bool) {
 	for {
 		frame, err := stream.Read()
 		if err != nil {
@@ -161,17 +163,18 @@
 			}
 			return message.Granted.GetIncarnation(), classifier.Failure{}, true
 		case *encoder.Frame_Refused:
-			return 0, entry.refused(call, message.Refused), false
+			return 0, entry.handleRefusal(call, message.Refused), false
 		default:
 			return 0, classifier.New(classifier.Protocol, "unexpected frame before the grant"), false
 		}
 	}
 }
 
-// refused reads a refusal and learns from it.
-func (entry *Entry) refused(call call, refused *encoder.Refused) classifier.Failure {
-	call.heard.note(refused)
-	entry.hints.learn(refused.GetDigest(), entry.settings.Clock.Now())
+// handleRefusal records the key's owner, the digest and the strikes that a refusal
+// carries, and returns it as a failure.
+func (entry *Entry) handleRefusal(call call, refused *encoder.Refused) classifier.Failure {
+	call.refusalInfo.record(refused)
+	entry.strikeCache.recordDigest(refused.GetDigest(), entry.settings.Clock.Now())
 	if refused.GetDigest() != nil {
 		entry.settings.OnDigest(refused.GetDigest())
 	}
@@ -192,19 +195,20 @@
 		Idempotent:  call.idempotent,
 		Key:         call.key,
 		Fingerprint: call.fingerprint(),
-		Deadline:    int64(call.left),
+		Deadline:    int64(call.remaining),
 		Work:        call.work,
 		Attempt:     attempt,
 		Entry:       entry,
 		Candidates:  call.ranked,
-		Seek:        call.seek,
-		Incarnation: call.bound,
+		Seek:        call.onlyIfCached,
+		Incarnation: call.boundIncarnation,
 		Revision:    call.revision,
 		Adapter:     call.adapter,
 	}
 }
 
-// fingerprint returns the hash of what the caller sent, by which a resend is known.
+// fingerprint returns the hash of the team, method, path and body, which identifies
+// a resend.
 func (call call) fingerprint() uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{call.team, call.method, call.path} {
--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -22,7 +22,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// call is one classified request of a caller. It doesn't change once made.
+// call is one classified request of a caller. It is passed by value: each attempt
+// changes only its own copy, and refusalInfo, which all copies share.
 type call struct {
 	id      string
 	service string
@@ -39,35 +40,38 @@
 	headers    []*encoder.Header
 	body       []byte
 	work       int64
-	// ranked and seek tell the agent how the entry ranks the chat, and that
-	// the offer came for its prefix alone.
-	ranked []string
-	seek   bool
-	// left is how long the caller still waits for the first byte.
-	left timekeeper.Span
-	// bound is the one incarnation that may run the call; zero means any.
-	bound    uint64
-	heard    *heard
-	revision uint64
+	// ranked lists the replicas that the entry would try, best first. onlyIfCached
+	// asks the agent to run the call only if it holds the chat's prefix. Both are
+	// sent with the offer.
+	ranked       []string
+	onlyIfCached bool
+	// remaining is how much longer the caller waits for the first byte.
+	remaining timekeeper.Span
+	// boundIncarnation is the only agent incarnation that may run the call; zero
+	// means any.
+	boundIncarnation uint64
+	refusalInfo      *refusalInfo
+	revision         uint64
 }
 
 const (
-	// longestKey bounds the Idempotency-Key in bytes.
-	longestKey = 255
-	// longestChat bounds the name of a chat in bytes.
-	longestChat = 512
-	// completionsPath is where model services are called.
+	// maxKeyBytes bounds the Idempotency-Key.
+	maxKeyBytes = 255
+	// maxChatBytes bounds the name of a chat.
+	maxChatBytes = 512
+	// completionsPath is the path of model calls.
 	completionsPath = "/v1/chat/completions"
-	// bytesPerToken is the estimate for text that has not been tokenized.
+	// bytesPerToken estimates the tokens of text that has not been tokenized.
 	bytesPerToken = 4
-	// mostTokens bounds what a call is reckoned to generate. A caller may ask for
-	// any number; without the bound one call could make a service's load look
-	// endless, or negative, and with it every replica's share.
-	mostTokens = 1 << 17
+	// maxOutputTokens bounds the estimated output of a call. max_tokens may be any
+	// number; without the bound one call could make a service's load appear
+	// infinite or negative, and distort every replica's share with it.
+	maxOutputTokens = 1 << 17
 	// plainWork is the estimated work of a call to a plain service.
 	plainWork = 1
-	// normalUrgency is the urgency of a call without a Priority (RFC 9218, section 4.1).
-	normalUrgency = 3
+	// defaultUrgency is the urgency of a call without a Priority header (RFC 9218,
+	// section 4.1).
+	defaultUrgency = 3
 )
 
 // classify authenticates a request, finds its service and reads its body.
@@ -77,52 +81,52 @@
 	if !ok {
 		return call{}, classifier.New(classifier.Unauthorized, "send a team's key as Authorization: Bearer KEY")
 	}
-	made := call{
-		id: id, heard: &heard{}, team: team, revision: config.Revision,
+	classified := call{
+		id: id, refusalInfo: &refusalInfo{}, team: team, revision: config.Revision,
 		method: r.Method, path: r.URL.RequestURI(), class: urgency(r.Header.Get("Priority")),
 	}
-	made.key = r.Header.Get(encoder.KeyHeader)
-	if len(made.key) > longestKey {
+	classified.key = r.Header.Get(encoder.KeyHeader)
+	if len(classified.key) > maxKeyBytes {
 		return call{}, classifier.New(classifier.HeadersTooLarge, "the Idempotency-Key is longer than 255 bytes")
 	}
-	if len(r.Header.Get(encoder.ChatHeader)) > longestChat {
+	if len(r.Header.Get(encoder.ChatHeader)) > maxChatBytes {
 		return call{}, classifier.New(classifier.HeadersTooLarge, "the chat's name is longer than 512 bytes")
 	}
-	made.headers = passedOn(r.Header, w.Header().Get("X-Request-Id"))
+	classified.headers = forwardedHeaders(r.Header, w.Header().Get("X-Request-Id"))
 	if r.URL.Path == completionsPath {
-		return entry.classifyModel(w, r, config, made)
+		return entry.classifyModel(w, r, config, classified)
 	}
-	return entry.classifyPlain(w, r, config, made)
+	return entry.classifyPlain(w, r, config, classified)
 }
 
-func (entry *Entry) classifyPlain(w http.ResponseWriter, r *http.Request, config resolver.Config, made call) (call, error) {
+func (entry *Entry) classifyPlain(w http.ResponseWriter, r *http.Request, config resolver.Config, classified call) (call, error) {
 	route, ok := config.RouteOf(r.URL.Path)
 	if !ok {
 		return call{}, classifier.New(classifier.NotFound, "no route covers "+r.URL.Path)
 	}
-	made.service = route.Service
-	made.settings, _ = config.Service(route.Service)
-	made.idempotent = route.Repeatable(r.Method)
-	if !made.idempotent && route.RequireKey && made.key == "" {
+	classified.service = route.Service
+	classified.settings, _ = config.Service(route.Service)
+	classified.idempotent = route.Repeatable(r.Method)
+	if !classified.idempotent && route.RequireKey && classified.key == "" {
 		return call{}, classifier.New(classifier.KeyRequired, "")
 	}
-	body, err := entry.readBody(w, r, made.settings.MaxBody)
+	body, err := entry.readBody(w, r, classified.settings.MaxBody)
 	if err != nil {
 		return call{}, err
 	}
-	made.body = body
-	made.work = plainWork
-	made.chat = chatHash(made.team, r.Header.Get(encoder.ChatHeader))
-	return made, nil
+	classified.body = body
+	classified.work = plainWork
+	classified.chat = chatHash(classified.team, r.Header.Get(encoder.ChatHeader))
+	return classified, nil
 }
 
-// modelRequest is the part of a chat completion that routing reads.
+// modelRequest holds the fields of a chat completion that routing reads.
 type modelRequest struct {
 	Model     string `json:"model"`
 	MaxTokens int64  `json:"max_tokens"`
 }
 
-func (entry *Entry) classifyModel(w http.ResponseWriter, r *http.Request, config resolver.Config, made call) (call, error) {
+func (entry *Entry) classifyModel(w http.ResponseWriter, r *http.Request, config resolver.Config, classified call) (call, error) {
 	if r.Method != http.MethodPost {
 		w.Header().Set("Allow", http.MethodPost)
 		return call{}, classifier.New(classifier.MethodNotAllowed, "use POST")
@@ -139,23 +143,23 @@
 	if !ok {
 		return call{}, classifier.New(classifier.NotFound, "no service answers to model "+strconv.Quote(request.Model))
 	}
-	made.service = name
-	made.settings, _ = config.Service(name)
-	if slices.Contains(made.settings.Adapters, request.Model) {
-		made.adapter = request.Model
+	classified.service = name
+	classified.settings, _ = config.Service(name)
+	if slices.Contains(classified.settings.Adapters, request.Model) {
+		classified.adapter = request.Model
 	}
-	if int64(len(body)) > made.settings.MaxBody {
-		return call{}, tooLarge(made.settings.MaxBody)
+	if int64(len(body)) > classified.settings.MaxBody {
+		return call{}, bodyTooLarge(classified.settings.MaxBody)
 	}
-	made.body = body
-	made.idempotent = true
-	made.work = int64(len(body))/bytesPerToken + min(max(0, request.MaxTokens), mostTokens)
-	made.chat = chatHash(made.team, chatName(r, made.settings.ChatField, body))
-	return made, nil
+	classified.body = body
+	classified.idempotent = true
+	classified.work = int64(len(body))/bytesPerToken + min(max(0, request.MaxTokens), maxOutputTokens)
+	classified.chat = chatHash(classified.team, chatName(r, classified.settings.ChatField, body))
+	return classified, nil
 }
 
-// chatName returns the name of the chat: the header's, else that of the
-// configured field at the top of the body.
+// chatName returns the name of the chat from the header, or else from the
+// configured top-level field of the body.
 func chatName(r *http.Request, field string, body []byte) string {
 	if name := r.Header.Get(encoder.ChatHeader); name != "" || field == "" {
 		return name
@@ -171,8 +175,8 @@
 	return name
 }
 
-// chatHash returns the hash of a team's chat, and zero when there is no chat.
-// The team is part of it, so that two teams' chats of one name stay apart.
+// chatHash returns the hash of a team's chat, or zero if there is no chat. It
+// includes the team, so that chats of the same name of two teams differ.
 func chatHash(team, chat string) uint64 {
 	if chat == "" {
 		return 0
@@ -180,21 +184,21 @@
 	return max(1, xxhash.Sum64String(team+"\x00"+chat))
 }
 
-func tooLarge(limit int64) classifier.Failure {
+func bodyTooLarge(limit int64) classifier.Failure {
 	return classifier.New(classifier.BodyTooLarge, "the limit is "+strconv.FormatInt(limit, 10)+" bytes")
 }
 
-// readBody reads a whole request body within limit and the body timeout. The
-// body is read before any slot is asked for, so that a caller who sends slowly
-// holds a connection of the entry and nothing else.
+// readBody reads the whole request body within limit and the body timeout. It runs
+// before a slot is requested, so that a slow sender occupies only a connection of
+// the entry.
 func (entry *Entry) readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(entry.settings.Clock.Now().Add(entry.settings.BodyTimeout).Time())
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
-	var over *http.MaxBytesError
+	var tooLong *http.MaxBytesError
 	switch {
-	case errors.As(err, &over):
-		return nil, tooLarge(limit)
+	case errors.As(err, &tooLong):
+		return nil, bodyTooLarge(limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, classifier.New(classifier.SlowCaller, "")
 	case err != nil:
@@ -204,7 +208,7 @@
 	return body, nil
 }
 
-// urgency reads the parameter u of a Priority header.
+// urgency returns the parameter u of a Priority header, or defaultUrgency.
 func urgency(header string) uint32 {
 	for item := range strings.SplitSeq(header, ",") {
 		digits, ok := strings.CutPrefix(strings.TrimSpace(item), "u=")
@@ -215,12 +219,13 @@
 			return uint32(value)
 		}
 	}
-	return normalUrgency
+	return defaultUrgency
 }
 
-// passedOn returns the headers that go to the upstream: not those of the
-// connection, and not the caller's credentials.
-func passedOn(header http.Header, requestID string) []*encoder.Header {
+// forwardedHeaders returns the headers for the upstream: without hop-by-hop
+// headers, Content-Length and the caller's credentials, and with the given request
+// id.
+func forwardedHeaders(header http.Header, requestID string) []*encoder.Header {
 	out := []*encoder.Header{{Name: "X-Request-Id", Value: requestID}}
 	for name, values := range header {
 		if encoder.HopByHop(name) || name == "Authorization" || name == "Content-Length" || name == "X-Request-Id" {
@@ -233,7 +238,8 @@
 	return out
 }
 
-// keyTable finds the team of a key. It is rebuilt for each revision.
+// keyTable maps hashes of keys to teams. It is rebuilt for each revision of the
+// configuration.
 type keyTable struct {
 	mu       sync.Mutex
 	revision uint64
--- a/internal/forwarder/call_fuzz_test.go
+++ b/internal/forwarder/call_fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// FuzzClassifyModel feeds the classifier of completions with any body. It must
-// give a call with sound bounds, or a failure that says that nothing ran.
+// FuzzClassifyModel classifies completions with arbitrary bodies. Each must give a
+// call with valid bounds, or a failure that says that nothing ran.
 func FuzzClassifyModel(f *testing.F) {
 	for _, body := range []string{
 		`{"model":"planner","max_tokens":3,"user":"van-7"}`, `{"model":"planner","max_tokens":-9223372036854775808}`,
@@ -27,12 +27,12 @@
 	entry := New(Settings{Name: "entry-1", Clock: timekeeper.Wall()})
 	f.Fuzz(func(t *testing.T, body string) {
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, completionsPath, strings.NewReader(body))
-		made, err := entry.classifyModel(httptest.NewRecorder(), request, config, call{team: "test"})
+		classified, err := entry.classifyModel(httptest.NewRecorder(), request, config, call{team: "test"})
 		switch {
 		case err != nil && classifier.AnswerOf(classifier.Of(err).Kind).Ran != classifier.RanNo:
 			t.Fatalf("%q: %v does not say that nothing ran", body, err)
-		case err == nil && (made.work < 0 || made.service != "planner" || string(made.body) != body):
-			t.Fatalf("%q was classified as %+v", body, made)
+		case err == nil && (classified.work < 0 || classified.service != "planner" || string(classified.body) != body):
+			t.Fatalf("%q was classified as %+v", body, classified)
 		}
 	})
 }
--- a/internal/forwarder/entry.go
+++ b/internal/forwarder/entry.go
@@ -18,11 +18,11 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Settings set up an entry. All fields without a stated default must be set.
+// Settings configure an entry. Fields without a stated default must be set.
 type Settings struct {
 	Name string
 	Site string
-	// Incarnation sets this process apart from earlier ones of the same name.
+	// Incarnation distinguishes this process from earlier ones of the same name.
 	Incarnation uint64
 	Clock       timekeeper.Clock
 	Log         logrus.FieldLogger
@@ -32,22 +32,24 @@
 	Config func() resolver.Config
 	// Roster returns the replicas of a service that may get new work.
 	Roster func(service string) placer.Roster
-	// AdapterHolders returns those of them that hold an adapter; nil means that none is known.
+	// AdapterHolders returns the replicas of the roster that hold an adapter; nil
+	// means that none is known.
 	AdapterHolders func(service, adapter string) placer.Roster
-	// Locate returns the address of a replica that is listed, also of one that
-	// gets no new work.
+	// Locate returns the address of a listed replica, including one that gets no
+	// new work.
 	Locate func(instance string) (address string, known bool)
 	// FindClaim returns the request that has claimed a key, by the key of its row;
 	// nil means that no key is ever claimed.
 	FindClaim func(ctx context.Context, rowKey string) (request string, found bool, err error)
-	// OnDigest takes in a digest that came with an answer; nil means it is dropped.
+	// OnDigest receives the digests that arrive with answers and refusals; nil
+	// drops them.
 	OnDigest func(digest *encoder.Digest)
-	// OnUnreachable takes a replica that could not be reached, or could not be asked
-	// what became of a call; nil means it is dropped.
+	// OnUnreachable receives a replica that could not be reached, or could not be
+	// asked what became of a call; nil drops it.
 	OnUnreachable func(service, instance string)
-	// Record takes events of the fleet's record; nil means they are dropped.
+	// Record receives events for the fleet's record; nil drops them.
 	Record func(event recorder.Event)
-	// BodyTimeout bounds the arrival of a request body; zero means 10 seconds.
+	// BodyTimeout bounds the time to receive a request body; zero means 10 seconds.
 	BodyTimeout timekeeper.Span
 	// WriteTimeout bounds each write to a caller; zero means 20 seconds.
 	WriteTimeout timekeeper.Span
@@ -80,22 +82,22 @@
 
 // Entry is the HTTP handler for callers.
 type Entry struct {
-	settings Settings
-	serial   atomic.Uint64
-	demand   *demand
-	keys     keyTable
-	budgets  *budgets
-	away     *absent
-	hints    hints
+	settings    Settings
+	serial      atomic.Uint64
+	inFlight    *inFlight
+	keys        keyTable
+	budgets     *budgets
+	unreachable *unreachableReplicas
+	strikeCache strikeCache
 }
 
-// New returns an entry.
+// New returns an entry with the given settings.
 func New(settings Settings) *Entry {
 	return &Entry{
-		settings: settings.withDefaults(),
-		demand:   newDemand(),
-		budgets:  newBudgets(),
-		away:     newAbsent(),
+		settings:    settings.withDefaults(),
+		inFlight:    newInFlight(),
+		budgets:     newBudgets(),
+		unreachable: newUnreachableReplicas(),
 	}
 }
 
@@ -103,13 +105,13 @@
 func (entry *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := entry.nextID()
 	w.Header().Set(encoder.RequestHeader, id)
-	w.Header().Set("X-Request-Id", correlation(r, id))
+	w.Header().Set("X-Request-Id", correlationID(r, id))
 	if r.URL.Path == keysPath {
 		entry.serveKeys(w, r, id)
 		return
 	}
-	if wish, ok := resumes(r); ok {
-		if err := entry.serveStream(w, r, id, wish); err != nil {
+	if request, ok := parseStreamRequest(r); ok {
+		if err := entry.serveStream(w, r, id, request); err != nil {
 			entry.refuse(w, id, err)
 		}
 		return
@@ -119,13 +121,13 @@
 		entry.refuse(w, id, err)
 		return
 	}
-	if err := entry.carry(r.Context(), w, call); err != nil {
-		entry.refuse(w, id, entry.ofKey(r.Context(), call, err))
+	if err := entry.forward(r.Context(), w, call); err != nil {
+		entry.refuse(w, id, entry.checkKeyClaim(r.Context(), call, err))
 	}
 }
 
-// nextID returns an id that no other request of the fleet has: it names the
-// entry's incarnation and counts on.
+// nextID returns an id that is unique in the fleet: the entry's name, its
+// incarnation and a serial number.
 func (entry *Entry) nextID() string {
 	serial := entry.serial.Add(1)
 	return entry.settings.Name + "-" + strconv.FormatUint(entry.settings.Incarnation, 36) + "-" + strconv.FormatUint(serial, 36)
@@ -144,11 +146,12 @@
 	classifier.Write(w, failure, id)
 }
 
-// correlation returns the caller's own request id when it is sound, else ours.
-func correlation(r *http.Request, id string) string {
-	const longest = 128
+// correlationID returns the caller's X-Request-Id if it is short and printable,
+// else id.
+func correlationID(r *http.Request, id string) string {
+	const maxLength = 128
 	given := r.Header.Get("X-Request-Id")
-	if given == "" || len(given) > longest || !printable(given) {
+	if given == "" || len(given) > maxLength || !printable(given) {
 		return id
 	}
 	return given
--- a/internal/forwarder/entry_test.go
+++ b/internal/forwarder/entry_test.go
@@ -28,8 +28,9 @@
 
 const testKey = "test-key"
 
-// scripted answers each stream of an entry with a script, in place of an agent.
-func scripted(t *testing.T, script func(stream *encoder.Stream, offer *encoder.Offer)) string {
+// scriptedAgent serves each offer of an entry with a script, in place of an agent,
+// and returns the address.
+func scriptedAgent(t *testing.T, script func(stream *encoder.Stream, offer *encoder.Offer)) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,14 +72,14 @@
 	}
 }
 
-// front returns an entry before the given agents, as a server.
-func front(t *testing.T, agents ...string) *httptest.Server {
+// startEntry starts a server with an entry in front of the given agents.
+func startEntry(t *testing.T, agents ...string) *httptest.Server {
 	t.Helper()
-	return frontWith(t, func(*Settings) {}, agents...)
+	return startEntryWith(t, func(*Settings) {}, agents...)
 }
 
-// frontWith is front with settings that a test changes.
-func frontWith(t *testing.T, change func(settings *Settings), agents ...string) *httptest.Server {
+// startEntryWith is startEntry with settings that the test changes.
+func startEntryWith(t *testing.T, change func(settings *Settings), agents ...string) *httptest.Server {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -111,8 +112,9 @@
 	return server
 }
 
-// exchange writes raw bytes to a server and returns all that comes back.
-func exchange(t *testing.T, server *httptest.Server, raw string, half bool) string {
+// exchange writes raw bytes to a server and returns the status and body of its
+// answer. halfClose closes the sending side after them.
+func exchange(t *testing.T, server *httptest.Server, raw string, halfClose bool) string {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", server.Listener.Addr().String())
 	if err != nil {
@@ -120,7 +122,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_, _ = io.WriteString(conn, raw)
-	if tcp, ok := conn.(*net.TCPConn); ok && half {
+	if tcp, ok := conn.(*net.TCPConn); ok && halfClose {
 		_ = tcp.CloseWrite()
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -132,8 +134,8 @@
 	return response.Status + " " + string(body)
 }
 
-func TestBadInputGetsAClearAnswer(t *testing.T) {
-	server := front(t)
+func TestRefusedRequestsGetAProblem(t *testing.T) {
+	server := startEntry(t)
 	head := func(method, path string, headers ...string) string {
 		return method + " " + path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer " + testKey + "\r\n" +
 			strings.Join(headers, "\r\n") + "\r\n\r\n"
@@ -141,40 +143,41 @@
 	long := strings.Repeat("k", 600)
 	tests := []struct {
 		name, raw string
-		half      bool
+		halfClose bool
 		want      string
 		ran       string
 	}{
 		{"a body that ends early", head("POST", "/orders", "Content-Length: 100") + "{", true, "400", "no"},
-		{"a body that stops coming", head("POST", "/orders", "Content-Length: 100") + "{", false, "408", "no"},
+		{"a body that stalls", head("POST", "/orders", "Content-Length: 100") + "{", false, "408", "no"},
 		{"a body over the service's limit", head("POST", "/orders", "Content-Length: 2000") + strings.Repeat("x", 2000), false, "413", "no"},
 		{"a prompt over the service's limit", head("POST", completionsPath, "Content-Length: 5002") +
 			`{"model":"planner","pad":"` + strings.Repeat("x", 4974) + `"}`, false, "413", "no"},
 		{"an idempotency key that is too long", head("POST", "/orders", "Idempotency-Key: "+long), false, "431", "no"},
-		{"a chat's name that is too long", head("GET", "/orders", "Trefoilseam-Chat: "+long), false, "431", "no"},
+		{"a chat name that is too long", head("GET", "/orders", "Trefoilseam-Chat: "+long), false, "431", "no"},
 		{"a wrong method", head("PUT", completionsPath), false, "405", "no"},
 		{"malformed JSON", head("POST", completionsPath, "Content-Length: 3") + "{\"a", false, "400", "no"},
-		{"JSON of another shape", head("POST", completionsPath, "Content-Length: 13") + `{"model":[1]}`, false, "400", "no"},
-		{"a key that is missing", head("POST", "/keyed", "Content-Length: 0"), false, "400", "no"},
+		{"JSON of the wrong type", head("POST", completionsPath, "Content-Length: 13") + `{"model":[1]}`, false, "400", "no"},
+		{"a missing idempotency key", head("POST", "/keyed", "Content-Length: 0"), false, "400", "no"},
 		{"a service without replicas", head("GET", "/orders"), false, "503", "no"},
-		{"a stream that nobody has", head("GET", streamsPath+"a.b.c.d"), false, "410", "unknown"},
+		{"an unknown stream", head("GET", streamsPath+"a.b.c.d"), false, "410", "unknown"},
 		{"an unknown path", head("GET", "/ordersX"), false, "404", "no"},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			got := exchange(t, server, test.raw, test.half)
+			got := exchange(t, server, test.raw, test.halfClose)
 			So(got, ShouldStartWith, test.want)
 			So(got, ShouldContainSubstring, `"ran":"`+test.ran+`"`)
 		})
 	}
-	Convey("a request id that is unsound is replaced", t, func() {
+	Convey("an invalid request id is replaced", t, func() {
 		got := exchange(t, server, head("GET", "/nowhere", "X-Request-Id: "+long), false)
 		So(got, ShouldNotContainSubstring, long)
 	})
 }
 
-// whole sends a whole answer with one chunk, changed by a test.
-func whole(id string, stream *encoder.Stream, change func(head *encoder.Head, chunk *encoder.Chunk, end *encoder.End)) {
+// writeAnswer sends a whole answer with one chunk, after the test has changed its
+// frames.
+func writeAnswer(id string, stream *encoder.Stream, change func(head *encoder.Head, chunk *encoder.Chunk, end *encoder.End)) {
 	body := []byte(`{"run":1}`)
 	head := &encoder.Head{RequestId: id, Status: 200}
 	chunk := &encoder.Chunk{Data: body}
@@ -183,11 +186,10 @@
 	_ = stream.Write(encoder.Of(head), encoder.Of(chunk), encoder.Of(end))
 }
 
-func TestAnAnswerThatDoesNotFitIsNotPassedOn(t *testing.T) {
-	// The caller sees a problem, or its connection breaks; never a wrong answer.
-	// An agent with a fault answers for another request, skips bytes, or ends
-	// with a digest of other bytes. The entry checks id, place and digest of all
-	// that it relays, so what reaches the caller as whole is what the agent kept.
+func TestInconsistentAnswerIsNotRelayedAsWhole(t *testing.T) {
+	// Guards against a faulty agent that answers for another request, skips bytes
+	// or ends with the digest of other bytes. The entry checks id, offset and
+	// digest, so the caller gets a problem or a cut connection, never a wrong answer.
 	tests := []struct {
 		name   string
 		change func(head *encoder.Head, chunk *encoder.Chunk, end *encoder.End)
@@ -203,8 +205,10 @@
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			agent := scripted(t, func(stream *encoder.Stream, offer *encoder.Offer) { whole(offer.GetRequestId(), stream, test.change) })
-			server := front(t, agent)
+			agent := scriptedAgent(t, func(stream *encoder.Stream, offer *encoder.Offer) {
+				writeAnswer(offer.GetRequestId(), stream, test.change)
+			})
+			server := startEntry(t, agent)
 			So(outcomeOf(t, server.URL), ShouldEqual, test.want)
 		})
 	}
@@ -229,13 +233,13 @@
 	return fmt.Sprint(response.StatusCode)
 }
 
-func TestACallerThatDoesNotReadIsCutOff(t *testing.T) {
-	// A caller asks for a large answer and reads nothing of it.
-	// Buffers fill from the caller back to the agent, which holds its upstream
-	// still; the entry's write passes its time, the caller's connection is cut,
-	// and the agent sees the stream close: the slot is free again.
+func TestCallerThatDoesNotReadIsCutOff(t *testing.T) {
+	// Guards against a slot that stays taken because a caller requests a large
+	// answer and reads nothing. Buffers fill from the caller back to the agent,
+	// which pauses its upstream. The entry's write times out, the entry cuts the
+	// caller's connection, and the agent sees the stream close and frees the slot.
 	stopped := make(chan struct{})
-	agent := scripted(t, func(stream *encoder.Stream, offer *encoder.Offer) {
+	agent := scriptedAgent(t, func(stream *encoder.Stream, offer *encoder.Offer) {
 		_ = stream.Write(encoder.Of(&encoder.Head{RequestId: offer.GetRequestId(), Status: 200}))
 		part := make([]byte, 64<<10)
 		go func() {
@@ -250,56 +254,56 @@
 			}
 		}
 	})
-	server := front(t, agent)
+	server := startEntry(t, agent)
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
 	_, _ = io.WriteString(conn, "GET /orders HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+testKey+"\r\n\r\n")
-	Convey("the agent is let go", t, func() {
+	Convey("the agent sees the stream close", t, func() {
 		late, release := timekeeper.Wall().After(20 * timekeeper.Second)
 		defer release()
-		letGo := false
+		released := false
 		select {
 		case <-stopped:
-			letGo = true
+			released = true
 		case <-late:
 		}
-		So(letGo, ShouldBeTrue)
+		So(released, ShouldBeTrue)
 	})
 }
 
-func TestNotRunIsNotSaidOfAKeyThatWasTaken(t *testing.T) {
-	// A caller's order has run and its answer was lost. It sends the order again
-	// under its key; the only replica that it reaches is full and refuses before
-	// it looks at keys. "Not run" would be true of this sending and false of the
-	// order. The claim tells: it is written before anything runs.
+func TestClaimedKeyIsNotReportedAsNotRun(t *testing.T) {
+	// Guards against a false "not run". An order ran and its answer was lost; the
+	// caller resends it under its key, and the only reachable replica is full and
+	// refuses before it checks keys. "Not run" would be true of the resend but not
+	// of the order. The entry reads the claim, which is written before anything runs.
 	tests := []struct {
-		name, holder string
-		found        bool
-		err          error
-		status       int
-		ran          string
+		name, claimant string
+		found          bool
+		err            error
+		status         int
+		ran            string
 	}{
 		{"another request has the key", "entry-9-1-1", true, nil, http.StatusConflict, "unknown"},
-		{"nobody has the key", "", false, nil, http.StatusServiceUnavailable, "no"},
-		{"this request itself has it, and did not run", "", true, nil, http.StatusServiceUnavailable, "no"},
+		{"no request has the key", "", false, nil, http.StatusServiceUnavailable, "no"},
+		{"this request has it and did not run", "", true, nil, http.StatusServiceUnavailable, "no"},
 		{"the store can't be read", "", false, io.ErrUnexpectedEOF, http.StatusServiceUnavailable, "no"},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			var own string
-			agent := scripted(t, func(stream *encoder.Stream, offer *encoder.Offer) {
+			agent := scriptedAgent(t, func(stream *encoder.Stream, offer *encoder.Offer) {
 				own = offer.GetRequestId()
 				_ = stream.Write(encoder.Of(&encoder.Refused{RequestId: own, Kind: "overloaded", RetryAfter: 1000}))
 			})
-			server := frontWith(t, func(settings *Settings) {
+			server := startEntryWith(t, func(settings *Settings) {
 				settings.FindClaim = func(context.Context, string) (string, bool, error) {
-					if test.holder == "" {
+					if test.claimant == "" {
 						return own, test.found, test.err
 					}
-					return test.holder, test.found, test.err
+					return test.claimant, test.found, test.err
 				}
 			}, agent)
 			got := exchange(t, server, "POST /orders HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer "+
--- a/internal/forwarder/key_claim.go
+++ b/internal/forwarder/key_claim.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// claimTimeout bounds the look at a claim before a refusal is told.
+	// claimTimeout bounds the read of a claim before a refusal is sent.
 	claimTimeout = timekeeper.Second
 	// claimRetry is when a caller should ask again for the answer to its key.
 	claimRetry = timekeeper.Second
 )
 
-// ofKey returns what a caller is told in place of a refusal when an earlier
-// request with the same key has been taken.
+// checkKeyClaim returns the failure for a caller in place of the refusal err if an
+// earlier request has claimed the call's key, and err otherwise.
 //
-// The failure: an order ran and its answer was lost; the caller sends it again
-// under its key, and no replica that could know of the first can be reached, or
-// each refuses before it looks. The symptom: "not run", which is true of the
-// second sending and false of the order; the caller orders anew under another
-// key, and a member is charged twice. A claim is written before anything runs,
-// so its absence proves that nothing has. While the store is down the claim
-// can't be read, and the refusal speaks of this sending alone.
+// It guards against a false "not run": an order ran and its answer was lost, the
+// caller resends it under its key, and no replica that knows the first request can
+// be reached, or each refuses before it checks keys. "Not run" would be true of the
+// resend but not of the order, so the caller would order anew under another key and
+// a member would be charged twice. A claim is written before anything runs, so its
+// absence proves that nothing has run. While the store is down the claim can't be
+// read, and the refusal covers the resend only.
 //
-// One read for each refused call with a key, at most 120 a second at the design
-// size, where one call in ten has one.
-func (entry *Entry) ofKey(ctx context.Context, call call, err error) error {
+// It costs one read for each refused call with a key: at most 120 a second at the
+// design size, where one call in ten has one.
+func (entry *Entry) checkKeyClaim(ctx context.Context, call call, err error) error {
 	answer := classifier.AnswerOf(classifier.Of(err).Kind)
 	if call.key == "" || call.idempotent || answer.Ran != classifier.RanNo || !answer.RetryElsewhere {
 		return err
@@ -39,10 +39,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout.Duration())
 	defer cancel()
-	holder, found, errRead := entry.settings.FindClaim(ctx, claimer.RowKey(call.team, call.service, call.key))
-	if errRead != nil || !found || holder == call.id {
+	holder, found, readErr := entry.settings.FindClaim(ctx, claimer.RowKey(call.team, call.service, call.key))
+	if readErr != nil || !found || holder == call.id {
 		return err
 	}
-	taken := classifier.New(classifier.KeyInProgress, "an earlier request has the key, and its replica can't be asked now")
-	return taken.WithRetryAfter(claimRetry)
+	inProgress := classifier.New(classifier.KeyInProgress, "an earlier request has the key, and its replica can't be asked now")
+	return inProgress.WithRetryAfter(claimRetry)
 }
--- a/internal/forwarder/mint.go
+++ b/internal/forwarder/mint.go
@@ -14,25 +14,25 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// keysPath is where callers get minted keys.
+// keysPath is where callers request minted keys.
 const keysPath = "/v1/keys"
 
-// KeyRequest asks for minted keys.
+// KeyRequest is the body of a request for minted keys.
 type KeyRequest struct {
 	// Service is the service that the keys are for.
 	Service string `json:"service"`
-	// Count is how many keys are wanted, 1 to 64; zero means 1.
+	// Count is the number of keys, 1 to 64; zero means 1.
 	Count int `json:"count"`
 }
 
-// KeyResponse is the answer to a KeyOrder.
+// KeyResponse is the answer to a KeyRequest.
 type KeyResponse struct {
 	Keys []string `json:"keys"`
-	// Expires is the last moment at which the keys may be used first.
+	// Expires is the latest time at which a key may be used first.
 	Expires string `json:"expires"`
 }
 
-// serveKeys gives a team keys that need no store.
+// serveKeys issues minted keys, which need no store, to a team.
 func (entry *Entry) serveKeys(w http.ResponseWriter, r *http.Request, id string) {
 	grant, err := entry.mint(w, r, id)
 	if err != nil {
@@ -58,28 +58,29 @@
 	if err != nil {
 		return KeyResponse{}, err
 	}
-	var order KeyRequest
-	if err := json.Unmarshal(body, &order); err != nil || order.Count < 0 || order.Count > minter.MostAtOnce {
+	var request KeyRequest
+	if err := json.Unmarshal(body, &request); err != nil || request.Count < 0 || request.Count > minter.MostAtOnce {
 		return KeyResponse{}, classifier.New(classifier.BadRequest, `send {"service": NAME, "count": 1 to 64}`)
 	}
-	if _, ok := config.Service(order.Service); !ok {
+	if _, ok := config.Service(request.Service); !ok {
 		return KeyResponse{}, classifier.New(classifier.NotFound, "no such service")
 	}
-	return entry.mintAt(r, id, &encoder.MintAsk{Team: team, Service: order.Service, Count: uint32(max(1, order.Count))})
+	return entry.mintFromAgents(r, id, &encoder.MintAsk{Team: team, Service: request.Service, Count: uint32(max(1, request.Count))})
 }
 
-// mintAt asks one agent after the other. Each order starts at another agent,
-// so that the calls made with the keys spread as other calls do.
-func (entry *Entry) mintAt(r *http.Request, id string, ask *encoder.MintAsk) (KeyResponse, error) {
-	failure := classifier.New(classifier.NoUpstream, ask.GetService()).WithRetryAfter(timekeeper.Second)
-	for _, replica := range entry.settings.Roster(ask.GetService()).Rank(xxhash.Sum64String(id), placer.MaxOffers) {
+// mintFromAgents asks one agent after the other until one mints the keys. Each
+// request starts at another agent, so that the calls made with the keys are spread
+// like other calls.
+func (entry *Entry) mintFromAgents(r *http.Request, id string, request *encoder.MintAsk) (KeyResponse, error) {
+	failure := classifier.New(classifier.NoUpstream, request.GetService()).WithRetryAfter(timekeeper.Second)
+	for _, replica := range entry.settings.Roster(request.GetService()).Rank(xxhash.Sum64String(id), placer.MaxOffers) {
 		conn, err := entry.settings.Pool.Open(r.Context(), replica.Address)
 		if err != nil {
 			failure = classifier.New(classifier.Unreachable, replica.Name)
 			continue
 		}
 		_ = conn.SetDeadline(entry.settings.Clock.Now().Add(lookUpTimeout).Time())
-		minted, err := askOnce(conn, ask, (*encoder.Frame).GetMinted)
+		minted, err := roundTrip(conn, request, (*encoder.Frame).GetMinted)
 		switch {
 		case err != nil:
 			failure = classifier.New(classifier.Unreachable, replica.Name)
@@ -92,13 +93,13 @@
 	return KeyResponse{}, failure
 }
 
-// askOnce sends one message, reads the answer and closes the connection.
-func askOnce[T comparable](conn net.Conn, message any, pick func(*encoder.Frame) T) (T, error) {
+// roundTrip sends one message, reads the answer and closes the connection.
+func roundTrip[T comparable](conn net.Conn, message any, get func(*encoder.Frame) T) (T, error) {
 	defer func() { _ = conn.Close() }()
 	stream := encoder.NewStream(conn)
 	if err := stream.Write(encoder.Of(message)); err != nil {
-		var none T
-		return none, err
+		var zero T
+		return zero, err
 	}
-	return encoder.ReadAs(stream, pick)
+	return encoder.ReadAs(stream, get)
 }
--- a/internal/forwarder/owner.go
+++ b/internal/forwarder/owner.go
@@ -12,38 +12,40 @@
 	"github.com/trefoilseam/trefoilseam/internal/placer"
 )
 
-// owner is the agent incarnation and request that a key is bound to.
+// owner is the agent incarnation that a key is bound to, and the request that the
+// agent took the key for.
 type owner struct {
 	agent       string
 	incarnation uint64
 	request     string
-	// itself says that the owner was the one who told so.
-	itself bool
+	// selfReported is true if the refusal that names the owner came from the owner.
+	selfReported bool
 }
 
-// heard collects what refusals told about one call.
-type heard struct {
+// refusalInfo collects what the refusals of one call report.
+type refusalInfo struct {
 	owner owner
 }
 
-// note takes in a refusal.
-func (heard *heard) note(refused *encoder.Refused) {
+// record stores the owner of the key that a refusal names, if any.
+func (refusalInfo *refusalInfo) record(refused *encoder.Refused) {
 	if refused.GetOwner() == "" {
 		return
 	}
-	heard.owner = owner{
-		agent:       refused.GetOwner(),
-		incarnation: refused.GetOwnerIncarnation(),
-		request:     refused.GetOwnerRequest(),
-		itself:      refused.GetOwnerIncarnation() == refused.GetIncarnation(),
+	refusalInfo.owner = owner{
+		agent:        refused.GetOwner(),
+		incarnation:  refused.GetOwnerIncarnation(),
+		request:      refused.GetOwnerRequest(),
+		selfReported: refused.GetOwnerIncarnation() == refused.GetIncarnation(),
 	}
 }
 
-// spread returns the hash by which a call without a chat is ranked. A keyed
-// call goes by its key, so that a resend meets the agent that ran it without a
-// look in the store; a model call by its contents, so that one that crashes
-// engines meets the agent that remembers it; others by their own id.
-func (call call) spread() uint64 {
+// rankHash returns the hash by which replicas are ranked for a call without a chat.
+// A call with a key that must run at most once uses the key, so that a resend
+// reaches the agent that ran it without a read of the store. A model call uses its
+// fingerprint, so that one that crashes engines reaches the agent that remembers
+// it. Other calls use their own id.
+func (call call) rankHash() uint64 {
 	switch {
 	case call.key != "" && !call.idempotent:
 		return xxhash.Sum64String(call.team + "\x00" + call.key)
@@ -53,27 +55,28 @@
 	return xxhash.Sum64String(call.id)
 }
 
-// carryMinted offers a call to the one incarnation that its minted key names.
-// No other may run it, so whoever can't be reached leaves the outcome unknown:
-// the key may have run there before.
-func (entry *Entry) carryMinted(ctx context.Context, w http.ResponseWriter, call call, named minter.Named) error {
-	call.heard = &heard{owner: owner{agent: named.Instance, incarnation: named.Incarnation}}
+// forwardMinted offers a call to the agent incarnation that its minted key names.
+// No other may run it, so if the agent can't be reached the outcome is unknown: the
+// key may have run there before.
+func (entry *Entry) forwardMinted(ctx context.Context, w http.ResponseWriter, call call, minted minter.Named) error {
+	call.refusalInfo = &refusalInfo{owner: owner{agent: minted.Instance, incarnation: minted.Incarnation}}
 	failure := classifier.New(classifier.OutcomeUnknown, "the key's agent is gone or can't be reached; if it never ran it never will")
-	return entry.carryOwned(ctx, w, call, failure)
+	return entry.forwardToOwner(ctx, w, call, failure)
 }
 
-// carryOwned leads a call whose key is bound to the owner: for a replay of the
-// answer, for a run if nothing has run yet, and else to the failure given.
-// Nobody else may run it.
-func (entry *Entry) carryOwned(ctx context.Context, w http.ResponseWriter, call call, otherwise classifier.Failure) error {
-	address, ok := entry.settings.Locate(call.heard.owner.agent)
+// forwardToOwner forwards a call to the owner of its key, which no other agent may
+// run: the owner replays the answer, or runs the call if nothing has run yet.
+// Otherwise forwardToOwner returns the owner's refusal, or fallback if the owner
+// can't be reached.
+func (entry *Entry) forwardToOwner(ctx context.Context, w http.ResponseWriter, call call, fallback classifier.Failure) error {
+	address, ok := entry.settings.Locate(call.refusalInfo.owner.agent)
 	if !ok {
-		return otherwise
+		return fallback
 	}
-	bound := call.heard.owner
-	replica := placer.Replica{Name: bound.agent, Address: address}
-	if !bound.itself {
-		call.bound = bound.incarnation
+	keyOwner := call.refusalInfo.owner
+	replica := placer.Replica{Name: keyOwner.agent, Address: address}
+	if !keyOwner.selfReported {
+		call.boundIncarnation = keyOwner.incarnation
 		failure, done := entry.attempt(ctx, w, call, replica, 1)
 		if done {
 			return nil
@@ -82,33 +85,34 @@
 		entry.recordAttempt(call, replica, failure)
 		switch {
 		case failure.Kind == classifier.Unreachable || failure.Kind == classifier.WrongInstance:
-			return otherwise
-		case !call.heard.owner.itself:
+			return fallback
+		case !call.refusalInfo.owner.selfReported:
 			return failure
 		}
-		otherwise = failure
+		fallback = failure
 	}
-	return entry.replay(ctx, w, call, replica, otherwise)
+	return entry.replay(ctx, w, call, replica, fallback)
 }
 
-// replay follows the answer of the request that holds the key.
+// replay relays the answer of the request that holds the key. It returns fallback
+// if that request is not known or the owner can't tell its outcome.
 func (entry *Entry) replay(
-	ctx context.Context, w http.ResponseWriter, call call, replica placer.Replica, otherwise classifier.Failure,
+	ctx context.Context, w http.ResponseWriter, call call, replica placer.Replica, fallback classifier.Failure,
 ) error {
-	if otherwise.Kind == classifier.KeyReused || call.heard.owner.request == "" {
-		return otherwise
+	if fallback.Kind == classifier.KeyReused || call.refusalInfo.owner.request == "" {
+		return fallback
 	}
-	answer := entry.newRelayed(w, call)
-	answer.expected = call.heard.owner.request
+	answer := entry.newRelayedAnswer(w, call)
+	answer.requestID = call.refusalInfo.owner.request
 	answer.replay = true
-	failure, done, lost := entry.lookUp(ctx, answer, contact{replica: replica, incarnation: call.heard.owner.incarnation})
+	failure, done, lost := entry.lookUp(ctx, answer, destination{replica: replica, incarnation: call.refusalInfo.owner.incarnation})
 	switch {
 	case done:
 		return nil
-	case lost && answer.started:
-		_, _ = answer.broken(classifier.New(classifier.AnswerCut, "the connection broke during a replay"))
+	case lost && answer.headWritten:
+		_, _ = answer.abort(classifier.New(classifier.AnswerCut, "the connection broke during a replay"))
 	case lost, failure.Kind == classifier.Unreachable, failure.Kind == classifier.OutcomeUnknown:
-		return otherwise
+		return fallback
 	}
 	return failure
 }
--- a/internal/forwarder/record.go
+++ b/internal/forwarder/record.go
@@ -6,10 +6,10 @@
 	"github.com/trefoilseam/trefoilseam/internal/recorder"
 )
 
-// ranYes is what the record says of a call that was answered from its run.
+// ranYes is the recorded value of Ran for a call that was answered from its run.
 const ranYes = "yes"
 
-// event returns an event about a call and the replica that it concerns.
+// event returns an event about a call and a replica.
 func (entry *Entry) event(kind recorder.Kind, call call, instance string) recorder.Event {
 	return recorder.Event{
 		At:         entry.settings.Clock.Now(),
@@ -23,10 +23,10 @@
 	}
 }
 
-// recordOffer records that a call is offered, before any frame of it is sent.
-func (entry *Entry) recordOffer(call call, at contact) {
-	event := entry.event(recorder.Offered, call, at.replica.Name)
-	event.Incarnation = at.incarnation
+// recordOffer records that a call is offered, before any of its frames is sent.
+func (entry *Entry) recordOffer(call call, dest destination) {
+	event := entry.event(recorder.Offered, call, dest.replica.Name)
+	event.Incarnation = dest.incarnation
 	entry.settings.Record(event)
 }
 
@@ -38,7 +38,7 @@
 	entry.settings.Record(event)
 }
 
-// recordRefusal records a problem that the caller was told.
+// recordRefusal records a problem that is sent to the caller.
 func (entry *Entry) recordRefusal(id string, failure classifier.Failure) {
 	entry.settings.Record(recorder.Event{
 		At:      entry.settings.Clock.Now(),
@@ -49,8 +49,8 @@
 	})
 }
 
-// record records an answer that went to the caller, whole or cut.
-func (answer *relayed) record(failure classifier.Failure, complete bool) {
+// record records an answer that was relayed to the caller, whole or cut.
+func (answer *relayedAnswer) record(failure classifier.Failure, complete bool) {
 	entry := answer.entry
 	event := entry.event(recorder.Answered, answer.call, entry.upstreamOf(answer.head).Name)
 	event.Incarnation = answer.head.GetIncarnation()
--- a/internal/forwarder/recover.go
+++ b/internal/forwarder/recover.go
@@ -12,135 +12,137 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// contact is the agent incarnation that a call was committed to. A zero
-// incarnation means that it was not told before the connection broke.
-type contact struct {
+// destination is the agent incarnation that a call is offered to. A zero
+// incarnation is unknown: the connection broke before the agent sent it.
+type destination struct {
 	replica     placer.Replica
 	incarnation uint64
-	// since is when the call was offered.
-	since timekeeper.Instant
-	// unsent says that the offer could not be written.
+	// offeredAt is when the call was offered.
+	offeredAt timekeeper.Instant
+	// unsent is true if the offer could not be written.
 	unsent bool
 }
 
-// provable is how long after its offer a call that an agent has "never seen"
-// is known not to have run. Agents keep ended runs for two minutes; an entry
-// that was paused for longer would take a forgotten run for one that never
-// was. Half of that leaves room for clocks that run at different speeds.
-const provable = timekeeper.Minute
-
-// provesNotRun reports whether an agent's answer, read now, proves that the
-// call didn't run there and never will. An entry that was not told the
-// incarnation may be speaking to the successor of the one that ran it.
-func (at contact) provesNotRun(state encoder.RunState, now timekeeper.Instant) bool {
-	return state == encoder.RunState_RUN_STATE_NEVER_SEEN && at.incarnation != 0 && now.Since(at.since) < provable
+// proofWindow is how long after its offer a call that an agent has "never seen" is
+// known not to have run. Agents keep ended runs for two minutes; an entry that was
+// paused for longer would take a forgotten run for one that never started. Half of
+// that allows for clocks that run at different speeds.
+const proofWindow = timekeeper.Minute
+
+// provesNotRun reports whether the state that an agent reports now proves that the
+// call did not run there and never will. If the incarnation is unknown, the state
+// may come from the successor of the agent that ran the call.
+func (dest destination) provesNotRun(state encoder.RunState, now timekeeper.Instant) bool {
+	return state == encoder.RunState_RUN_STATE_NEVER_SEEN && dest.incarnation != 0 && now.Since(dest.offeredAt) < proofWindow
 }
 
-// lookUpPauses are the waits before each look-up after a lost connection. A
-// broken connection mostly comes back at once (a switch that dropped a flow, a
-// proxy that restarted); an agent that is gone is known as gone within a
-// second and a half plus dialling, and the caller gets its answer then.
-var lookUpPauses = [...]timekeeper.Span{
+// lookUpDelays are the waits before each look-up after a lost connection. Most
+// broken connections can be replaced at once (a switch dropped a flow, a proxy
+// restarted). An agent that is gone is detected within a second and a half plus
+// dialling, and the caller gets its answer then.
+var lookUpDelays = [...]timekeeper.Span{
 	0, 50 * timekeeper.Millisecond, 150 * timekeeper.Millisecond, 400 * timekeeper.Millisecond, 900 * timekeeper.Millisecond,
 }
 
-// quickLookUps is how many look-ups an idempotent call makes of which nothing
-// was written to the caller: another replica may run it, which is sooner done
-// than waiting for one that is most likely gone.
-const quickLookUps = 2
+// idempotentLookUps is how many look-ups an idempotent call makes if nothing was
+// written to the caller: a run at another replica is quicker than waiting for one
+// that is most likely gone.
+const idempotentLookUps = 2
 
-// lookUpTimeout bounds one look-up up to its Found frame. An agent that is
-// paused accepts connections and says nothing; without the bound its callers
-// would wait as long as the pause.
+// lookUpTimeout bounds one look-up up to its Found frame. A paused agent accepts
+// connections and sends nothing; without the bound its callers would wait as long
+// as the pause.
 const lookUpTimeout = timekeeper.Second
 
-// settle finds out what became of a committed call whose connection was lost,
-// and goes on with its answer where there is one.
+// recoverAnswer looks up a committed call whose connection was lost, and continues
+// to relay its answer if there is one.
 //
-// The failure: a connection breaks after the Run frame was sent. The symptom
-// would be a caller told "not run" for a call that runs, or one that sends an
-// order again. The agent's own record decides: done or running leads to the
-// answer, never seen leaves a tombstone first, and anything else is unknown.
-func (entry *Entry) settle(ctx context.Context, answer *relayed, at contact) (classifier.Failure, bool) {
-	unknown := classifier.New(classifier.OutcomeUnknown, "the connection to "+at.replica.Name+" was lost and it can't be asked")
-	pauses := lookUpPauses[:]
-	if answer.call.idempotent && !answer.started {
-		pauses = pauses[:quickLookUps]
+// It guards against a connection that breaks after the Run frame was sent: the
+// caller would be told "not run" for a call that runs, or would send an order
+// again. The agent's own record decides. A run that is done or running leads to the
+// answer, a call never seen gets a tombstone first, and in any other state the
+// outcome is unknown.
+func (entry *Entry) recoverAnswer(ctx context.Context, answer *relayedAnswer, dest destination) (classifier.Failure, bool) {
+	unknown := classifier.New(classifier.OutcomeUnknown, "the connection to "+dest.replica.Name+" was lost and it can't be asked")
+	delays := lookUpDelays[:]
+	if answer.call.idempotent && !answer.headWritten {
+		delays = delays[:idempotentLookUps]
 	}
-	for _, pause := range pauses {
-		if ctx.Err() != nil || entry.settings.Clock.Sleep(ctx, pause) != nil {
-			return answer.broken(classifier.New(classifier.CallerGone, ""))
+	for _, delay := range delays {
+		if ctx.Err() != nil || entry.settings.Clock.Sleep(ctx, delay) != nil {
+			return answer.abort(classifier.New(classifier.CallerGone, ""))
 		}
-		failure, done, lost := entry.lookUp(ctx, answer, at)
+		failure, done, lost := entry.lookUp(ctx, answer, dest)
 		if !lost {
 			return failure, done
 		}
 	}
-	entry.hints.suspect(answer.call.fingerprint(), entry.settings.Clock.Now())
-	entry.failed(ctx, answer.call, at.replica)
-	return answer.broken(unknown)
+	entry.strikeCache.recordCrash(answer.call.fingerprint(), entry.settings.Clock.Now())
+	entry.reportUnreachable(ctx, answer.call, dest.replica)
+	return answer.abort(unknown)
 }
 
-// failed tells the view of a replica that a call could not reach. A lost
-// connection counts once for all its look-ups, so that one call alone never
-// has a replica held dead; a caller that left proves nothing.
-func (entry *Entry) failed(ctx context.Context, call call, replica placer.Replica) {
+// reportUnreachable reports a replica that a call could not reach to OnUnreachable.
+// A lost connection counts once for all its look-ups, so that a single call never
+// gets a replica marked as dead. Nothing is reported if the caller left, since that
+// proves nothing.
+func (entry *Entry) reportUnreachable(ctx context.Context, call call, replica placer.Replica) {
 	if ctx.Err() == nil {
 		entry.settings.OnUnreachable(call.service, replica.Name)
 	}
 }
 
-// lookUp asks once. The third result is true when no answer came.
-func (entry *Entry) lookUp(ctx context.Context, answer *relayed, at contact) (classifier.Failure, bool, bool) {
-	stream, found, hangUp, err := entry.ask(ctx, at, &encoder.Lookup{
-		RequestId:   answer.expected,
-		Incarnation: at.incarnation,
+// lookUp makes one look-up and relays the answer if there is one. The third result
+// is true if no answer arrived or its connection was lost.
+func (entry *Entry) lookUp(ctx context.Context, answer *relayedAnswer, dest destination) (classifier.Failure, bool, bool) {
+	stream, found, closeStream, err := entry.openLookup(ctx, dest, &encoder.Lookup{
+		RequestId:   answer.requestID,
+		Incarnation: dest.incarnation,
 		Offset:      answer.length,
 		Team:        answer.call.team,
-		Tombstone:   answer.expected == answer.call.id,
+		Tombstone:   answer.requestID == answer.call.id,
 		Follow:      true,
 	})
 	if err != nil {
 		return classifier.Failure{}, false, true
 	}
-	defer hangUp()
+	defer closeStream()
 	switch state := found.GetState(); {
 	case state == encoder.RunState_RUN_STATE_DONE || state == encoder.RunState_RUN_STATE_RUNNING:
 		return answer.follow(stream)
-	case at.provesNotRun(state, entry.settings.Clock.Now()):
-		failure, done := answer.broken(classifier.New(classifier.Unreachable, "the call had not arrived when its connection broke"))
+	case dest.provesNotRun(state, entry.settings.Clock.Now()):
+		failure, done := answer.abort(classifier.New(classifier.Unreachable, "the call had not arrived when its connection broke"))
 		return failure, done, false
 	}
-	failure, done := answer.broken(classifier.New(classifier.OutcomeUnknown, at.replica.Name+" no longer knows the call"))
+	failure, done := answer.abort(classifier.New(classifier.OutcomeUnknown, dest.replica.Name+" no longer knows the call"))
 	return failure, done, false
 }
 
-// bury leaves a tombstone for a keyed call whose connection broke before its
-// grant came, so that its key is free for the resend.
+// leaveTombstone leaves a tombstone for a keyed call whose connection broke before
+// its grant arrived, so that its key is free for the resend.
 //
-// The failure: the grant is lost on its way. The symptom: the caller is told
-// "not run", sends again at once, and is told that its key is in progress,
-// until the agent has noticed that the first connection is gone. One look-up
-// is enough, since nothing depends on it: without an answer the agent gives
-// the key back by itself, RunWait after the grant at the latest.
-func (entry *Entry) bury(ctx context.Context, call call, at contact, failure classifier.Failure) {
+// It guards against a lost grant: the caller is told "not run" and resends at once,
+// but its key counts as in progress until the agent notices that the first
+// connection is gone. One look-up is enough, since nothing depends on it: if it
+// fails, the agent frees the key by itself, RunWait after the grant at the latest.
+func (entry *Entry) leaveTombstone(ctx context.Context, call call, dest destination, failure classifier.Failure) {
 	if call.idempotent || call.key == "" || failure.Kind != classifier.Unreachable {
 		return
 	}
-	_, _, hangUp, err := entry.ask(ctx, at, &encoder.Lookup{
-		RequestId: call.id, Incarnation: at.incarnation, Team: call.team, Tombstone: true,
+	_, _, closeStream, err := entry.openLookup(ctx, dest, &encoder.Lookup{
+		RequestId: call.id, Incarnation: dest.incarnation, Team: call.team, Tombstone: true,
 	})
 	if err == nil {
-		hangUp()
+		closeStream()
 	}
 }
 
-// ask opens a stream, sends the look-up and reads what was found. The stream
-// stays open for the answer until the function that ask returns is called.
-func (entry *Entry) ask(
-	ctx context.Context, at contact, lookup *encoder.Lookup,
+// openLookup opens a stream, sends the look-up and reads the Found frame. The
+// stream stays open for the answer until the returned function is called.
+func (entry *Entry) openLookup(
+	ctx context.Context, dest destination, lookup *encoder.Lookup,
 ) (*encoder.Stream, *encoder.Found, func(), error) {
-	conn, err := entry.settings.Pool.Open(ctx, at.replica.Address)
+	conn, err := entry.settings.Pool.Open(ctx, dest.replica.Address)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -159,28 +161,28 @@
 		return nil, nil, nil, err
 	}
 	_ = conn.SetDeadline(entry.settings.Clock.Now().Time().AddDate(1, 0, 0))
-	// The agent sees the stream close when the caller leaves.
+	// Closing the stream tells the agent that the caller has left.
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	return stream, found, func() { stop(); _ = conn.Close() }, nil
 }
 
-// newRelayed returns an answer of which nothing has come.
-func (entry *Entry) newRelayed(w http.ResponseWriter, call call) *relayed {
-	return &relayed{
-		entry: entry, w: w, control: http.NewResponseController(w), call: call, digest: xxhash.New(), expected: call.id,
+// newRelayedAnswer returns an answer of which nothing has arrived.
+func (entry *Entry) newRelayedAnswer(w http.ResponseWriter, call call) *relayedAnswer {
+	return &relayedAnswer{
+		entry: entry, w: w, control: http.NewResponseController(w), call: call, digest: xxhash.New(), requestID: call.id,
 	}
 }
 
-// attempts collects what the attempts of one call came to. "Not run" may be told
-// to the caller only when it is true of every attempt.
+// attempts collects the results of the attempts of one call. The caller may be told
+// "not run" only if that is true of every attempt.
 type attempts struct {
 	last    classifier.Failure
 	unknown bool
 }
 
-// add notes a failed attempt and reports whether another replica may be tried:
-// always when nothing ran, and for an idempotent call also when that can't be
-// known, as long as nothing was written to the caller.
+// add records a failed attempt and reports whether another replica may be tried: if
+// nothing ran, and for an idempotent call also if that is unknown, as long as
+// nothing was written to the caller.
 func (attempts *attempts) add(call call, failure classifier.Failure) bool {
 	attempts.last = failure
 	if failure.Kind == classifier.OutcomeUnknown {
--- a/internal/forwarder/recover_test.go
+++ b/internal/forwarder/recover_test.go
@@ -11,42 +11,43 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-func TestAForgottenRunIsNotTakenForOneThatNeverWas(t *testing.T) {
-	// The caller of a paused entry sees "unknown", since the order has run.
-	// The entry is stopped for minutes after it sent the call; the agent ends
-	// the run and forgets it; the entry wakes, looks up, and finds "never seen".
+func TestForgottenRunIsNotReportedAsNotRun(t *testing.T) {
+	// Guards against "not run" for an order that has run. The entry is paused for
+	// minutes after it sent the call; meanwhile the agent ends the run and forgets
+	// it. The entry then looks the call up and finds "never seen". The caller must
+	// get "unknown".
 	tests := []struct {
-		name  string
-		state encoder.RunState
-		after timekeeper.Span
-		known uint64
-		want  bool
+		name             string
+		state            encoder.RunState
+		after            timekeeper.Span
+		knownIncarnation uint64
+		want             bool
 	}{
-		{"at once", encoder.RunState_RUN_STATE_NEVER_SEEN, timekeeper.Second, 7, true},
-		{"after a pause", encoder.RunState_RUN_STATE_NEVER_SEEN, provable, 7, false},
-		{"an incarnation that was not told", encoder.RunState_RUN_STATE_NEVER_SEEN, 0, 0, false},
+		{"a look-up at once", encoder.RunState_RUN_STATE_NEVER_SEEN, timekeeper.Second, 7, true},
+		{"a look-up after a pause", encoder.RunState_RUN_STATE_NEVER_SEEN, proofWindow, 7, false},
+		{"an unknown incarnation", encoder.RunState_RUN_STATE_NEVER_SEEN, 0, 0, false},
 		{"another incarnation", encoder.RunState_RUN_STATE_FORGOTTEN, 0, 7, false},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			at := contact{since: 1000, incarnation: test.known}
-			So(at.provesNotRun(test.state, at.since.Add(test.after)), ShouldEqual, test.want)
+			dest := destination{offeredAt: 1000, incarnation: test.knownIncarnation}
+			So(dest.provesNotRun(test.state, dest.offeredAt.Add(test.after)), ShouldEqual, test.want)
 		})
 	}
 }
 
-func TestNotRunIsToldOnlyWhenItIsTrueOfEveryAttempt(t *testing.T) {
+func TestNotRunIsReportedOnlyIfTrueOfEveryAttempt(t *testing.T) {
 	tests := []struct {
 		name       string
 		idempotent bool
 		kinds      []classifier.Kind
 		tried      int
-		told       classifier.Kind
+		reported   classifier.Kind
 	}{
 		{"refused everywhere", false, []classifier.Kind{classifier.Overloaded, classifier.Draining}, 2, classifier.Draining},
 		{"an order that was lost is tried nowhere else", false, []classifier.Kind{classifier.OutcomeUnknown, classifier.Overloaded}, 1, classifier.OutcomeUnknown},
 		{"a lost attempt stays unknown after a refusal", true, []classifier.Kind{classifier.OutcomeUnknown, classifier.Overloaded}, 2, classifier.OutcomeUnknown},
-		{"a key of another body is final", false, []classifier.Kind{classifier.KeyReused, classifier.Overloaded}, 1, classifier.KeyReused},
+		{"a key reused with another body is final", false, []classifier.Kind{classifier.KeyReused, classifier.Overloaded}, 1, classifier.KeyReused},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -59,14 +60,15 @@
 				}
 			}
 			So(tried, ShouldEqual, test.tried)
-			So(attempts.failure().Kind, ShouldEqual, test.told)
+			So(attempts.failure().Kind, ShouldEqual, test.reported)
 		})
 	}
 }
 
-func TestAnEndBelongsToTheBytesThatWereRelayed(t *testing.T) {
-	// The caller's connection is cut before an answer with a changed byte could
-	// be taken for whole; a resumed one is checked over the bytes behind the offset.
+func TestEndMustMatchRelayedBytes(t *testing.T) {
+	// Guards against an answer with a changed byte that the caller takes for whole:
+	// the entry cuts the connection first. A resumed answer is checked over the
+	// bytes after the offset.
 	sum := xxhash.Sum64String
 	tests := []struct {
 		name    string
@@ -83,9 +85,9 @@
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			answer := &relayed{expected: "a", length: 4, digest: xxhash.New(), resumed: test.resumed}
+			answer := &relayedAnswer{requestID: "a", length: 4, digest: xxhash.New(), resumed: test.resumed}
 			_, _ = answer.digest.WriteString("rest")
-			So(answer.agrees(test.end), ShouldEqual, test.want)
+			So(answer.matches(test.end), ShouldEqual, test.want)
 		})
 	}
 }
--- a/internal/forwarder/relay.go
+++ b/internal/forwarder/relay.go
@@ -12,58 +12,59 @@
 	"github.com/trefoilseam/trefoilseam/internal/placer"
 )
 
-// relay copies the answer to the caller as it arrives, over another connection
-// if the first is lost. It returns false with the reason when nothing was written.
+// relay copies the answer to the caller as it arrives, and continues over another
+// connection if the first is lost. It returns false with the reason if nothing was
+// written.
 func (entry *Entry) relay(
-	ctx context.Context, w http.ResponseWriter, call call, at contact, stream *encoder.Stream,
+	ctx context.Context, w http.ResponseWriter, call call, dest destination, stream *encoder.Stream,
 ) (classifier.Failure, bool) {
-	answer := entry.newRelayed(w, call)
+	answer := entry.newRelayedAnswer(w, call)
 	failure, done, lost := answer.follow(stream)
 	if !lost {
 		return failure, done
 	}
 	if answer.head != nil {
-		at.incarnation = answer.head.GetIncarnation()
+		dest.incarnation = answer.head.GetIncarnation()
 	}
-	return entry.settle(ctx, answer, at)
+	return entry.recoverAnswer(ctx, answer, dest)
 }
 
-// relay takes the frames of an answer whose connection is not made again.
-func (answer *relayed) relay(stream *encoder.Stream) (classifier.Failure, bool) {
+// relayOnce copies the answer to the caller over this connection only.
+func (answer *relayedAnswer) relayOnce(stream *encoder.Stream) (classifier.Failure, bool) {
 	failure, done, lost := answer.follow(stream)
 	if lost {
-		return answer.broken(classifier.New(classifier.OutcomeUnknown, "the connection to the agent broke"))
+		return answer.abort(classifier.New(classifier.OutcomeUnknown, "the connection to the agent broke"))
 	}
 	return failure, done
 }
 
-// follow reads the frames of an answer. The third result is true when the
+// follow handles the frames of an answer. The third result is true if the
 // connection was lost before the end.
-func (answer *relayed) follow(stream *encoder.Stream) (classifier.Failure, bool, bool) {
+func (answer *relayedAnswer) follow(stream *encoder.Stream) (classifier.Failure, bool, bool) {
 	for {
 		frame, err := stream.Read()
 		if err != nil {
 			return classifier.Failure{}, false, true
 		}
-		failure, done, ended := answer.take(frame)
+		failure, done, ended := answer.handleFrame(frame)
 		if ended {
 			return failure, done, false
 		}
 	}
 }
 
-// take handles one frame. The third result is true when it was the last.
-func (answer *relayed) take(frame *encoder.Frame) (classifier.Failure, bool, bool) {
+// handleFrame handles one frame. The third result is true if it ended the answer.
+func (answer *relayedAnswer) handleFrame(frame *encoder.Frame) (classifier.Failure, bool, bool) {
 	var err error
 	switch message := frame.GetBody().(type) {
 	case *encoder.Frame_Queued, *encoder.Frame_Granted:
 	case *encoder.Frame_Refused:
-		failure, done := answer.broken(answer.entry.refused(answer.call, message.Refused))
+		failure, done := answer.abort(answer.entry.handleRefusal(answer.call, message.Refused))
 		return failure, done, true
 	case *encoder.Frame_Head:
-		err = answer.open(message.Head)
+		err = answer.setHead(message.Head)
 	case *encoder.Frame_Chunk:
-		err = answer.add(message.Chunk)
+		err = answer.writeChunk(message.Chunk)
 	case *encoder.Frame_End:
 		failure, done := answer.close(message.End)
 		return failure, done, true
@@ -71,44 +72,44 @@
 		err = classifier.New(classifier.Protocol, "unexpected frame in an answer")
 	}
 	if err != nil {
-		failure, done := answer.broken(classifier.Of(err))
+		failure, done := answer.abort(classifier.Of(err))
 		return failure, done, true
 	}
 	return classifier.Failure{}, false, false
 }
 
-// relayed is an answer on its way to the caller.
-type relayed struct {
+// relayedAnswer is an answer that is being relayed to the caller.
+type relayedAnswer struct {
 	entry   *Entry
 	w       http.ResponseWriter
 	control *http.ResponseController
 	call    call
-	// expected is the id of the request whose answer this is: the call's own,
-	// or that of the request that holds its key.
-	expected string
-	// replay says that the answer was kept from an earlier request.
-	replay  bool
-	head    *encoder.Head
-	started bool
-	length  uint64
-	digest  *xxhash.Digest
-	// resumed says that the caller has the bytes before length already, so
-	// that the digest of the whole can't be made here, but that of the part can.
+	// requestID is the request whose answer this is: the call itself, or the
+	// request that holds its key.
+	requestID string
+	// replay is true if the answer was kept from an earlier request.
+	replay      bool
+	head        *encoder.Head
+	headWritten bool
+	length      uint64
+	digest      *xxhash.Digest
+	// resumed is true if the caller already has the bytes before length. The digest
+	// of the whole answer can't be computed then, only that of the rest.
 	resumed bool
 }
 
-// open notes the head. It is written with the first bytes of the body, so
-// that an answer that breaks before them can still be told as a problem.
-func (answer *relayed) open(head *encoder.Head) error {
-	// A crossed answer must reach nobody: the id is checked at each hop.
-	if head.GetRequestId() != answer.expected {
+// setHead stores the head. It is written with the first bytes of the body, so that
+// an answer that breaks before them can still be reported as a problem.
+func (answer *relayedAnswer) setHead(head *encoder.Head) error {
+	// Each hop checks the id, so that no caller gets the answer to another request.
+	if head.GetRequestId() != answer.requestID {
 		return classifier.New(classifier.Protocol, "an answer to another request")
 	}
 	answer.head = head
 	return nil
 }
 
-func (answer *relayed) start() {
+func (answer *relayedAnswer) writeHead() {
 	header := answer.w.Header()
 	for _, field := range answer.head.GetHeaders() {
 		if field.GetName() != "X-Request-Id" {
@@ -119,15 +120,15 @@
 		header.Set(encoder.ReplayedHeader, "true")
 	}
 	answer.w.WriteHeader(int(answer.head.GetStatus()))
-	answer.started = true
+	answer.headWritten = true
 }
 
-func (answer *relayed) add(chunk *encoder.Chunk) error {
+func (answer *relayedAnswer) writeChunk(chunk *encoder.Chunk) error {
 	if answer.head == nil || chunk.GetOffset() != answer.length {
 		return classifier.New(classifier.Protocol, "a chunk out of place")
 	}
-	if !answer.started {
-		answer.start()
+	if !answer.headWritten {
+		answer.writeHead()
 	}
 	settings := answer.entry.settings
 	_ = answer.control.SetWriteDeadline(settings.Clock.Now().Add(settings.WriteTimeout).Time())
@@ -144,29 +145,29 @@
 	return nil
 }
 
-// close ends the answer: whole only when the agent saw its terminal and length
-// and digest agree with what went to the caller.
-func (answer *relayed) close(end *encoder.End) (classifier.Failure, bool) {
-	answer.entry.hints.learn(end.GetNow(), answer.entry.settings.Clock.Now())
+// close ends the answer. It counts as whole only if the agent saw its terminal, and
+// length and digest match what was written to the caller.
+func (answer *relayedAnswer) close(end *encoder.End) (classifier.Failure, bool) {
+	answer.entry.strikeCache.recordDigest(end.GetNow(), answer.entry.settings.Clock.Now())
 	if end.GetNow() != nil {
 		answer.entry.settings.OnDigest(end.GetNow())
 	}
 	if !end.GetComplete() {
 		if kind := classifier.KindOf(end.GetKind()); kind == classifier.UpstreamBroken || kind == classifier.AnswerCut {
-			answer.entry.hints.suspect(answer.call.fingerprint(), answer.entry.settings.Clock.Now())
+			answer.entry.strikeCache.recordCrash(answer.call.fingerprint(), answer.entry.settings.Clock.Now())
 		}
-		return answer.broken(classifier.New(classifier.KindOf(end.GetKind()), end.GetDetail()))
+		return answer.abort(classifier.New(classifier.KindOf(end.GetKind()), end.GetDetail()))
 	}
-	if !answer.agrees(end) {
-		return answer.broken(classifier.New(classifier.AnswerCut, "length or digest of the answer differs"))
+	if !answer.matches(end) {
+		return answer.abort(classifier.New(classifier.AnswerCut, "length or digest of the answer differs"))
 	}
 	if answer.head == nil {
-		return answer.broken(classifier.New(classifier.Protocol, "an answer without a head"))
+		return answer.abort(classifier.New(classifier.Protocol, "an answer without a head"))
 	}
-	if !answer.started {
-		answer.start()
+	if !answer.headWritten {
+		answer.writeHead()
 	}
-	answer.entry.hints.clear(answer.call.fingerprint())
+	answer.entry.strikeCache.clear(answer.call.fingerprint())
 	answer.entry.settings.Scope.Counter("answers").Inc(1)
 	answer.record(classifier.Failure{}, true)
 	answer.entry.settings.Log.WithFields(logrus.Fields{
@@ -180,9 +181,9 @@
 	return classifier.Failure{}, true
 }
 
-// agrees reports whether the end belongs to the bytes that were relayed.
-func (answer *relayed) agrees(end *encoder.End) bool {
-	if end.GetRequestId() != answer.expected || end.GetLength() != answer.length {
+// matches reports whether the End frame matches the bytes that were relayed.
+func (answer *relayedAnswer) matches(end *encoder.End) bool {
+	if end.GetRequestId() != answer.requestID || end.GetLength() != answer.length {
 		return false
 	}
 	if answer.resumed {
@@ -191,10 +192,10 @@
 	return end.GetDigest() == answer.digest.Sum64()
 }
 
-// broken ends an answer that is not whole. When part of it is with the caller,
-// the connection is cut, so that no caller takes a part for the whole.
-func (answer *relayed) broken(failure classifier.Failure) (classifier.Failure, bool) {
-	if !answer.started {
+// abort ends an incomplete answer. If part of it was written, it cuts the caller's
+// connection, so that no caller takes the part for the whole.
+func (answer *relayedAnswer) abort(failure classifier.Failure) (classifier.Failure, bool) {
+	if !answer.headWritten {
 		return failure, false
 	}
 	answer.record(failure, false)
--- a/internal/forwarder/resume.go
+++ b/internal/forwarder/resume.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// lastEventID is the header by which a caller resumes a stream (WHATWG
-	// HTML, section 9.2.4).
+	// lastEventID is the header by which a caller resumes a stream (WHATWG HTML,
+	// section 9.2.4).
 	lastEventID = "Last-Event-Id"
 	// streamsPath is where a stream is resumed by GET and canceled by DELETE.
 	streamsPath = "/v1/streams/"
-	// longestEventID bounds an event id in bytes.
-	longestEventID = 256
+	// maxEventIDBytes bounds an event id.
+	maxEventIDBytes = 256
 )
 
-// resumption is a caller's wish about a stream that runs already.
-type resumption struct {
+// streamRequest asks to resume or cancel an existing stream.
+type streamRequest struct {
 	eventID string
 	cancel  bool
 }
 
-// resumes reports whether a request is about a stream that runs already: a
-// completion with Last-Event-ID, or any request for a stream by name.
-func resumes(r *http.Request) (resumption, bool) {
+// parseStreamRequest returns the stream that a request names and reports whether it
+// names one: a completion with Last-Event-ID, or any request under streamsPath.
+func parseStreamRequest(r *http.Request) (streamRequest, bool) {
 	if id, ok := strings.CutPrefix(r.URL.Path, streamsPath); ok {
-		return resumption{eventID: id, cancel: r.Method == http.MethodDelete}, true
+		return streamRequest{eventID: id, cancel: r.Method == http.MethodDelete}, true
 	}
 	id := r.Header.Get(lastEventID)
-	return resumption{eventID: id}, id != "" && r.URL.Path == completionsPath
+	return streamRequest{eventID: id}, id != "" && r.URL.Path == completionsPath
 }
 
-// serveStream resumes or cancels a stream. Any entry can do it: the event id
-// names the replica that holds the answer, and its agent checks that the
+// serveStream resumes or cancels a stream. Any entry can do it: the event id names
+// the replica that holds the answer, and that replica's agent checks that the
 // stream belongs to the team.
-func (entry *Entry) serveStream(w http.ResponseWriter, r *http.Request, id string, wish resumption) error {
+func (entry *Entry) serveStream(w http.ResponseWriter, r *http.Request, id string, request streamRequest) error {
 	team, ok := entry.keys.teamOf(entry.settings.Config(), r.Header.Get("Authorization"))
 	if !ok {
 		return classifier.New(classifier.Unauthorized, "send a team's key as Authorization: Bearer KEY")
 	}
-	address, ok := entry.locate(wish.eventID)
+	address, ok := entry.locate(request.eventID)
 	if !ok {
 		return classifier.New(classifier.ResumeLost, "the replica of the stream is not known here")
 	}
@@ -55,21 +55,21 @@
 	stop := context.AfterFunc(r.Context(), func() { _ = conn.Close() })
 	defer stop()
 	stream := encoder.NewStream(conn)
-	if wish.cancel {
-		return cancelStream(w, stream, team, wish.eventID)
+	if request.cancel {
+		return cancelStream(w, stream, team, request.eventID)
 	}
-	return entry.resume(w, stream, call{id: id, team: team}, wish.eventID)
+	return entry.relayRest(w, stream, call{id: id, team: team}, request.eventID)
 }
 
-// locate returns the address of the replica that an event id names. The
-// instance is all of the id but its last three parts.
+// locate returns the address of the replica that an event id names: all of the id
+// but its last three parts.
 func (entry *Entry) locate(eventID string) (string, bool) {
-	const numbers = 3
+	const suffixParts = 3
 	parts := strings.Split(eventID, ".")
-	if len(eventID) > longestEventID || len(parts) <= numbers {
+	if len(eventID) > maxEventIDBytes || len(parts) <= suffixParts {
 		return "", false
 	}
-	return entry.settings.Locate(strings.Join(parts[:len(parts)-numbers], "."))
+	return entry.settings.Locate(strings.Join(parts[:len(parts)-suffixParts], "."))
 }
 
 func cancelStream(w http.ResponseWriter, stream *encoder.Stream, team, eventID string) error {
@@ -87,9 +87,9 @@
 	return nil
 }
 
-// resume relays the rest of a stream, from the byte behind the last event that
+// relayRest relays the rest of a stream, from the byte after the last event that
 // the caller has.
-func (entry *Entry) resume(w http.ResponseWriter, stream *encoder.Stream, call call, eventID string) error {
+func (entry *Entry) relayRest(w http.ResponseWriter, stream *encoder.Stream, call call, eventID string) error {
 	lookup := &encoder.Lookup{Team: call.team, EventId: eventID, Follow: true}
 	if err := stream.Write(encoder.Of(lookup)); err != nil {
 		return classifier.New(classifier.ResumeLost, "the connection broke").WithRetryAfter(1)
@@ -104,10 +104,10 @@
 		return classifier.New(classifier.ResumeLost, "the stream is no longer kept, or is another team's")
 	}
 	call.id = found.GetRequestId()
-	answer := entry.newRelayed(w, call)
+	answer := entry.newRelayedAnswer(w, call)
 	answer.resumed = true
 	answer.length = found.GetOffset()
-	if failure, ok := answer.relay(stream); !ok {
+	if failure, ok := answer.relayOnce(stream); !ok {
 		return failure
 	}
 	return nil
--- a/internal/forwarder/route.go
+++ b/internal/forwarder/route.go
@@ -11,19 +11,18 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// route returns the way of a call through the replicas. A call without a chat
-// is spread evenly.
-func (entry *Entry) route(call call) *placer.AttemptPlan {
+// plan returns the attempt plan of a call. Calls without a chat are spread evenly.
+func (entry *Entry) plan(call call) *placer.AttemptPlan {
 	chat := call.chat
 	if chat == 0 {
-		chat = call.spread()
+		chat = call.rankHash()
 	}
-	return placer.NewAttemptPlan(entry.roster(call), chat, entry.away.names(entry.settings.Clock.Now()))
+	return placer.NewAttemptPlan(entry.roster(call), chat, entry.unreachable.names(entry.settings.Clock.Now()))
 }
 
-// roster returns the replicas that may get the call: those that hold its
-// adapter, for an engine without it can't answer. While nobody is known to hold
-// it all are asked, since what is known of engines may be late.
+// roster returns the replicas that may get the call: those that hold its adapter,
+// since an engine without it can't answer. While none is known to hold it, all are
+// candidates, since the known state of engines may be out of date.
 func (entry *Entry) roster(call call) placer.Roster {
 	if call.adapter != "" && entry.settings.AdapterHolders != nil {
 		if holders := entry.settings.AdapterHolders(call.service, call.adapter); holders.Len() > 0 {
@@ -33,8 +32,8 @@
 	return entry.settings.Roster(call.service)
 }
 
-// refusalOf returns what the plan reads in a failure.
-func (entry *Entry) refusalOf(call call, route *placer.AttemptPlan, failure classifier.Failure) placer.Refusal {
+// planRefusal returns the parts of a failure that the attempt plan uses.
+func (entry *Entry) planRefusal(call call, plan *placer.AttemptPlan, failure classifier.Failure) placer.Refusal {
 	refusal := placer.Refusal{
 		Moved:       failure.Kind == classifier.Moved,
 		AtBound:     failure.Kind == classifier.AtBound,
@@ -42,14 +41,14 @@
 		Alternative: failure.Alternative,
 	}
 	if refusal.AtBound {
-		refusal.Alternative = entry.roomiest(call, route, failure.Alternative)
+		refusal.Alternative = entry.leastLoaded(call, plan, failure.Alternative)
 	}
 	return refusal
 }
 
-// giveUp returns the failure that a caller gets once no candidate is left. It
-// always tells when to come back.
-func giveUp(failure classifier.Failure) classifier.Failure {
+// finalFailure returns the failure that a caller gets when no candidate is left. If
+// a retry can help, it says when to retry.
+func finalFailure(failure classifier.Failure) classifier.Failure {
 	if failure.Kind == classifier.Moved {
 		failure = classifier.New(classifier.Overloaded, "no replica took the chat")
 	}
@@ -59,32 +58,32 @@
 	return failure
 }
 
-// pointerTimeout bounds a message to a home that doesn't answer.
+// pointerTimeout bounds the messages to pointer holders that don't answer.
 const pointerTimeout = 2 * timekeeper.Second
 
-// tellHolders tells the holders of a chat's pointer that the chat ran
-// elsewhere, so that the next turn finds it. A lost message costs a cold prefix
-// and nothing else, so each is sent once and no answer is awaited.
-func (entry *Entry) tellHolders(ctx context.Context, call call, holders []placer.Replica, served placer.Replica) {
+// updatePointers sends the holders of a chat's pointer the replica that served the
+// chat, so that the next turn finds it. A lost message costs only a cold prefix, so
+// each is sent once and no answer is awaited.
+func (entry *Entry) updatePointers(ctx context.Context, call call, holders []placer.Replica, server placer.Replica) {
 	if call.chat == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, pointerTimeout.Duration())
 	defer cancel()
-	for _, keeper := range holders {
-		conn, err := entry.settings.Pool.Open(ctx, keeper.Address)
+	for _, holder := range holders {
+		conn, err := entry.settings.Pool.Open(ctx, holder.Address)
 		if err != nil {
 			continue
 		}
-		put := &encoder.PointerPut{Chat: call.chat, Instance: served.Name, Tokens: call.work}
+		put := &encoder.PointerPut{Chat: call.chat, Instance: server.Name, Tokens: call.work}
 		_ = encoder.NewStream(conn).Write(encoder.Of(put))
 		_ = conn.Close()
 		entry.settings.Scope.Counter("pointers-put").Inc(1)
 	}
 }
 
-// budgets are the retry budgets of an entry, one a service, so that a service
-// that is saturated uses up no other's.
+// budgets are the retry budgets of an entry, one per service, so that a saturated
+// service does not use up the budget of another.
 type budgets struct {
 	mu        sync.Mutex
 	byService map[string]*retrier.Budget
@@ -94,8 +93,8 @@
 	return &budgets{byService: map[string]*retrier.Budget{}}
 }
 
-// of returns the budget of a service; the lock must be held.
-func (budgets *budgets) of(service string) *retrier.Budget {
+// get returns the budget of a service; the caller must hold the lock.
+func (budgets *budgets) get(service string) *retrier.Budget {
 	budget := budgets.byService[service]
 	if budget == nil {
 		budget = retrier.NewBudget(retrier.Settings{})
@@ -107,48 +106,49 @@
 func (budgets *budgets) earn(service string) {
 	budgets.mu.Lock()
 	defer budgets.mu.Unlock()
-	budgets.of(service).Earn()
+	budgets.get(service).Earn()
 }
 
 func (budgets *budgets) spend(service string) bool {
 	budgets.mu.Lock()
 	defer budgets.mu.Unlock()
-	return budgets.of(service).Spend()
+	return budgets.get(service).Spend()
 }
 
-// awaySpan is how long a replica that could not be reached is passed by. The
-// platform's list lags by seconds, and until it tells of a replica's end each
-// of its chats would cost a dial that fails.
-const awaySpan = 5 * timekeeper.Second
+// unreachableSpan is how long an entry skips a replica that it could not reach. The
+// platform's list lags by seconds; until it shows that the replica has ended, each
+// of the replica's chats would cost a failed dial.
+const unreachableSpan = 5 * timekeeper.Second
 
-// absent are the replicas that an entry could not reach lately.
-type absent struct {
+// unreachableReplicas are the replicas that an entry could not reach recently.
+type unreachableReplicas struct {
 	mu    sync.Mutex
 	until map[string]timekeeper.Instant
 }
 
-func newAbsent() *absent {
-	return &absent{until: map[string]timekeeper.Instant{}}
+func newUnreachableReplicas() *unreachableReplicas {
+	return &unreachableReplicas{until: map[string]timekeeper.Instant{}}
 }
 
-// note takes in a failed attempt.
-func (away *absent) note(replica placer.Replica, failure classifier.Failure, now timekeeper.Instant) {
+// recordFailure marks the replica as unreachable if the failure means that the
+// entry could not reach it.
+func (unreachable *unreachableReplicas) recordFailure(replica placer.Replica, failure classifier.Failure, now timekeeper.Instant) {
 	if failure.Kind != classifier.Unreachable && failure.Kind != classifier.OutcomeUnknown {
 		return
 	}
-	away.mu.Lock()
-	defer away.mu.Unlock()
-	away.until[replica.Name] = now.Add(awaySpan)
+	unreachable.mu.Lock()
+	defer unreachable.mu.Unlock()
+	unreachable.until[replica.Name] = now.Add(unreachableSpan)
 }
 
-// names returns the replicas to pass by, and forgets the others.
-func (away *absent) names(now timekeeper.Instant) []string {
-	away.mu.Lock()
-	defer away.mu.Unlock()
-	names := make([]string, 0, len(away.until))
-	for name, until := range away.until {
+// names returns the replicas to skip, and forgets those whose time has passed.
+func (unreachable *unreachableReplicas) names(now timekeeper.Instant) []string {
+	unreachable.mu.Lock()
+	defer unreachable.mu.Unlock()
+	names := make([]string, 0, len(unreachable.until))
+	for name, until := range unreachable.until {
 		if until.Before(now) {
-			delete(away.until, name)
+			delete(unreachable.until, name)
 			continue
 		}
 		names = append(names, name)
--- a/internal/forwarder/slopes_test.go
+++ b/internal/forwarder/slopes_test.go
@@ -9,11 +9,11 @@
 	"github.com/trefoilseam/trefoilseam/internal/resolver"
 )
 
-// BenchmarkKeyTable measures what an entry's table of keys takes for one more
-// team beside the configuration itself, and breaks when that is more than the
-// capacity page reckons with.
+// BenchmarkKeyTable measures the memory of an entry's key table for one more team,
+// without the configuration itself. It fails above the figure that the capacity
+// page assumes.
 func BenchmarkKeyTable(b *testing.B) {
-	const most = 128
+	const maxBytesPerTeam = 128
 	for _, teams := range []int{650, 6500, 26000} {
 		b.Run(strconv.Itoa(teams), func(b *testing.B) {
 			config := resolver.Config{Revision: 1, Teams: map[string]resolver.Team{}}
@@ -28,11 +28,11 @@
 				table.teamOf(config, "Bearer key")
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				each := float64(after.HeapAlloc-before.HeapAlloc) / float64(teams)
+				perTeam := float64(after.HeapAlloc-before.HeapAlloc) / float64(teams)
 				runtime.KeepAlive(table)
-				b.ReportMetric(each, "B/team")
-				if each > most {
-					b.Fatalf("a team takes %.0f bytes, the bound is %d", each, most)
+				b.ReportMetric(perTeam, "B/team")
+				if perTeam > maxBytesPerTeam {
+					b.Fatalf("a team takes %.0f bytes, the bound is %d", perTeam, maxBytesPerTeam)
 				}
 			}
 		})
--- a/internal/forwarder/strikes.go
+++ b/internal/forwarder/strikes.go
@@ -8,78 +8,80 @@
 )
 
 const (
-	// hintLife is how long an entry passes on a strike that it heard of. It
-	// bridges the time until the table's row is written; a verdict that an
-	// operator lifts may be passed on that much longer.
-	hintLife = 30 * timekeeper.Second
-	// mostHints bounds what an entry remembers. A site with more than a
-	// thousand requests that crash engines within ten minutes has another problem.
-	mostHints = 1024
+	// strikeTTL is how long an entry passes on a strike that it received or saw. It
+	// bridges the time until the table's row is written; a verdict that an operator
+	// lifts may be passed on for that much longer.
+	strikeTTL = 30 * timekeeper.Second
+	// maxStrikeRecords bounds the cache. A site with more than a thousand requests
+	// that crash engines within ten minutes has another problem.
+	maxStrikeRecords = 1024
 )
 
-// hint is what an entry heard or saw of one request's strikes.
-type hint struct {
-	strikes uint32
+// strikeRecord is the number of strikes that an entry knows of one request.
+type strikeRecord struct {
+	count   uint32
 	expires timekeeper.Instant
 }
 
-// hints are the strikes that an entry passes on with its offers.
-type hints struct {
-	mu   sync.Mutex
-	byID map[uint64]hint
+// strikeCache holds the strikes that an entry sends with its offers.
+type strikeCache struct {
+	mu            sync.Mutex
+	byFingerprint map[uint64]strikeRecord
 }
 
-// learn takes in the strikes that came with a digest.
-func (hints *hints) learn(digest *encoder.Digest, now timekeeper.Instant) {
+// recordDigest records the strikes that a digest carries.
+func (strikeCache *strikeCache) recordDigest(digest *encoder.Digest, now timekeeper.Instant) {
 	if len(digest.GetStrikes()) == 0 {
 		return
 	}
-	hints.mu.Lock()
-	defer hints.mu.Unlock()
+	strikeCache.mu.Lock()
+	defer strikeCache.mu.Unlock()
 	for _, strike := range digest.GetStrikes() {
-		known := hints.byID[strike.GetFingerprint()]
-		known.strikes = max(known.strikes, strike.GetCount())
-		hints.put(strike.GetFingerprint(), known, now)
+		record := strikeCache.byFingerprint[strike.GetFingerprint()]
+		record.count = max(record.count, strike.GetCount())
+		strikeCache.put(strike.GetFingerprint(), record, now)
 	}
 }
 
-// suspect notes that an engine, or a whole instance, was lost while it ran a request.
-func (hints *hints) suspect(fingerprint uint64, now timekeeper.Instant) {
-	hints.mu.Lock()
-	defer hints.mu.Unlock()
-	known := hints.byID[fingerprint]
-	known.strikes = max(known.strikes, 1)
-	hints.put(fingerprint, known, now)
+// recordCrash records that an engine or a whole instance was lost while it ran a
+// request.
+func (strikeCache *strikeCache) recordCrash(fingerprint uint64, now timekeeper.Instant) {
+	strikeCache.mu.Lock()
+	defer strikeCache.mu.Unlock()
+	record := strikeCache.byFingerprint[fingerprint]
+	record.count = max(record.count, 1)
+	strikeCache.put(fingerprint, record, now)
 }
 
-// put stores a hint; the lock must be held.
-func (hints *hints) put(fingerprint uint64, known hint, now timekeeper.Instant) {
-	if hints.byID == nil {
-		hints.byID = map[uint64]hint{}
+// put stores a record; the caller must hold the lock.
+func (strikeCache *strikeCache) put(fingerprint uint64, record strikeRecord, now timekeeper.Instant) {
+	if strikeCache.byFingerprint == nil {
+		strikeCache.byFingerprint = map[uint64]strikeRecord{}
 	}
-	for other, old := range hints.byID {
-		if len(hints.byID) >= mostHints || old.expires.Before(now) {
-			delete(hints.byID, other)
+	for other, old := range strikeCache.byFingerprint {
+		if len(strikeCache.byFingerprint) >= maxStrikeRecords || old.expires.Before(now) {
+			delete(strikeCache.byFingerprint, other)
 		}
 	}
-	known.expires = now.Add(hintLife)
-	hints.byID[fingerprint] = known
+	record.expires = now.Add(strikeTTL)
+	strikeCache.byFingerprint[fingerprint] = record
 }
 
-// of returns what is known about a request.
-func (hints *hints) of(fingerprint uint64, now timekeeper.Instant) hint {
-	hints.mu.Lock()
-	defer hints.mu.Unlock()
-	known := hints.byID[fingerprint]
-	if known.expires.Before(now) {
-		return hint{}
+// get returns the record of a request, or the zero value if there is none or it has
+// expired.
+func (strikeCache *strikeCache) get(fingerprint uint64, now timekeeper.Instant) strikeRecord {
+	strikeCache.mu.Lock()
+	defer strikeCache.mu.Unlock()
+	record := strikeCache.byFingerprint[fingerprint]
+	if record.expires.Before(now) {
+		return strikeRecord{}
 	}
-	return known
+	return record
 }
 
-// clear forgets a request that ran to its end.
-func (hints *hints) clear(fingerprint uint64) {
-	hints.mu.Lock()
-	defer hints.mu.Unlock()
-	delete(hints.byID, fingerprint)
+// clear removes a request that ran to its end.
+func (strikeCache *strikeCache) clear(fingerprint uint64) {
+	strikeCache.mu.Lock()
+	defer strikeCache.mu.Unlock()
+	delete(strikeCache.byFingerprint, fingerprint)
 }
--- a/internal/forwarder/unreachable_test.go
+++ b/internal/forwarder/unreachable_test.go
@@ -9,9 +9,9 @@
 	"github.com/trefoilseam/trefoilseam/internal/placer"
 )
 
-func TestACallerWhoLeavesAccusesNoReplica(t *testing.T) {
-	// Impatient callers would have sound replicas held dead: a dial that was
-	// given up looks like one that failed.
+func TestCallerThatLeavesReportsNoUnreachableReplica(t *testing.T) {
+	// Guards against healthy replicas that are marked as dead because callers
+	// leave: a canceled dial looks like one that failed.
 	tests := []struct {
 		name string
 		left bool
@@ -26,7 +26,7 @@
 			if test.left {
 				leave()
 			}
-			entry.failed(ctx, call{service: "orders"}, placer.Replica{Name: "orders-1"})
+			entry.reportUnreachable(ctx, call{service: "orders"}, placer.Replica{Name: "orders-1"})
 			So(count, ShouldEqual, test.want)
 		})
 	}
