--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -42,10 +42,10 @@
 			go entry.updatePointers(context.WithoutCancel(ctx), call, plan.PointerHolders(planned.Replica), planned.Replica)
 			return nil
 		}
-		entry.logAttempt(call, planned.Replica, failure)
+		entry.logFailedAttempt(call, planned.Replica, failure)
 		entry.unreachable.recordFailure(planned.Replica, failure, entry.settings.Clock.Now())
 		if failure.Kind != classifier.Moved {
-			entry.recordAttempt(call, planned.Replica, failure)
+			entry.recordFailedAttempt(call, planned.Replica, failure)
 		}
 		if ctx.Err() != nil {
 			return classifier.New(classifier.CallerGone, "")
@@ -56,7 +56,7 @@
 		if !attempts.add(call, failure) {
 			break
 		}
-		plan.RecordRefusal(entry.planRefusal(call, plan, failure))
+		plan.RecordRefusal(entry.newRefusal(call, plan, failure))
 	}
 	return finalFailure(attempts.failure())
 }
@@ -80,8 +80,8 @@
 }
 
 // attemptOnce makes one attempt over one connection. unsent is true if the offer
-// could not be written and may be repeated. The repeat has the same request id, so
-// an unsent offer leaves no tombstone before the last try.
+// could not be written and may be repeated. Both tries have the same request id, so
+// the entry leaves no tombstone for an unsent offer before the last try.
 func (entry *Entry) attemptOnce(
 	ctx context.Context, w http.ResponseWriter, call call, replica placer.Replica, attempt uint32, last bool,
 ) (failure classifier.Failure, done, unsent bool) {
@@ -170,11 +170,11 @@
 	}
 }
 
-// handleRefusal records the key's owner, the digest and the strikes that a refusal
-// carries, and returns it as a failure.
+// handleRefusal records the key's owner and the strikes that a refusal carries,
+// passes its digest to OnDigest, and returns the refusal as a failure.
 func (entry *Entry) handleRefusal(call call, refused *encoder.Refused) classifier.Failure {
 	call.refusalInfo.record(refused)
-	entry.strikeCache.recordDigest(refused.GetDigest(), entry.settings.Clock.Now())
+	entry.strikeCache.recordStrikes(refused.GetDigest(), entry.settings.Clock.Now())
 	if refused.GetDigest() != nil {
 		entry.settings.OnDigest(refused.GetDigest())
 	}
@@ -229,7 +229,7 @@
 	}).Info("placement")
 }
 
-func (entry *Entry) logAttempt(call call, replica placer.Replica, failure classifier.Failure) {
+func (entry *Entry) logFailedAttempt(call call, replica placer.Replica, failure classifier.Failure) {
 	entry.settings.Scope.Tagged(map[string]string{"kind": failure.Kind.String()}).Counter("attempts-failed").Inc(1)
 	entry.settings.Log.WithFields(logrus.Fields{
 		"request-id": call.id,
--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -22,8 +22,9 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// call is one classified request of a caller. It is passed by value: each attempt
-// changes only its own copy, and refusalInfo, which all copies share.
+// call is one classified request of a caller. It is passed by value, so a function
+// changes only its own copy. Copies point to the same refusalInfo, so that forward
+// and forwardToOwner see what an attempt has recorded there.
 type call struct {
 	id      string
 	service string
--- a/internal/forwarder/call_fuzz_test.go
+++ b/internal/forwarder/call_fuzz_test.go
@@ -12,7 +12,8 @@
 )
 
 // FuzzClassifyModel classifies completions with arbitrary bodies. Each must give a
-// call with valid bounds, or a failure that says that nothing ran.
+// call with its service, its body and no negative work, or a failure that says that
+// nothing ran.
 func FuzzClassifyModel(f *testing.F) {
 	for _, body := range []string{
 		`{"model":"planner","max_tokens":3,"user":"van-7"}`, `{"model":"planner","max_tokens":-9223372036854775808}`,
--- a/internal/forwarder/doc.go
+++ b/internal/forwarder/doc.go
@@ -7,5 +7,6 @@
 // A call that must run at most once is tried at another replica only if nothing of
 // it has run: the agent refused it, could not be reached before the Run frame was
 // sent, or has left a tombstone for it. An idempotent call is also tried elsewhere
-// if its outcome is unknown, as long as nothing was written to the caller.
+// after OutcomeUnknown (as when its connection was lost and the agent can't say what
+// became of it), as long as nothing was written to the caller.
 package forwarder
--- a/internal/forwarder/entry_test.go
+++ b/internal/forwarder/entry_test.go
@@ -28,8 +28,8 @@
 
 const testKey = "test-key"
 
-// scriptedAgent serves each offer of an entry with a script, in place of an agent,
-// and returns the address.
+// scriptedAgent starts an agent that runs the script for each offer, and returns its
+// address.
 func scriptedAgent(t *testing.T, script func(stream *encoder.Stream, offer *encoder.Offer)) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
--- a/internal/forwarder/key_claim.go
+++ b/internal/forwarder/key_claim.go
@@ -16,8 +16,9 @@
 	claimRetry = timekeeper.Second
 )
 
-// checkKeyClaim returns the failure for a caller in place of the refusal err if an
-// earlier request has claimed the call's key, and err otherwise.
+// checkKeyClaim returns KeyInProgress in place of err if err is a "not run" refusal
+// with RetryElsewhere and an earlier request has claimed the call's key. Otherwise
+// it returns err.
 //
 // It guards against a false "not run": an order ran and its answer was lost, the
 // caller resends it under its key, and no replica that knows the first request can
--- a/internal/forwarder/mint.go
+++ b/internal/forwarder/mint.go
@@ -34,13 +34,13 @@
 
 // serveKeys issues minted keys, which need no store, to a team.
 func (entry *Entry) serveKeys(w http.ResponseWriter, r *http.Request, id string) {
-	grant, err := entry.mint(w, r, id)
+	response, err := entry.mint(w, r, id)
 	if err != nil {
 		entry.refuse(w, id, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(grant)
+	_ = json.NewEncoder(w).Encode(response)
 }
 
 func (entry *Entry) mint(w http.ResponseWriter, r *http.Request, id string) (KeyResponse, error) {
@@ -71,16 +71,16 @@
 // mintFromAgents asks one agent after the other until one mints the keys. Each
 // request starts at another agent, so that the calls made with the keys are spread
 // like other calls.
-func (entry *Entry) mintFromAgents(r *http.Request, id string, request *encoder.MintAsk) (KeyResponse, error) {
-	failure := classifier.New(classifier.NoUpstream, request.GetService()).WithRetryAfter(timekeeper.Second)
-	for _, replica := range entry.settings.Roster(request.GetService()).Rank(xxhash.Sum64String(id), placer.MaxOffers) {
+func (entry *Entry) mintFromAgents(r *http.Request, id string, ask *encoder.MintAsk) (KeyResponse, error) {
+	failure := classifier.New(classifier.NoUpstream, ask.GetService()).WithRetryAfter(timekeeper.Second)
+	for _, replica := range entry.settings.Roster(ask.GetService()).Rank(xxhash.Sum64String(id), placer.MaxOffers) {
 		conn, err := entry.settings.Pool.Open(r.Context(), replica.Address)
 		if err != nil {
 			failure = classifier.New(classifier.Unreachable, replica.Name)
 			continue
 		}
 		_ = conn.SetDeadline(entry.settings.Clock.Now().Add(lookUpTimeout).Time())
-		minted, err := roundTrip(conn, request, (*encoder.Frame).GetMinted)
+		minted, err := roundTrip(conn, ask, (*encoder.Frame).GetMinted)
 		switch {
 		case err != nil:
 			failure = classifier.New(classifier.Unreachable, replica.Name)
--- a/internal/forwarder/owner.go
+++ b/internal/forwarder/owner.go
@@ -41,7 +41,7 @@
 }
 
 // rankHash returns the hash by which replicas are ranked for a call without a chat.
-// A call with a key that must run at most once uses the key, so that a resend
+// A call that must run at most once uses its key, if it has one, so that a resend
 // reaches the agent that ran it without a read of the store. A model call uses its
 // fingerprint, so that one that crashes engines reaches the agent that remembers
 // it. Other calls use their own id.
@@ -64,10 +64,10 @@
 	return entry.forwardToOwner(ctx, w, call, failure)
 }
 
-// forwardToOwner forwards a call to the owner of its key, which no other agent may
-// run: the owner replays the answer, or runs the call if nothing has run yet.
-// Otherwise forwardToOwner returns the owner's refusal, or fallback if the owner
-// can't be reached.
+// forwardToOwner forwards a call to the owner of its key, the only agent that may
+// run the call: the owner replays the answer, or runs the call if nothing has run
+// yet. Otherwise forwardToOwner returns the owner's refusal, or fallback if the
+// owner is not listed, can't be reached or has restarted.
 func (entry *Entry) forwardToOwner(ctx context.Context, w http.ResponseWriter, call call, fallback classifier.Failure) error {
 	address, ok := entry.settings.Locate(call.refusalInfo.owner.agent)
 	if !ok {
@@ -81,8 +81,8 @@
 		if done {
 			return nil
 		}
-		entry.logAttempt(call, replica, failure)
-		entry.recordAttempt(call, replica, failure)
+		entry.logFailedAttempt(call, replica, failure)
+		entry.recordFailedAttempt(call, replica, failure)
 		switch {
 		case failure.Kind == classifier.Unreachable || failure.Kind == classifier.WrongInstance:
 			return fallback
@@ -95,7 +95,8 @@
 }
 
 // replay relays the answer of the request that holds the key. It returns fallback
-// if that request is not known or the owner can't tell its outcome.
+// if the key was reused with another body, or if that request is unknown, can't be
+// looked up or has no known outcome.
 func (entry *Entry) replay(
 	ctx context.Context, w http.ResponseWriter, call call, replica placer.Replica, fallback classifier.Failure,
 ) error {
--- a/internal/forwarder/record.go
+++ b/internal/forwarder/record.go
@@ -30,8 +30,9 @@
 	entry.settings.Record(event)
 }
 
-// recordAttempt records that a replica did not take a call.
-func (entry *Entry) recordAttempt(call call, replica placer.Replica, failure classifier.Failure) {
+// recordFailedAttempt records that an attempt at a replica failed, or that the
+// replica refused the call.
+func (entry *Entry) recordFailedAttempt(call call, replica placer.Replica, failure classifier.Failure) {
 	event := entry.event(recorder.Refused, call, replica.Name)
 	event.Reason = failure.Kind.String()
 	event.Ran = string(classifier.AnswerOf(failure.Kind).Ran)
--- a/internal/forwarder/recover.go
+++ b/internal/forwarder/recover.go
@@ -23,10 +23,10 @@
 	unsent bool
 }
 
-// proofWindow is how long after its offer a call that an agent has "never seen" is
-// known not to have run. Agents keep ended runs for two minutes; an entry that was
-// paused for longer would take a forgotten run for one that never started. Half of
-// that allows for clocks that run at different speeds.
+// proofWindow is how long after the offer the state "never seen" proves that the
+// call did not run. Agents keep ended runs for two minutes; an entry that was paused
+// for longer would take a forgotten run for one that never started. Half of the two
+// minutes allows for clocks that run at different speeds.
 const proofWindow = timekeeper.Minute
 
 // provesNotRun reports whether the state that an agent reports now proves that the
@@ -44,9 +44,9 @@
 	0, 50 * timekeeper.Millisecond, 150 * timekeeper.Millisecond, 400 * timekeeper.Millisecond, 900 * timekeeper.Millisecond,
 }
 
-// idempotentLookUps is how many look-ups an idempotent call makes if nothing was
-// written to the caller: a run at another replica is quicker than waiting for one
-// that is most likely gone.
+// idempotentLookUps is how many look-ups an entry makes for an idempotent call if
+// nothing was written to the caller: a run at another replica is quicker than
+// waiting for one that is most likely gone.
 const idempotentLookUps = 2
 
 // lookUpTimeout bounds one look-up up to its Found frame. A paused agent accepts
@@ -60,8 +60,8 @@
 // It guards against a connection that breaks after the Run frame was sent: the
 // caller would be told "not run" for a call that runs, or would send an order
 // again. The agent's own record decides. A run that is done or running leads to the
-// answer, a call never seen gets a tombstone first, and in any other state the
-// outcome is unknown.
+// answer; a call never seen gets a tombstone and is reported as not run; in any
+// other state the outcome is unknown.
 func (entry *Entry) recoverAnswer(ctx context.Context, answer *relayedAnswer, dest destination) (classifier.Failure, bool) {
 	unknown := classifier.New(classifier.OutcomeUnknown, "the connection to "+dest.replica.Name+" was lost and it can't be asked")
 	delays := lookUpDelays[:]
@@ -82,7 +82,7 @@
 	return answer.abort(unknown)
 }
 
-// reportUnreachable reports a replica that a call could not reach to OnUnreachable.
+// reportUnreachable calls OnUnreachable for a replica that a call could not reach.
 // A lost connection counts once for all its look-ups, so that a single call never
 // gets a replica marked as dead. Nothing is reported if the caller left, since that
 // proves nothing.
@@ -93,9 +93,10 @@
 }
 
 // lookUp makes one look-up and relays the answer if there is one. The third result
-// is true if no answer arrived or its connection was lost.
+// is true if no Found frame arrived, or the connection was lost before the end of
+// the answer.
 func (entry *Entry) lookUp(ctx context.Context, answer *relayedAnswer, dest destination) (classifier.Failure, bool, bool) {
-	stream, found, closeStream, err := entry.openLookup(ctx, dest, &encoder.Lookup{
+	stream, found, closeStream, err := entry.openLookUp(ctx, dest, &encoder.Lookup{
 		RequestId:   answer.requestID,
 		Incarnation: dest.incarnation,
 		Offset:      answer.length,
@@ -129,7 +130,7 @@
 	if call.idempotent || call.key == "" || failure.Kind != classifier.Unreachable {
 		return
 	}
-	_, _, closeStream, err := entry.openLookup(ctx, dest, &encoder.Lookup{
+	_, _, closeStream, err := entry.openLookUp(ctx, dest, &encoder.Lookup{
 		RequestId: call.id, Incarnation: dest.incarnation, Team: call.team, Tombstone: true,
 	})
 	if err == nil {
@@ -137,9 +138,9 @@
 	}
 }
 
-// openLookup opens a stream, sends the look-up and reads the Found frame. The
+// openLookUp opens a stream, sends the look-up and reads the Found frame. The
 // stream stays open for the answer until the returned function is called.
-func (entry *Entry) openLookup(
+func (entry *Entry) openLookUp(
 	ctx context.Context, dest destination, lookup *encoder.Lookup,
 ) (*encoder.Stream, *encoder.Found, func(), error) {
 	conn, err := entry.settings.Pool.Open(ctx, dest.replica.Address)
@@ -181,8 +182,8 @@
 }
 
 // add records a failed attempt and reports whether another replica may be tried: if
-// nothing ran, and for an idempotent call also if that is unknown, as long as
-// nothing was written to the caller.
+// the failure's kind has RetryElsewhere, and for an idempotent call also after
+// OutcomeUnknown. It is called only if nothing was written to the caller.
 func (attempts *attempts) add(call call, failure classifier.Failure) bool {
 	attempts.last = failure
 	if failure.Kind == classifier.OutcomeUnknown {
--- a/internal/forwarder/relay.go
+++ b/internal/forwarder/relay.go
@@ -148,7 +148,7 @@
 // close ends the answer. It counts as whole only if the agent saw its terminal, and
 // length and digest match what was written to the caller.
 func (answer *relayedAnswer) close(end *encoder.End) (classifier.Failure, bool) {
-	answer.entry.strikeCache.recordDigest(end.GetNow(), answer.entry.settings.Clock.Now())
+	answer.entry.strikeCache.recordStrikes(end.GetNow(), answer.entry.settings.Clock.Now())
 	if end.GetNow() != nil {
 		answer.entry.settings.OnDigest(end.GetNow())
 	}
@@ -192,14 +192,15 @@
 	return end.GetDigest() == answer.digest.Sum64()
 }
 
-// abort ends an incomplete answer. If part of it was written, it cuts the caller's
-// connection, so that no caller takes the part for the whole.
+// abort ends an incomplete answer. If part of the answer was written, abort panics
+// with http.ErrAbortHandler, which cuts the caller's connection, so that no caller
+// takes the part for the whole.
 func (answer *relayedAnswer) abort(failure classifier.Failure) (classifier.Failure, bool) {
 	if !answer.headWritten {
 		return failure, false
 	}
 	answer.record(failure, false)
-	answer.entry.logAttempt(answer.call, answer.entry.upstreamOf(answer.head), failure)
+	answer.entry.logFailedAttempt(answer.call, answer.entry.upstreamOf(answer.head), failure)
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/forwarder/resume.go
+++ b/internal/forwarder/resume.go
@@ -61,8 +61,8 @@
 	return entry.relayRest(w, stream, call{id: id, team: team}, request.eventID)
 }
 
-// locate returns the address of the replica that an event id names: all of the id
-// but its last three parts.
+// locate returns the address of the replica that an event id names. The replica's
+// name is the id without its last three parts.
 func (entry *Entry) locate(eventID string) (string, bool) {
 	const suffixParts = 3
 	parts := strings.Split(eventID, ".")
--- a/internal/forwarder/route.go
+++ b/internal/forwarder/route.go
@@ -32,8 +32,9 @@
 	return entry.settings.Roster(call.service)
 }
 
-// planRefusal returns the parts of a failure that the attempt plan uses.
-func (entry *Entry) planRefusal(call call, plan *placer.AttemptPlan, failure classifier.Failure) placer.Refusal {
+// newRefusal returns the refusal that the attempt plan records for a failure. At a
+// bound, the alternative is the least loaded replica of a sample.
+func (entry *Entry) newRefusal(call call, plan *placer.AttemptPlan, failure classifier.Failure) placer.Refusal {
 	refusal := placer.Refusal{
 		Moved:       failure.Kind == classifier.Moved,
 		AtBound:     failure.Kind == classifier.AtBound,
@@ -58,7 +59,7 @@
 	return failure
 }
 
-// pointerTimeout bounds the messages to pointer holders that don't answer.
+// pointerTimeout bounds the time to connect to all holders of one chat's pointer.
 const pointerTimeout = 2 * timekeeper.Second
 
 // updatePointers sends the holders of a chat's pointer the replica that served the
--- a/internal/forwarder/strikes.go
+++ b/internal/forwarder/strikes.go
@@ -29,8 +29,8 @@
 	byFingerprint map[uint64]strikeRecord
 }
 
-// recordDigest records the strikes that a digest carries.
-func (strikeCache *strikeCache) recordDigest(digest *encoder.Digest, now timekeeper.Instant) {
+// recordStrikes records the strikes that a digest carries.
+func (strikeCache *strikeCache) recordStrikes(digest *encoder.Digest, now timekeeper.Instant) {
 	if len(digest.GetStrikes()) == 0 {
 		return
 	}
