--- a/internal/dialer/pool.go
+++ b/internal/dialer/pool.go
@@ -51,7 +51,8 @@
 	ProbeSize = 24
 )
 
-// keepAlive returns the probe interval of each session of a pool with that many.
+// keepAlive returns the probe interval of one session of a pool that holds the given
+// number of sessions.
 func (settings Settings) keepAlive(sessions int) timekeeper.Span {
 	return max(settings.withDefaults().KeepAlive, timekeeper.Span(sessions)*minProbeGap)
 }
@@ -163,7 +164,7 @@
 		return nil, Peer{}, eris.Wrap(err, "dial")
 	}
 	settings := pool.settings
-	settings.KeepAlive = settings.keepAlive(pool.openSessions())
+	settings.KeepAlive = settings.keepAlive(pool.countSessions())
 	session, err := yamux.Client(conn, settings.SessionConfig())
 	if err != nil {
 		_ = conn.Close()
@@ -182,9 +183,9 @@
 }
 
 // handshake asks the peer for its identity: a proxy may accept connections for a
-// peer that is gone or has restarted. As the welcome comes first, no frame of a
-// call is sent before its receiving incarnation is known. It costs one round trip
-// per session, not per call.
+// peer that is gone or has restarted. As the welcome comes first, the dialling
+// process knows which incarnation receives a call before it sends a frame of the
+// call. The handshake costs one round trip per session, not per call.
 func handshake(ctx context.Context, session *yamux.Session, timeout timekeeper.Span) (Peer, error) {
 	conn, err := session.OpenStream()
 	if err != nil {
@@ -236,20 +237,20 @@
 	return true
 }
 
-// openSessions returns the number of open sessions. A session that broke counts
-// until its peer is next used.
-func (pool *Pool) openSessions() int {
+// countSessions returns the number of sessions that the pool holds. A broken session
+// counts until it is replaced, discarded or closed as idle.
+func (pool *Pool) countSessions() int {
 	return int(pool.sessionCount.Load())
 }
 
 // ProbeRate returns the traffic in bytes a second of the probes of the open
 // sessions: those that the pool sends and those that it answers.
 func (pool *Pool) ProbeRate() float64 {
-	return pool.settings.ProbeRate(pool.openSessions())
+	return pool.settings.ProbeRate(pool.countSessions())
 }
 
-// ProbeRate returns the traffic in bytes a second of the probes of that many
-// sessions.
+// ProbeRate returns the probe traffic of the given number of sessions, in bytes a
+// second.
 func (settings Settings) ProbeRate(sessions int) float64 {
 	rate := func(interval timekeeper.Span) float64 {
 		return float64(sessions) * ProbeSize * float64(timekeeper.Second) / float64(interval)
--- a/internal/dialer/pool_test.go
+++ b/internal/dialer/pool_test.go
@@ -46,7 +46,7 @@
 			}
 			manual.Advance(test.idle)
 			pool.CloseIdle()
-			So(pool.openSessions(), ShouldEqual, test.wantOpen)
+			So(pool.countSessions(), ShouldEqual, test.wantOpen)
 		})
 	}
 }
@@ -109,7 +109,7 @@
 			second, err := pool.Open(t.Context(), listener.Addr().String())
 			So(err, ShouldBeNil)
 			_ = second.Close()
-			So(pool.openSessions(), ShouldEqual, 1)
+			So(pool.countSessions(), ShouldEqual, 1)
 		})
 	}
 }
