--- a/internal/encoder/doc.go
+++ b/internal/encoder/doc.go
@@ -1,5 +1,5 @@
-// Package encoder reads and writes the frames that entries and agents exchange
-// over yamux streams.
+// Package encoder reads and writes the frames that trefoilseam processes (entries,
+// agents, the command line) exchange over yamux streams.
 //
 // A stream carries one exchange: a call, a look-up, a digest or a configuration
 // body. A frame on the wire is a length of four bytes, big endian, followed by a
