--- a/internal/classifier/failure.go
+++ b/internal/classifier/failure.go
@@ -66,8 +66,8 @@
 	WriteWithRetry(w, failure, requestID, strconv.FormatInt(RetrySeconds(failure.RetryAfter), 10))
 }
 
-// WriteWithRetry is like Write, for callers that read Retry-After in another form
-// than whole seconds.
+// WriteWithRetry is like Write with the given value of Retry-After, for HTTP clients
+// that expect another form than whole seconds.
 func WriteWithRetry(w http.ResponseWriter, failure Failure, requestID, retryAfter string) {
 	answer := AnswerOf(failure.Kind)
 	body, err := json.Marshal(Problem{
