--- a/internal/assembler/entry.go
+++ b/internal/assembler/entry.go
@@ -58,21 +58,21 @@
 	}
 	entry.record.SetPulse(entry.aliveEvent)
 	entry.frontend = forwarder.New(forwarder.Settings{
-		Name:        settings.Name,
-		Site:        settings.Site,
-		Incarnation: entry.incarnation,
-		Clock:       entry.env.Clock,
-		Log:         entry.env.Log,
-		Scope:       entry.scope,
-		Pool:        entry.pool,
-		Config:      entry.watcher.Current,
-		Roster:      entry.view.Roster,
-		AdapterHolders:     entry.view.Holders,
-		Locate:      entry.view.Locate,
-		FindClaim:     entry.claimed,
+		Name:           settings.Name,
+		Site:           settings.Site,
+		Incarnation:    entry.incarnation,
+		Clock:          entry.env.Clock,
+		Log:            entry.env.Log,
+		Scope:          entry.scope,
+		Pool:           entry.pool,
+		Config:         entry.watcher.Current,
+		Roster:         entry.view.Roster,
+		AdapterHolders: entry.view.Holders,
+		Locate:         entry.view.Locate,
+		FindClaim:      entry.claimed,
 		OnDigest:       entry.applyDigest,
-		OnUnreachable:      entry.view.Fail,
-		Record:      entry.record.Record,
+		OnUnreachable:  entry.view.Fail,
+		Record:         entry.record.Record,
 	})
 	return entry, entry.release, nil
 }
