--- a/internal/forwarder/mint.go
+++ b/internal/forwarder/mint.go
@@ -14,63 +14,64 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// keysPath is where callers get minted keys.
+// keysPath is where callers request minted keys.
 const keysPath = "/v1/keys"
 
-// KeyOrder asks for minted keys.
-type KeyOrder struct {
+// KeyRequest is the body of a request for minted keys.
+type KeyRequest struct {
 	// Service is the service that the keys are for.
 	Service string `json:"service"`
-	// Count is how many keys are wanted, 1 to 64; zero means 1.
+	// Count is the number of keys, 1 to 64; zero means 1.
 	Count int `json:"count"`
 }
 
-// KeyGrant is the answer to a KeyOrder.
-type KeyGrant struct {
+// KeyResponse is the answer to a KeyRequest.
+type KeyResponse struct {
 	Keys []string `json:"keys"`
-	// Expires is the last moment at which the keys may be used first.
+	// Expires is the latest time at which a key may be used first.
 	Expires string `json:"expires"`
 }
 
-// serveKeys gives a team keys that need no store.
+// serveKeys issues minted keys, which need no store, to a team.
 func (entry *Entry) serveKeys(w http.ResponseWriter, r *http.Request, id string) {
-	grant, err := entry.mint(w, r, id)
+	response, err := entry.mint(w, r, id)
 	if err != nil {
 		entry.refuse(w, id, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(grant)
+	_ = json.NewEncoder(w).Encode(response)
 }
 
-func (entry *Entry) mint(w http.ResponseWriter, r *http.Request, id string) (KeyGrant, error) {
+func (entry *Entry) mint(w http.ResponseWriter, r *http.Request, id string) (KeyResponse, error) {
 	config := entry.settings.Config()
 	team, ok := entry.keys.teamOf(config, r.Header.Get("Authorization"))
 	if !ok {
-		return KeyGrant{}, classifier.New(classifier.Unauthorized, "send a team's key as Authorization: Bearer KEY")
+		return KeyResponse{}, classifier.New(classifier.Unauthorized, "send a team's key as Authorization: Bearer KEY")
 	}
 	if r.Method != http.MethodPost {
 		w.Header().Set("Allow", http.MethodPost)
-		return KeyGrant{}, classifier.New(classifier.MethodNotAllowed, "use POST")
+		return KeyResponse{}, classifier.New(classifier.MethodNotAllowed, "use POST")
 	}
 	const limit = 4096
 	body, err := entry.readBody(w, r, limit)
 	if err != nil {
-		return KeyGrant{}, err
+		return KeyResponse{}, err
 	}
-	var order KeyOrder
-	if err := json.Unmarshal(body, &order); err != nil || order.Count < 0 || order.Count > minter.MaxKeysPerRequest {
-		return KeyGrant{}, classifier.New(classifier.BadRequest, `send {"service": NAME, "count": 1 to 64}`)
+	var request KeyRequest
+	if err := json.Unmarshal(body, &request); err != nil || request.Count < 0 || request.Count > minter.MaxKeysPerRequest {
+		return KeyResponse{}, classifier.New(classifier.BadRequest, `send {"service": NAME, "count": 1 to 64}`)
 	}
-	if _, ok := config.Service(order.Service); !ok {
-		return KeyGrant{}, classifier.New(classifier.NotFound, "no such service")
+	if _, ok := config.Service(request.Service); !ok {
+		return KeyResponse{}, classifier.New(classifier.NotFound, "no such service")
 	}
-	return entry.mintAt(r, id, &encoder.MintAsk{Team: team, Service: order.Service, Count: uint32(max(1, order.Count))})
+	return entry.mintFromAgents(r, id, &encoder.MintAsk{Team: team, Service: request.Service, Count: uint32(max(1, request.Count))})
 }
 
-// mintAt asks one agent after the other. Each order starts at another agent,
-// so that the calls made with the keys spread as other calls do.
-func (entry *Entry) mintAt(r *http.Request, id string, ask *encoder.MintAsk) (KeyGrant, error) {
+// mintFromAgents asks one agent after the other until one mints the keys. Each
+// request starts at another agent, so that the calls made with the keys are spread
+// like other calls.
+func (entry *Entry) mintFromAgents(r *http.Request, id string, ask *encoder.MintAsk) (KeyResponse, error) {
 	failure := classifier.New(classifier.NoUpstream, ask.GetService()).WithRetryAfter(timekeeper.Second)
 	for _, replica := range entry.settings.Roster(ask.GetService()).Rank(xxhash.Sum64String(id), placer.MaxOffers) {
 		conn, err := entry.settings.Pool.Open(r.Context(), replica.Address)
@@ -79,26 +80,26 @@
 			continue
 		}
 		_ = conn.SetDeadline(entry.settings.Clock.Now().Add(lookUpTimeout).Time())
-		minted, err := askOnce(conn, ask, (*encoder.Frame).GetMinted)
+		minted, err := roundTrip(conn, ask, (*encoder.Frame).GetMinted)
 		switch {
 		case err != nil:
 			failure = classifier.New(classifier.Unreachable, replica.Name)
 		case minted.GetKind() != "":
 			failure = classifier.New(classifier.KindOf(minted.GetKind()), replica.Name)
 		default:
-			return KeyGrant{Keys: minted.GetKeys(), Expires: timekeeper.Instant(minted.GetExpires()).String()}, nil
+			return KeyResponse{Keys: minted.GetKeys(), Expires: timekeeper.Instant(minted.GetExpires()).String()}, nil
 		}
 	}
-	return KeyGrant{}, failure
+	return KeyResponse{}, failure
 }
 
-// askOnce sends one message, reads the answer and closes the connection.
-func askOnce[T comparable](conn net.Conn, message any, pick func(*encoder.Frame) T) (T, error) {
+// roundTrip sends one message, reads the answer and closes the connection.
+func roundTrip[T comparable](conn net.Conn, message any, get func(*encoder.Frame) T) (T, error) {
 	defer func() { _ = conn.Close() }()
 	stream := encoder.NewStream(conn)
 	if err := stream.Write(encoder.Of(message)); err != nil {
-		var none T
-		return none, err
+		var zero T
+		return zero, err
 	}
-	return encoder.ReadAs(stream, pick)
+	return encoder.ReadAs(stream, get)
 }
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -37,7 +37,7 @@
 // ran the chat and, for a refusal at the load bound, one with free capacity. Each may be
 // empty.
 func (agent *Agent) hints(offer *encoder.Offer, failure classifier.Failure) (holder, alternative string) {
-	if !classifier.AnswerOf(failure.Kind).Elsewhere {
+	if !classifier.AnswerOf(failure.Kind).RetryElsewhere {
 		return "", ""
 	}
 	agent.mu.Lock()
