--- a/internal/reporter/exchange.go
+++ b/internal/reporter/exchange.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// RoundEvery is the time between two rounds. News that every agent has
+	// RoundInterval is the time between two rounds. News that every agent has
 	// reaches an entry within one, which leaves a second of the two that a
 	// leaving upstream may still get work for its notice to reach the agents.
-	RoundEvery = timekeeper.Second
+	RoundInterval = timekeeper.Second
 	// firstRounds are quick, so that a process that starts is useful at once.
 	firstRounds = 4
 	firstPause  = 100 * timekeeper.Millisecond
@@ -93,7 +93,7 @@
 // NewExchanger returns an exchanger that has spoken to nobody yet.
 func NewExchanger(settings ExchangeSettings) *Exchanger {
 	if settings.Every == 0 {
-		settings.Every = RoundEvery
+		settings.Every = RoundInterval
 	}
 	return &Exchanger{
 		view: settings.View, budget: settings.View.settings.Budget, clock: settings.View.settings.Clock,
