--- a/internal/assembler/control.go
+++ b/internal/assembler/control.go
@@ -57,7 +57,7 @@
 		Site:  settings.process.Site,
 		Seeds: settings.process.Peers,
 		Self:  settings.self,
-		Every: settings.process.MembershipRound,
+		Interval: settings.process.MembershipRound,
 	})
 	return ctrl
 }
--- a/internal/reporter/exchange.go
+++ b/internal/reporter/exchange.go
@@ -86,19 +86,19 @@
 	Seeds []string
 	// Self returns what the agent says about itself; nil for an entry.
 	Self func() *encoder.Digest
-	// Every is the time between two rounds; zero means RoundEvery.
-	Every timekeeper.Span
+	// Interval is the time between two rounds; zero means RoundEvery.
+	Interval timekeeper.Span
 }
 
 // NewExchanger returns an exchanger that has spoken to nobody yet.
 func NewExchanger(settings ExchangeSettings) *Exchanger {
-	if settings.Every == 0 {
-		settings.Every = RoundInterval
+	if settings.Interval == 0 {
+		settings.Interval = RoundInterval
 	}
 	return &Exchanger{
 		view: settings.View, budget: settings.View.settings.Budget, clock: settings.View.settings.Clock,
 		open: settings.Open, name: settings.Name, site: settings.Site, seeds: settings.Seeds, self: settings.Self,
-		every: settings.Every, limit: messageLimit, share: entryLimit, contacts: map[string]contact{}, known: map[string]heard{}, answered: map[string]timekeeper.Instant{},
+		every: settings.Interval, limit: messageLimit, share: entryLimit, contacts: map[string]contact{}, known: map[string]heard{}, answered: map[string]timekeeper.Instant{},
 	}
 }
 
