--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// ListEvery is the shortest time between two readings of the instance list.
-	ListEvery = 2 * timekeeper.Second
+	// MinListInterval is the shortest time between two readings of the instance list.
+	MinListInterval = 2 * timekeeper.Second
 	// listRate is what reading the list may cost in bytes a second. A list of
 	// 3,100 instances is some 500 KB; read every 2 seconds by each process it
 	// would be most of what the platform and the budget can bear.
@@ -105,7 +105,7 @@
 func (view *View) listPause() timekeeper.Span {
 	view.mu.Lock()
 	defer view.mu.Unlock()
-	pause := max(ListEvery, timekeeper.Span(view.listed)*timekeeper.Second/listRate)
+	pause := max(MinListInterval, timekeeper.Span(view.listed)*timekeeper.Second/listRate)
 	if view.settings.Budget.Level(view.settings.Clock.Now()) >= budgeter.Short {
 		pause *= 2
 	}
