--- a/internal/reporter/judge.go
+++ b/internal/reporter/judge.go
@@ -23,7 +23,7 @@
 	leastWeight = 0.1
 )
 
-// Judge decides anew who is held dead, and forgets who is long gone.
+// Evaluate decides anew who is held dead, and forgets who is long gone.
 //
 // The load: thousands of processes that each hear of a replica at second hand.
 // The harm it prevents: a cut between data centres silences half of a service
@@ -32,7 +32,7 @@
 // replicas are held dead at once, the longest silent first. A call to a
 // replica that is in truth dead costs one failed dial and goes on to the next
 // candidate; a service that is emptied by mistake costs every call.
-func (table *Table) Judge(now timekeeper.Instant) {
+func (table *Table) Evaluate(now timekeeper.Instant) {
 	table.wake(now)
 	table.forget(now)
 	limit := table.silence(now)
--- a/internal/reporter/slopes_test.go
+++ b/internal/reporter/slopes_test.go
@@ -60,7 +60,7 @@
 				t.Fatal(err)
 			}
 			other.Unpack(now, ask)
-			other.Judge(now)
+			other.Evaluate(now)
 		}
 		t.Logf("replicas %d: %d microseconds of processor time a round and message", replicas, (processorTime()-started)/rounds)
 	}
--- a/internal/reporter/table_test.go
+++ b/internal/reporter/table_test.go
@@ -30,7 +30,7 @@
 	for i := range count {
 		table.Merge(start, said("r"+strconv.Itoa(i), 10, 5, live))
 	}
-	table.Judge(start)
+	table.Evaluate(start)
 	return table
 }
 
@@ -84,9 +84,9 @@
 				digest.Age = int64(age)
 				table.Merge(now, digest)
 			}
-			table.Judge(now)
+			table.Evaluate(now)
 		}
-		table.Judge(at)
+		table.Evaluate(at)
 		return table
 	}
 	Convey("one that is silent among others that speak is dead", t, func() {
@@ -107,7 +107,7 @@
 	Convey("a cut that silences most leaves at least half", t, func() {
 		table := heard(full(9, Rules{}), 7, 9, 0)
 		for range 3 {
-			table.Judge(at.Add(timekeeper.Minute))
+			table.Evaluate(at.Add(timekeeper.Minute))
 		}
 		So(len(table.Live()), ShouldBeGreaterThanOrEqualTo, 5)
 	})
@@ -116,16 +116,16 @@
 		table.Fail(at, "r0")
 		table.Fail(at, "r0")
 		table.Merge(at, said("r0", 10, 8, live))
-		table.Judge(at)
+		table.Evaluate(at)
 		So(stateOf(table, "r0"), ShouldEqual, "dead")
-		table.Judge(at.Add(defaultCool + 1))
+		table.Evaluate(at.Add(defaultCool + 1))
 		So(stateOf(table, "r0"), ShouldEqual, "live")
 	})
 	Convey("an entry whose agents call most dead keeps half, however that came about", t, func() {
 		table := full(9, Rules{Indirect: true})
 		for i := range 7 {
 			table.Merge(at, said("r"+strconv.Itoa(i), 10, 5, gone))
-			table.Judge(at)
+			table.Evaluate(at)
 		}
 		So(len(table.Live()), ShouldEqual, 5)
 	})
@@ -138,7 +138,7 @@
 				for i := silent; i < 9; i++ {
 					table.Merge(now, said("r"+strconv.Itoa(i), 10, uint64(now), live))
 				}
-				table.Judge(now)
+				table.Evaluate(now)
 			}
 		}
 		So(len(table.Live()), ShouldBeGreaterThanOrEqualTo, 5)
@@ -149,21 +149,21 @@
 		for i := range 5 {
 			table.Merge(wake, said("r"+strconv.Itoa(i), 10, 90, live))
 		}
-		table.Judge(wake)
+		table.Evaluate(wake)
 		So(len(table.Live()), ShouldEqual, 9)
 	})
 	Convey("an entry takes the agents' verdict, and a later word over it", t, func() {
 		table := full(9, Rules{Indirect: true})
 		table.Merge(at, said("r0", 10, 5, gone))
-		table.Judge(at)
+		table.Evaluate(at)
 		So(stateOf(table, "r0"), ShouldEqual, "dead")
 		table.Merge(at, said("r0", 10, 8, live))
 		table.Merge(at, said("r0", 10, 5, gone))
-		table.Judge(at)
+		table.Evaluate(at)
 		So(stateOf(table, "r0"), ShouldEqual, "live")
 		late := at.Add(defaultSilence)
 		table.Merge(late, said("r0", 10, 5, gone))
-		table.Judge(late)
+		table.Evaluate(late)
 		So(stateOf(table, "r0"), ShouldEqual, "dead")
 	})
 }
@@ -194,7 +194,7 @@
 		table := full(4, Rules{Indirect: true})
 		table.Merge(start, said("r0", 10, 5, gone))
 		table.List(start, []storekeeper.Instance{{Name: "r0", Address: "a"}, {Name: "r1", Address: "b"}})
-		table.Judge(start)
+		table.Evaluate(start)
 		So(stateOf(table, "r0"), ShouldEqual, "dead")
 		So(stateOf(table, "r3"), ShouldEqual, "live")
 		So(table.rows["r1"].Reach(), ShouldEqual, "b")
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -201,7 +201,7 @@
 func (view *View) rebuild(service string) {
 	now := view.settings.Clock.Now()
 	table := view.tables[service]
-	table.Judge(now)
+	table.Evaluate(now)
 	for _, change := range table.Changes() {
 		view.settings.Log.WithFields(logrus.Fields{
 			"service": service, "upstream": change.Name, "state": StateOf(change),
