--- a/internal/reporter/exchange.go
+++ b/internal/reporter/exchange.go
@@ -138,7 +138,7 @@
 	} else {
 		exchanger.entryRound(ctx)
 	}
-	exchanger.view.Judge()
+	exchanger.view.Evaluate()
 }
 
 // query returns what a message may hold now, by the level of the budget.
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -148,8 +148,8 @@
 	return view.instances
 }
 
-// Judge decides anew who is held dead and what weight each replica has.
-func (view *View) Judge() {
+// Evaluate decides anew who is held dead and what weight each replica has.
+func (view *View) Evaluate() {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	for service := range view.tables {
--- a/internal/reporter/view_test.go
+++ b/internal/reporter/view_test.go
@@ -93,7 +93,7 @@
 		So(view.Roster(service).Len(), ShouldEqual, 2)
 		answered := said("r0", 10, 2, live)
 		view.Learn(answered)
-		view.Judge()
+		view.Evaluate()
 		So(view.Roster(service).Len(), ShouldEqual, 3)
 	})
 }
