--- a/internal/assembler/base.go
+++ b/internal/assembler/base.go
@@ -101,7 +101,7 @@
 	if err := base.watcher.Await(ctx); err != nil {
 		return err
 	}
-	if err := base.view.Look(ctx); err != nil {
+	if err := base.view.ReadList(ctx); err != nil {
 		base.env.Log.WithError(err).Warn("instance list not read")
 		withoutList(ctx)
 	}
--- a/internal/reporter/drive_test.go
+++ b/internal/reporter/drive_test.go
@@ -100,7 +100,7 @@
 	}
 	one.exchanger = NewExchanger(settings)
 	one.due = driven.manual.Now().Add(timekeeper.Span(driven.random.Int64N(1000)))
-	if err := one.view.Look(driven.t.Context()); err != nil {
+	if err := one.view.ReadList(driven.t.Context()); err != nil {
 		driven.t.Fatal(err)
 	}
 }
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Look reads the instance list once.
-func (view *View) Look(ctx context.Context) error {
+// ReadList reads the instance list once.
+func (view *View) ReadList(ctx context.Context) error {
 	listed, err := view.settings.Directory.List(ctx)
 	if err != nil {
 		return err
@@ -115,7 +115,7 @@
 // Run reads the list again and again until ctx ends.
 func (view *View) Run(ctx context.Context, clock timekeeper.Clock) {
 	clock.Every(ctx, view.listPause, func(ctx context.Context) {
-		if err := view.Look(ctx); err != nil {
+		if err := view.ReadList(ctx); err != nil {
 			view.settings.Log.WithError(err).Warn("instance list not read")
 		}
 	})
