--- a/internal/assembler/watch.go
+++ b/internal/assembler/watch.go
@@ -61,5 +61,5 @@
 func (entry *Entry) applyDigest(digest *encoder.Digest) {
 	entry.control.countDigest(digest)
 	entry.watcher.Hear(digest.GetRevision())
-	entry.view.Learn(digest)
+	entry.view.RecordDigest(digest)
 }
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -121,8 +121,8 @@
 	})
 }
 
-// Learn takes in what an agent said about itself.
-func (view *View) Learn(digest *encoder.Digest) {
+// RecordDigest takes in what an agent said about itself.
+func (view *View) RecordDigest(digest *encoder.Digest) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	table := view.table(digest.GetService())
--- a/internal/reporter/view_test.go
+++ b/internal/reporter/view_test.go
@@ -30,7 +30,7 @@
 	for _, one := range digests {
 		digest := said(one.name, 10, 1, live)
 		digest.Service, digest.Load = "planner", one.load
-		view.Learn(digest)
+		view.RecordDigest(digest)
 	}
 	tests := []struct{ asker, least, most string }{{"r0", "r2", "r1"}, {"r1", "r0", "r2"}}
 	for _, test := range tests {
@@ -57,7 +57,7 @@
 	learn := func(name string, sequence uint64, loaded ...string) {
 		digest := said(name, 10, sequence, live)
 		digest.Service, digest.Loaded = "planner", loaded
-		view.Learn(digest)
+		view.RecordDigest(digest)
 	}
 	Convey("the roster follows what the engines hold", t, func() {
 		learn("r0", 1, "vans")
@@ -80,7 +80,7 @@
 	manual := timekeeper.NewManual(start)
 	view := NewView(Settings{Clock: manual.Clock(), Log: log, Budget: budgeter.New(budgeter.Settings{}), Rules: Rules{Indirect: true}})
 	for _, name := range []string{"r0", "r1", "r2"} {
-		view.Learn(said(name, 10, 1, live))
+		view.RecordDigest(said(name, 10, 1, live))
 	}
 	service := said("r0", 10, 1, live).GetService()
 	Convey("two in a row take the replica out, two an hour apart don't", t, func() {
@@ -92,7 +92,7 @@
 		view.Fail(service, "r0")
 		So(view.Roster(service).Len(), ShouldEqual, 2)
 		answered := said("r0", 10, 2, live)
-		view.Learn(answered)
+		view.RecordDigest(answered)
 		view.Evaluate()
 		So(view.Roster(service).Len(), ShouldEqual, 3)
 	})
