--- a/internal/assembler/entry.go
+++ b/internal/assembler/entry.go
@@ -71,7 +71,7 @@
 		Locate:      entry.view.Locate,
 		Claimed:     entry.claimed,
 		Learn:       entry.applyDigest,
-		Failed:      entry.view.Fail,
+		Failed:      entry.view.RecordDialFailure,
 		Record:      entry.record.Record,
 	})
 	return entry, entry.release, nil
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// Fail takes in that a call could not reach a replica. The replica is judged at
+// RecordDialFailure takes in that a call could not reach a replica. The replica is judged at
 // once, so that the next call doesn't meet it again.
-func (view *View) Fail(service, instance string) {
+func (view *View) RecordDialFailure(service, instance string) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	view.table(service).Fail(view.settings.Clock.Now(), instance)
--- a/internal/reporter/view_test.go
+++ b/internal/reporter/view_test.go
@@ -84,12 +84,12 @@
 	}
 	service := said("r0", 10, 1, live).GetService()
 	Convey("two in a row take the replica out, two an hour apart don't", t, func() {
-		view.Fail(service, "r0")
+		view.RecordDialFailure(service, "r0")
 		So(view.Roster(service).Len(), ShouldEqual, 3)
 		manual.Advance(timekeeper.Hour)
-		view.Fail(service, "r0")
+		view.RecordDialFailure(service, "r0")
 		So(view.Roster(service).Len(), ShouldEqual, 3)
-		view.Fail(service, "r0")
+		view.RecordDialFailure(service, "r0")
 		So(view.Roster(service).Len(), ShouldEqual, 2)
 		answered := said("r0", 10, 2, live)
 		view.RecordDigest(answered)
