--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -141,8 +141,8 @@
 	view.rebuild(service)
 }
 
-// Listed returns how many instances the newest list named.
-func (view *View) Listed() int {
+// CountListed returns how many instances the newest list named.
+func (view *View) CountListed() int {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	return view.instances
