--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -68,7 +68,7 @@
 		Hear:          agent.watcher.Hear,
 		Configuration: agent.watcher.Answer,
 		Mean:          agent.control.exchanger.Mean,
-		Room:          func() string { return agent.control.view.Room(settings.Service, settings.Name) },
+		Room:          func() string { return agent.control.view.Alternative(settings.Service, settings.Name) },
 		Digests:       agent.control.exchanger.Answer,
 		Tell:          agent.control.admitDigest,
 		Peers:         func() placer.Roster { return agent.control.view.Roster(settings.Service) },
--- a/internal/reporter/address.go
+++ b/internal/reporter/address.go
@@ -45,11 +45,11 @@
 	return engines
 }
 
-// Room returns a live replica of a service with little load, other than the
+// Alternative returns a live replica of a service with little load, other than the
 // one that asks: the lesser loaded of two at random (Mitzenmacher, "The Power of
 // Two Choices in Randomized Load Balancing", 2001). Rows are a second or more
 // old, so the least loaded of all would get every caller of a burst.
-func (view *View) Room(service, asker string) string {
+func (view *View) Alternative(service, asker string) string {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	live := slices.DeleteFunc(view.table(service).Live(), func(row Row) bool { return row.Name == asker })
--- a/internal/reporter/view_test.go
+++ b/internal/reporter/view_test.go
@@ -38,7 +38,7 @@
 			const draws = 400
 			named := map[string]int{}
 			for range draws {
-				named[view.Room("planner", test.asker)]++
+				named[view.Alternative("planner", test.asker)]++
 			}
 			So(named[test.asker], ShouldEqual, 0)
 			So(named[test.least]+named[test.most], ShouldEqual, draws)
