--- a/internal/assembler/entry.go
+++ b/internal/assembler/entry.go
@@ -67,7 +67,7 @@
 		Pool:        entry.pool,
 		Config:      entry.watcher.Current,
 		Roster:      entry.view.Roster,
-		Holders:     entry.view.Holders,
+		Holders:     entry.view.AdapterRoster,
 		Locate:      entry.view.Locate,
 		Claimed:     entry.claimed,
 		Learn:       entry.applyDigest,
--- a/internal/reporter/holders.go
+++ b/internal/reporter/holders.go
@@ -37,8 +37,8 @@
 	return now
 }
 
-// Holders returns the replicas of a service that may get new work and hold the adapter.
-func (view *View) Holders(service, adapter string) placer.Roster {
+// AdapterRoster returns the replicas of a service that may get new work and hold the adapter.
+func (view *View) AdapterRoster(service, adapter string) placer.Roster {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	return view.holders[service][adapter].roster
--- a/internal/reporter/view_test.go
+++ b/internal/reporter/view_test.go
@@ -62,12 +62,12 @@
 	Convey("the roster follows what the engines hold", t, func() {
 		learn("r0", 1, "vans")
 		learn("r1", 1)
-		So(view.Holders("planner", "vans").Len(), ShouldEqual, 1)
+		So(view.AdapterRoster("planner", "vans").Len(), ShouldEqual, 1)
 		learn("r1", 2, "menus", "vans")
-		So(view.Holders("planner", "vans").Len(), ShouldEqual, 2)
+		So(view.AdapterRoster("planner", "vans").Len(), ShouldEqual, 2)
 		learn("r0", 2)
 		learn("r1", 3)
-		So(view.Holders("planner", "vans").Len(), ShouldEqual, 0)
+		So(view.AdapterRoster("planner", "vans").Len(), ShouldEqual, 0)
 		So(view.holders["planner"], ShouldBeEmpty)
 	})
 }
