--- a/internal/reporter/exchange.go
+++ b/internal/reporter/exchange.go
@@ -145,7 +145,7 @@
 func (exchanger *Exchanger) query(limit int) Query {
 	switch level := exchanger.budget.Level(exchanger.clock.Now()); {
 	case level >= budgeter.Spent, level >= budgeter.Short && exchanger.self == nil:
-		return Query{Limit: limit, NewsOnly: true}
+		return Query{Limit: limit, WithoutLoads: true}
 	case level >= budgeter.Tight:
 		return Query{Limit: limit / 2}
 	}
--- a/internal/reporter/pack.go
+++ b/internal/reporter/pack.go
@@ -43,8 +43,8 @@
 	Verdicts bool
 	// Has are the load rows that the peer has just brought, with their sequences.
 	Has *encoder.Loads
-	// NewsOnly leaves load rows out: the budget is spent.
-	NewsOnly bool
+	// WithoutLoads leaves load rows out: the budget is spent.
+	WithoutLoads bool
 }
 
 // Pack returns a message with what a peer should hear, the most important
@@ -93,7 +93,7 @@
 }
 
 func (table *Table) loadGoes(row Row, query Query) bool {
-	if query.NewsOnly || row.Incarnation == 0 || row.dead || row.gone() || row.leaving() {
+	if query.WithoutLoads || row.Incarnation == 0 || row.dead || row.gone() || row.leaving() {
 		return false
 	}
 	if query.Recent && !query.Verdicts {
--- a/internal/reporter/table_test.go
+++ b/internal/reporter/table_test.go
@@ -220,7 +220,7 @@
 		So(len(message.GetDigests()), ShouldEqual, 1)
 		So(message.GetDigests()[0].GetState(), ShouldEqual, draining)
 		So(len(message.GetLoads().GetIds()), ShouldBeLessThan, 6)
-		So(len(table.Pack(later, Query{Recent: true, NewsOnly: true}).GetLoads().GetIds()), ShouldEqual, 0)
+		So(len(table.Pack(later, Query{Recent: true, WithoutLoads: true}).GetLoads().GetIds()), ShouldEqual, 0)
 	})
 	Convey("another table learns all from one full message", t, func() {
 		other := NewTable("planner", Rules{})
@@ -233,6 +233,6 @@
 		message := table.Pack(later, Query{Recent: true, Limit: 2000})
 		unknown := NewTable("planner", Rules{}).MergeLoads(later, message.GetLoads())
 		So(len(unknown), ShouldEqual, len(message.GetLoads().GetIds()))
-		So(len(table.Pack(later, Query{Recent: true, NewsOnly: true, Wanted: unknown[:1]}).GetDigests()), ShouldBeGreaterThanOrEqualTo, 1)
+		So(len(table.Pack(later, Query{Recent: true, WithoutLoads: true, Wanted: unknown[:1]}).GetDigests()), ShouldBeGreaterThanOrEqualTo, 1)
 	})
 }
