--- a/internal/reporter/pack.go
+++ b/internal/reporter/pack.go
@@ -38,9 +38,9 @@
 	// Recent takes news by their age instead of by version, for a peer that
 	// knows the service from others.
 	Recent bool
-	// Verdicts tells of replicas that are held dead. Agents judge for
+	// IncludeDead tells of replicas that are held dead. Agents judge for
 	// themselves, so that one agent's cut isn't taken for everybody's.
-	Verdicts bool
+	IncludeDead bool
 	// Has are the load rows that the peer has just brought, with their sequences.
 	Has *encoder.Loads
 	// WithoutLoads leaves load rows out: the budget is spent.
@@ -68,7 +68,7 @@
 				continue
 			}
 			digest.Service = ""
-			if !query.Verdicts {
+			if !query.IncludeDead {
 				row.newsSent++
 			}
 			out.Digests = append(out.Digests, digest)
@@ -79,7 +79,7 @@
 			continue
 		}
 		addLoad(out.GetLoads(), *row, now)
-		if !query.Verdicts {
+		if !query.IncludeDead {
 			row.sent++
 			row.sentAt = now
 		}
@@ -96,7 +96,7 @@
 	if query.WithoutLoads || row.Incarnation == 0 || row.dead || row.gone() || row.leaving() {
 		return false
 	}
-	if query.Recent && !query.Verdicts {
+	if query.Recent && !query.IncludeDead {
 		return row.sent < mostSends && !query.has(row)
 	}
 	return query.Recent || row.changed > query.Known
@@ -120,11 +120,11 @@
 	if slices.Contains(query.Wanted, id(row.Name, row.Incarnation)) {
 		return true
 	}
-	if row.dead && !row.leaving() && !query.Verdicts {
+	if row.dead && !row.leaving() && !query.IncludeDead {
 		return false
 	}
 	switch {
-	case query.Recent && query.Verdicts:
+	case query.Recent && query.IncludeDead:
 		return (row.Incarnation != 0 || row.dead) && now.Since(row.news) <= newsFor
 	case query.Recent:
 		return row.Incarnation != 0 && row.newsSent < newsSends && now.Since(row.news) <= newsFor
--- a/internal/reporter/table_test.go
+++ b/internal/reporter/table_test.go
@@ -224,7 +224,7 @@
 	})
 	Convey("another table learns all from one full message", t, func() {
 		other := NewTable("planner", Rules{})
-		So(other.Unpack(later, table.Pack(later, Query{Verdicts: true})), ShouldBeEmpty)
+		So(other.Unpack(later, table.Pack(later, Query{IncludeDead: true})), ShouldBeEmpty)
 		So(len(other.Rows()), ShouldEqual, 40)
 		So(stateOf(other, "r7"), ShouldEqual, "leaving")
 	})
