--- a/internal/reporter/exchange.go
+++ b/internal/reporter/exchange.go
@@ -189,7 +189,7 @@
 	query := exchanger.query(exchanger.limitOf(ask))
 	query.Known, query.Wanted, query.IncludeDead = ask.GetKnown(), ask.GetWanted(), ask.GetOwn() == nil
 	query.Recent = ask.GetOwn() != nil || ask.GetRecent()
-	query.Has = ask.GetOwn().GetLoads()
+	query.PeerLoads = ask.GetOwn().GetLoads()
 	cause := budgeter.Digest
 	var answer *encoder.Digests
 	exchanger.view.with(service, func(table *Table, now timekeeper.Instant) {
--- a/internal/reporter/pack.go
+++ b/internal/reporter/pack.go
@@ -41,8 +41,8 @@
 	// IncludeDead tells of replicas that are held dead. Agents judge for
 	// themselves, so that one agent's cut isn't taken for everybody's.
 	IncludeDead bool
-	// Has are the load rows that the peer has just brought, with their sequences.
-	Has *encoder.Loads
+	// PeerLoads are the load rows that the peer has just brought, with their sequences.
+	PeerLoads *encoder.Loads
 	// WithoutLoads leaves load rows out: the budget is spent.
 	WithoutLoads bool
 }
@@ -104,8 +104,8 @@
 
 // has reports whether the peer has brought the row itself, as new or newer.
 func (query Query) has(row Row) bool {
-	at := slices.Index(query.Has.GetIds(), id(row.Name, row.Incarnation))
-	return at >= 0 && at < len(query.Has.GetSequences()) && query.Has.GetSequences()[at] >= row.Sequence
+	at := slices.Index(query.PeerLoads.GetIds(), id(row.Name, row.Incarnation))
+	return at >= 0 && at < len(query.PeerLoads.GetSequences()) && query.PeerLoads.GetSequences()[at] >= row.Sequence
 }
 
 func addLoad(loads *encoder.Loads, row Row, now timekeeper.Instant) {
