--- a/internal/reporter/pack.go
+++ b/internal/reporter/pack.go
@@ -27,8 +27,8 @@
 
 // Query says what a message to a peer shall hold.
 type Query struct {
-	// Known is the table version that the peer has seen; zero means none.
-	Known uint64
+	// KnownVersion is the table version that the peer has seen; zero means none.
+	KnownVersion uint64
 	// Wanted are ids that the peer couldn't place.
 	Wanted []uint32
 	// Limit is the size of the message in bytes, about; zero means no limit.
@@ -99,7 +99,7 @@
 	if query.Recent && !query.IncludeDead {
 		return row.sent < mostSends && !query.has(row)
 	}
-	return query.Recent || row.changed > query.Known
+	return query.Recent || row.changed > query.KnownVersion
 }
 
 // has reports whether the peer has brought the row itself, as new or newer.
@@ -129,7 +129,7 @@
 	case query.Recent:
 		return row.Incarnation != 0 && row.newsSent < newsSends && now.Since(row.news) <= newsFor
 	}
-	return row.newsAt > query.Known
+	return row.newsAt > query.KnownVersion
 }
 
 func (table *Table) byImportance(now timekeeper.Instant, query Query) []*Row {
