--- a/internal/reporter/exchange.go
+++ b/internal/reporter/exchange.go
@@ -187,7 +187,7 @@
 	digest := exchanger.self()
 	service := digest.GetService()
 	query := exchanger.query(exchanger.limitOf(ask))
-	query.KnownVersion, query.Wanted, query.IncludeDead = ask.GetKnown(), ask.GetWanted(), ask.GetOwn() == nil
+	query.KnownVersion, query.UnknownIDs, query.IncludeDead = ask.GetKnown(), ask.GetWanted(), ask.GetOwn() == nil
 	query.Recent = ask.GetOwn() != nil || ask.GetRecent()
 	query.PeerLoads = ask.GetOwn().GetLoads()
 	cause := budgeter.Digest
--- a/internal/reporter/pack.go
+++ b/internal/reporter/pack.go
@@ -29,8 +29,8 @@
 type Query struct {
 	// KnownVersion is the table version that the peer has seen; zero means none.
 	KnownVersion uint64
-	// Wanted are ids that the peer couldn't place.
-	Wanted []uint32
+	// UnknownIDs are ids that the peer couldn't place.
+	UnknownIDs []uint32
 	// Limit is the size of the message in bytes, about; zero means no limit.
 	// Notices of replicas that leave go beyond it, and so does all news to a
 	// peer that follows by version, for it wouldn't be told twice.
@@ -117,7 +117,7 @@
 
 // isNews reports whether the peer may lack more than the row's load.
 func (table *Table) isNews(now timekeeper.Instant, row *Row, query Query) bool {
-	if slices.Contains(query.Wanted, id(row.Name, row.Incarnation)) {
+	if slices.Contains(query.UnknownIDs, id(row.Name, row.Incarnation)) {
 		return true
 	}
 	if row.dead && !row.leaving() && !query.IncludeDead {
--- a/internal/reporter/table_test.go
+++ b/internal/reporter/table_test.go
@@ -233,6 +233,6 @@
 		message := table.Pack(later, Query{Recent: true, Limit: 2000})
 		unknown := NewTable("planner", Rules{}).MergeLoads(later, message.GetLoads())
 		So(len(unknown), ShouldEqual, len(message.GetLoads().GetIds()))
-		So(len(table.Pack(later, Query{Recent: true, WithoutLoads: true, Wanted: unknown[:1]}).GetDigests()), ShouldBeGreaterThanOrEqualTo, 1)
+		So(len(table.Pack(later, Query{Recent: true, WithoutLoads: true, UnknownIDs: unknown[:1]}).GetDigests()), ShouldBeGreaterThanOrEqualTo, 1)
 	})
 }
