--- a/internal/reporter/judge.go
+++ b/internal/reporter/judge.go
@@ -48,7 +48,7 @@
 		}
 	}
 	slices.SortFunc(silent, func(a, b *Row) int {
-		return cmp.Or(cmp.Compare(a.Said, b.Said), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.ReportedAt, b.ReportedAt), cmp.Compare(a.Name, b.Name))
 	})
 	allowed := min(len(silent), present/2)
 	for i, row := range silent {
@@ -90,7 +90,7 @@
 	if row.fails >= failsToDie {
 		limit /= 2
 	}
-	return row.gone() || now.Since(max(row.Said, table.woke)) > limit
+	return row.gone() || now.Since(max(row.ReportedAt, table.woke)) > limit
 }
 
 // silence returns how long a replica may be silent now: by the age that the
@@ -106,7 +106,7 @@
 	var ages []timekeeper.Span
 	for _, row := range table.order {
 		if row.Incarnation != 0 && !row.leaving() && !row.dead {
-			ages = append(ages, now.Since(row.Said))
+			ages = append(ages, now.Since(row.ReportedAt))
 		}
 	}
 	if len(ages) == 0 {
@@ -131,7 +131,7 @@
 // table of an Indirect process drops only those that were called dead or leaving.
 func (table *Table) forget(now timekeeper.Instant) {
 	for name, row := range table.rows {
-		quiet := now.Since(max(row.Said, row.news)) > table.rules.Forget
+		quiet := now.Since(max(row.ReportedAt, row.news)) > table.rules.Forget
 		if quiet && !row.Listed && (!table.rules.Indirect || row.dead || row.leaving()) {
 			delete(table.rows, name)
 			table.order = slices.DeleteFunc(table.order, func(row *Row) bool { return row.Name == name })
@@ -176,7 +176,7 @@
 		}
 		mean.Total += row.Load
 		mean.Replicas++
-		ages = append(ages, now.Since(row.Said))
+		ages = append(ages, now.Since(row.ReportedAt))
 	}
 	if len(ages) > 0 {
 		slices.Sort(ages)
--- a/internal/reporter/pack.go
+++ b/internal/reporter/pack.go
@@ -112,7 +112,7 @@
 	loads.Ids = append(loads.Ids, id(row.Name, row.Incarnation))
 	loads.Loads = append(loads.Loads, row.Load)
 	loads.Sequences = append(loads.Sequences, row.Sequence)
-	loads.Ages = append(loads.Ages, uint32(max(0, now.Since(row.Said))/ageUnit))
+	loads.Ages = append(loads.Ages, uint32(max(0, now.Since(row.ReportedAt))/ageUnit))
 }
 
 // isNews reports whether the peer may lack more than the row's load.
@@ -142,7 +142,7 @@
 		if false {
 			order = cmp.Compare(a.sentAt, b.sentAt)
 		}
-		return cmp.Or(order, cmp.Compare(b.Said, a.Said), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(order, cmp.Compare(b.ReportedAt, a.ReportedAt), cmp.Compare(a.Name, b.Name))
 	})
 	return rows
 }
--- a/internal/reporter/row.go
+++ b/internal/reporter/row.go
@@ -27,8 +27,8 @@
 	Strikes     []*encoder.Strike
 	// Loaded are the adapters that the engine holds.
 	Loaded []string
-	// Said is when the replica's agent said this, by the clock of this process.
-	Said timekeeper.Instant
+	// ReportedAt is when the replica's agent said this, by the clock of this process.
+	ReportedAt timekeeper.Instant
 	// Leaving says that the instance list marks the replica as leaving.
 	Leaving bool
 	// Listed says that the newest instance list names the replica.
@@ -62,7 +62,7 @@
 	row.Sequence = digest.GetSequence()
 	row.Strikes = digest.GetStrikes()
 	row.Loaded = digest.GetLoaded()
-	row.Said = said
+	row.ReportedAt = said
 	row.sent = 0
 	if digest.GetSite() != "" {
 		row.Site = digest.GetSite()
@@ -102,7 +102,7 @@
 		Instance: row.Name, Incarnation: row.Incarnation, Service: service, State: state,
 		Load: row.Load, Running: row.Running, Waiting: row.Waiting, Capacity: row.Capacity,
 		Revision: row.Revision, Sequence: row.Sequence, Strikes: row.Strikes,
-		Age: int64(max(0, now.Since(row.Said))), Address: row.Reach(), Site: row.Site,
+		Age: int64(max(0, now.Since(row.ReportedAt))), Address: row.Reach(), Site: row.Site,
 		Loaded: row.Loaded,
 	}
 }
--- a/internal/reporter/status.go
+++ b/internal/reporter/status.go
@@ -35,7 +35,7 @@
 			out = append(out, ReplicaStatus{
 				Service: service, Name: row.Name, Site: row.Site, Address: row.Reach(), State: StateOf(row),
 				Incarnation: row.Incarnation, Sequence: row.Sequence, Revision: row.Revision, Load: row.Load,
-				Weight: row.Weight(now), Age: now.Since(row.Said), Listed: row.Listed, Strikes: len(row.Strikes),
+				Weight: row.Weight(now), Age: now.Since(row.ReportedAt), Listed: row.Listed, Strikes: len(row.Strikes),
 			})
 		}
 	}
--- a/internal/reporter/table.go
+++ b/internal/reporter/table.go
@@ -103,7 +103,7 @@
 	merged := known.WithSaid(digest, said)
 	if merged.Incarnation == known.Incarnation {
 		merged.Sequence = max(merged.Sequence, known.Sequence)
-		merged.Said = max(merged.Said, known.Said)
+		merged.ReportedAt = max(merged.ReportedAt, known.ReportedAt)
 	}
 	if known.Incarnation == digest.GetIncarnation() && known.State == encoder.ReplicaState_REPLICA_STATE_DRAINING {
 		// An incarnation that drains never serves again.
@@ -131,7 +131,7 @@
 		// A verdict repeats the last sequence that its agent heard. This process
 		// may have heard a later one itself; the verdict holds all the same once
 		// the replica has been silent here too.
-		return digest.GetSequence() >= known.Sequence || now.Since(known.Said) > table.rules.Silence/2
+		return digest.GetSequence() >= known.Sequence || now.Since(known.ReportedAt) > table.rules.Silence/2
 	}
 	return digest.GetSequence() > known.Sequence
 }
@@ -211,7 +211,7 @@
 		row, ok := table.rows[instance.Name]
 		if !ok {
 			table.put(now, Row{
-				Name: instance.Name, Said: now, State: encoder.ReplicaState_REPLICA_STATE_LIVE,
+				Name: instance.Name, ReportedAt: now, State: encoder.ReplicaState_REPLICA_STATE_LIVE,
 			}, true)
 			row = table.rows[instance.Name]
 		}
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -205,7 +205,7 @@
 	for _, change := range table.Changes() {
 		view.settings.Log.WithFields(logrus.Fields{
 			"service": service, "upstream": change.Name, "state": StateOf(change),
-			"incarnation": change.Incarnation, "silent": now.Since(change.Said).String(),
+			"incarnation": change.Incarnation, "silent": now.Since(change.ReportedAt).String(),
 		}).Info("membership")
 	}
 	live := table.Live()
