--- a/internal/reporter/row.go
+++ b/internal/reporter/row.go
@@ -50,8 +50,8 @@
 	rank        int
 }
 
-// WithSaid returns the row with what a digest says, at a time by this clock.
-func (row Row) WithSaid(digest *encoder.Digest, said timekeeper.Instant) Row {
+// WithDigest returns the row with what a digest says, at a time by this clock.
+func (row Row) WithDigest(digest *encoder.Digest, said timekeeper.Instant) Row {
 	row.Incarnation = digest.GetIncarnation()
 	row.State = digest.GetState()
 	row.Load = digest.GetLoad()
--- a/internal/reporter/table.go
+++ b/internal/reporter/table.go
@@ -93,14 +93,14 @@
 	said := now.Add(-timekeeper.Span(max(0, digest.GetAge())))
 	row, ok := table.rows[digest.GetInstance()]
 	if !ok {
-		table.put(now, Row{Name: digest.GetInstance()}.WithSaid(digest, said), true)
+		table.put(now, Row{Name: digest.GetInstance()}.WithDigest(digest, said), true)
 		return true
 	}
 	known := *row
 	if !table.newer(now, known, digest) {
 		return false
 	}
-	merged := known.WithSaid(digest, said)
+	merged := known.WithDigest(digest, said)
 	if merged.Incarnation == known.Incarnation {
 		merged.Sequence = max(merged.Sequence, known.Sequence)
 		merged.ReportedAt = max(merged.ReportedAt, known.ReportedAt)
