--- a/internal/reporter/address.go
+++ b/internal/reporter/address.go
@@ -14,7 +14,7 @@
 	var addresses []string
 	for _, service := range slices.Sorted(maps.Keys(view.tables)) {
 		for _, row := range view.tables[service].Live() {
-			addresses = append(addresses, row.Reach())
+			addresses = append(addresses, row.DialAddress())
 		}
 	}
 	return addresses
@@ -26,8 +26,8 @@
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	for _, table := range view.tables {
-		if row := table.rows[instance]; row != nil && row.Reach() != "" {
-			return row.Reach(), true
+		if row := table.rows[instance]; row != nil && row.DialAddress() != "" {
+			return row.DialAddress(), true
 		}
 	}
 	return "", false
@@ -40,7 +40,7 @@
 	live := view.table(service).Live()
 	engines := make([]planner.Address, 0, len(live))
 	for _, row := range live {
-		engines = append(engines, planner.Address{Engine: row.Name, Address: row.Reach()})
+		engines = append(engines, planner.Address{Engine: row.Name, Address: row.DialAddress()})
 	}
 	return engines
 }
--- a/internal/reporter/judge.go
+++ b/internal/reporter/judge.go
@@ -144,7 +144,7 @@
 func (table *Table) Live() []Row {
 	live := make([]Row, 0, len(table.order))
 	for _, row := range table.order {
-		if !row.dead && !row.leaving() && row.Reach() != "" {
+		if !row.dead && !row.leaving() && row.DialAddress() != "" {
 			live = append(live, *row)
 		}
 	}
--- a/internal/reporter/rounds.go
+++ b/internal/reporter/rounds.go
@@ -72,7 +72,7 @@
 // addressOf returns where a peer is reached, or a seed when there is none.
 func (exchanger *Exchanger) addressOf(peer Row) string {
 	if peer.Name != "" {
-		return peer.Reach()
+		return peer.DialAddress()
 	}
 	if len(exchanger.seeds) == 0 {
 		return ""
@@ -87,7 +87,7 @@
 	stray := random.IntN(strayOneIn) == 0
 	var choice []Row
 	for _, row := range table.Rows() {
-		if row.Name != exchanger.name && row.Reach() != "" && (stray || !row.dead && !row.leaving()) {
+		if row.Name != exchanger.name && row.DialAddress() != "" && (stray || !row.dead && !row.leaving()) {
 			choice = append(choice, row)
 		}
 	}
@@ -140,7 +140,7 @@
 	if known.version == 0 && !ask.GetRecent() {
 		ask.Limit = fullAnswer
 	}
-	answer, err := exchanger.ask(ctx, peer.Reach(), budgeter.Digest, ask)
+	answer, err := exchanger.ask(ctx, peer.DialAddress(), budgeter.Digest, ask)
 	if err == nil && answer.GetIncarnation() != known.incarnation && known.version != 0 {
 		// Another life of the agent counts its versions anew.
 		answer.Version = 0
@@ -255,7 +255,7 @@
 	for range min(announceWorkers, len(peers)) {
 		workers.Go(func() {
 			for peer := range queue {
-				_, _ = exchanger.ask(ctx, peer.Reach(), budgeter.Notice, ask)
+				_, _ = exchanger.ask(ctx, peer.DialAddress(), budgeter.Notice, ask)
 			}
 		})
 	}
--- a/internal/reporter/row.go
+++ b/internal/reporter/row.go
@@ -73,9 +73,9 @@
 	return row
 }
 
-// Reach returns the address to dial: the list's, for it knows how the replica
+// DialAddress returns the address to dial: the list's, for it knows how the replica
 // is reached from outside, else the one that the agent gave.
-func (row Row) Reach() string {
+func (row Row) DialAddress() string {
 	if row.listAddress != "" {
 		return row.listAddress
 	}
@@ -102,7 +102,7 @@
 		Instance: row.Name, Incarnation: row.Incarnation, Service: service, State: state,
 		Load: row.Load, Running: row.Running, Waiting: row.Waiting, Capacity: row.Capacity,
 		Revision: row.Revision, Sequence: row.Sequence, Strikes: row.Strikes,
-		Age: int64(max(0, now.Since(row.ReportedAt))), Address: row.Reach(), Site: row.Site,
+		Age: int64(max(0, now.Since(row.ReportedAt))), Address: row.DialAddress(), Site: row.Site,
 		Loaded: row.Loaded,
 	}
 }
--- a/internal/reporter/status.go
+++ b/internal/reporter/status.go
@@ -33,7 +33,7 @@
 	for service, table := range view.tables {
 		for _, row := range table.Rows() {
 			out = append(out, ReplicaStatus{
-				Service: service, Name: row.Name, Site: row.Site, Address: row.Reach(), State: StateOf(row),
+				Service: service, Name: row.Name, Site: row.Site, Address: row.DialAddress(), State: StateOf(row),
 				Incarnation: row.Incarnation, Sequence: row.Sequence, Revision: row.Revision, Load: row.Load,
 				Weight: row.Weight(now), Age: now.Since(row.ReportedAt), Listed: row.Listed, Strikes: len(row.Strikes),
 			})
--- a/internal/reporter/table_test.go
+++ b/internal/reporter/table_test.go
@@ -197,7 +197,7 @@
 		table.Evaluate(start)
 		So(stateOf(table, "r0"), ShouldEqual, "dead")
 		So(stateOf(table, "r3"), ShouldEqual, "live")
-		So(table.rows["r1"].Reach(), ShouldEqual, "b")
+		So(table.rows["r1"].DialAddress(), ShouldEqual, "b")
 	})
 	Convey("a mark of leaving in the list stops new work", t, func() {
 		table := full(4, Rules{})
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -212,7 +212,7 @@
 	replicas := make([]placer.Replica, len(live))
 	for i, row := range live {
 		share := max(1, int(row.Weight(now)*placer.WholeShare))
-		replicas[i] = placer.Replica{Name: row.Name, Address: row.Reach(), Site: row.Site, Share: share}
+		replicas[i] = placer.Replica{Name: row.Name, Address: row.DialAddress(), Site: row.Site, Share: share}
 	}
 	if !slices.Equal(replicas, view.replicas[service]) {
 		// Making a ring costs a sort of all its points, so it is made only anew.
