--- a/internal/reporter/holders.go
+++ b/internal/reporter/holders.go
@@ -22,7 +22,7 @@
 func (before holders) anew(live []Row, replicas []placer.Replica) holders {
 	by := map[string][]placer.Replica{}
 	for i, row := range live {
-		for _, adapter := range row.Loaded {
+		for _, adapter := range row.Adapters {
 			by[adapter] = append(by[adapter], replicas[i])
 		}
 	}
--- a/internal/reporter/row.go
+++ b/internal/reporter/row.go
@@ -25,8 +25,8 @@
 	Revision    uint64
 	Sequence    uint64
 	Strikes     []*encoder.Strike
-	// Loaded are the adapters that the engine holds.
-	Loaded []string
+	// Adapters are the adapters that the engine holds.
+	Adapters []string
 	// ReportedAt is when the replica's agent said this, by the clock of this process.
 	ReportedAt timekeeper.Instant
 	// Leaving says that the instance list marks the replica as leaving.
@@ -61,7 +61,7 @@
 	row.Revision = digest.GetRevision()
 	row.Sequence = digest.GetSequence()
 	row.Strikes = digest.GetStrikes()
-	row.Loaded = digest.GetLoaded()
+	row.Adapters = digest.GetLoaded()
 	row.ReportedAt = said
 	row.sent = 0
 	if digest.GetSite() != "" {
@@ -103,7 +103,7 @@
 		Load: row.Load, Running: row.Running, Waiting: row.Waiting, Capacity: row.Capacity,
 		Revision: row.Revision, Sequence: row.Sequence, Strikes: row.Strikes,
 		Age: int64(max(0, now.Since(row.ReportedAt))), Address: row.DialAddress(), Site: row.Site,
-		Loaded: row.Loaded,
+		Loaded: row.Adapters,
 	}
 }
 
--- a/internal/reporter/table.go
+++ b/internal/reporter/table.go
@@ -116,7 +116,7 @@
 	}
 	merged = table.comeBack(now, known, merged)
 	news := merged.Incarnation != known.Incarnation || merged.State != known.State ||
-		len(merged.Strikes) != len(known.Strikes) || known.dead || !slices.Equal(merged.Loaded, known.Loaded)
+		len(merged.Strikes) != len(known.Strikes) || known.dead || !slices.Equal(merged.Adapters, known.Adapters)
 	merged.dead = known.dead && merged.gone()
 	table.put(now, merged, news)
 	return news
