--- a/internal/reporter/judge.go
+++ b/internal/reporter/judge.go
@@ -65,7 +65,7 @@
 // stopped for half a minute would hold dead, when it wakes, everyone whom it
 // hasn't heard yet: it was the one who was away.
 func (table *Table) wake(now timekeeper.Instant) {
-	if table.judged != 0 && now.Since(table.judged) > table.rules.Silence/2 {
+	if table.judged != 0 && now.Since(table.judged) > table.rules.SilenceTimeout/2 {
 		table.woke = now
 	}
 	table.judged = now
@@ -110,10 +110,10 @@
 		}
 	}
 	if len(ages) == 0 {
-		return table.rules.Silence
+		return table.rules.SilenceTimeout
 	}
 	slices.Sort(ages)
-	return max(table.rules.Silence, quartersOfSilence*ages[freshQuarter(len(ages))])
+	return max(table.rules.SilenceTimeout, quartersOfSilence*ages[freshQuarter(len(ages))])
 }
 
 // freshQuarter returns the index of the age that the freshest quarter keeps
--- a/internal/reporter/table.go
+++ b/internal/reporter/table.go
@@ -11,10 +11,10 @@
 
 // Rules are the limits by which a table judges replicas.
 type Rules struct {
-	// Silence is how long a replica may be silent before it is held dead; zero
+	// SilenceTimeout is how long a replica may be silent before it is held dead; zero
 	// means 8 seconds: four times the 99th percentile of the age of a digest
 	// among 50 agents, so that chance alone holds nobody dead.
-	Silence timekeeper.Span
+	SilenceTimeout timekeeper.Span
 	// Forget is how long a silent replica that no list names is remembered;
 	// zero means 10 minutes. Within it, an older incarnation isn't believed.
 	Forget timekeeper.Span
@@ -42,8 +42,8 @@
 )
 
 func (rules Rules) withDefaults() Rules {
-	if rules.Silence == 0 {
-		rules.Silence = defaultSilence
+	if rules.SilenceTimeout == 0 {
+		rules.SilenceTimeout = defaultSilence
 	}
 	if rules.Forget == 0 {
 		rules.Forget = defaultForget
@@ -131,7 +131,7 @@
 		// A verdict repeats the last sequence that its agent heard. This process
 		// may have heard a later one itself; the verdict holds all the same once
 		// the replica has been silent here too.
-		return digest.GetSequence() >= known.Sequence || now.Since(known.ReportedAt) > table.rules.Silence/2
+		return digest.GetSequence() >= known.Sequence || now.Since(known.ReportedAt) > table.rules.SilenceTimeout/2
 	}
 	return digest.GetSequence() > known.Sequence
 }
