--- a/internal/reporter/judge.go
+++ b/internal/reporter/judge.go
@@ -131,7 +131,7 @@
 // table of an Indirect process drops only those that were called dead or leaving.
 func (table *Table) forget(now timekeeper.Instant) {
 	for name, row := range table.rows {
-		quiet := now.Since(max(row.ReportedAt, row.news)) > table.rules.Forget
+		quiet := now.Since(max(row.ReportedAt, row.news)) > table.rules.ForgetAfter
 		if quiet && !row.Listed && (!table.rules.Indirect || row.dead || row.leaving()) {
 			delete(table.rows, name)
 			table.order = slices.DeleteFunc(table.order, func(row *Row) bool { return row.Name == name })
--- a/internal/reporter/table.go
+++ b/internal/reporter/table.go
@@ -15,9 +15,9 @@
 	// means 8 seconds: four times the 99th percentile of the age of a digest
 	// among 50 agents, so that chance alone holds nobody dead.
 	SilenceTimeout timekeeper.Span
-	// Forget is how long a silent replica that no list names is remembered;
+	// ForgetAfter is how long a silent replica that no list names is remembered;
 	// zero means 10 minutes. Within it, an older incarnation isn't believed.
-	Forget timekeeper.Span
+	ForgetAfter timekeeper.Span
 	// Cool is after what time an entry tries a replica again that it could not
 	// reach, though agents call it live; zero means 10 seconds.
 	Cool timekeeper.Span
@@ -45,8 +45,8 @@
 	if rules.SilenceTimeout == 0 {
 		rules.SilenceTimeout = defaultSilence
 	}
-	if rules.Forget == 0 {
-		rules.Forget = defaultForget
+	if rules.ForgetAfter == 0 {
+		rules.ForgetAfter = defaultForget
 	}
 	if rules.Cool == 0 {
 		rules.Cool = defaultCool
