--- a/internal/assembler/control.go
+++ b/internal/assembler/control.go
@@ -67,7 +67,7 @@
 func rulesOf(settings controlSettings) reporter.Rules {
 	const silenceRounds, coolRounds = 8, 10
 	round := settings.process.MembershipRound
-	return reporter.Rules{Indirect: settings.self == nil, SilenceTimeout: silenceRounds * round, Cool: coolRounds * round}
+	return reporter.Rules{Indirect: settings.self == nil, SilenceTimeout: silenceRounds * round, RetryAfter: coolRounds * round}
 }
 
 // countControlBytes returns a function that adds control traffic to the metrics.
--- a/internal/reporter/judge.go
+++ b/internal/reporter/judge.go
@@ -85,7 +85,7 @@
 // deadBy reports whether a replica has been silent for too long.
 func (table *Table) deadBy(now timekeeper.Instant, row *Row, limit timekeeper.Span) bool {
 	if table.rules.Indirect {
-		return row.gone() || row.fails >= failsToDie && now.Since(row.failed) <= table.rules.Cool
+		return row.gone() || row.fails >= failsToDie && now.Since(row.failed) <= table.rules.RetryAfter
 	}
 	if row.fails >= failsToDie {
 		limit /= 2
--- a/internal/reporter/table.go
+++ b/internal/reporter/table.go
@@ -18,9 +18,9 @@
 	// ForgetAfter is how long a silent replica that no list names is remembered;
 	// zero means 10 minutes. Within it, an older incarnation isn't believed.
 	ForgetAfter timekeeper.Span
-	// Cool is after what time an entry tries a replica again that it could not
+	// RetryAfter is after what time an entry tries a replica again that it could not
 	// reach, though agents call it live; zero means 10 seconds.
-	Cool timekeeper.Span
+	RetryAfter timekeeper.Span
 	// Indirect says that others judge silence (an entry, which hears of most
 	// replicas rarely); only verdicts of agents and failed dials count then.
 	Indirect bool
@@ -48,8 +48,8 @@
 	if rules.ForgetAfter == 0 {
 		rules.ForgetAfter = defaultForget
 	}
-	if rules.Cool == 0 {
-		rules.Cool = defaultCool
+	if rules.RetryAfter == 0 {
+		rules.RetryAfter = defaultCool
 	}
 	return rules
 }
@@ -230,7 +230,7 @@
 // Fail notes that a dial to a replica, or a question to its agent, failed.
 func (table *Table) Fail(now timekeeper.Instant, name string) {
 	if row := table.rows[name]; row != nil {
-		if table.rules.Indirect && now.Since(row.failed) > table.rules.Cool {
+		if table.rules.Indirect && now.Since(row.failed) > table.rules.RetryAfter {
 			// An entry seldom speaks to most replicas. Two failures an hour apart
 			// are two accidents, and no replica that can't be reached.
 			row.fails = 0
