--- a/internal/reporter/table.go
+++ b/internal/reporter/table.go
@@ -201,9 +201,9 @@
 	return unknown
 }
 
-// List takes in the platform's list: names and addresses to start from. A
+// MergeList takes in the platform's list: names and addresses to start from. A
 // replica that the list omits stays as its digests say.
-func (table *Table) List(now timekeeper.Instant, instances []storekeeper.Instance) {
+func (table *Table) MergeList(now timekeeper.Instant, instances []storekeeper.Instance) {
 	for _, row := range table.rows {
 		row.Listed = false
 	}
--- a/internal/reporter/table_test.go
+++ b/internal/reporter/table_test.go
@@ -193,7 +193,7 @@
 	Convey("a list that names the dead and omits the live changes neither", t, func() {
 		table := full(4, Rules{Indirect: true})
 		table.Merge(start, said("r0", 10, 5, gone))
-		table.List(start, []storekeeper.Instance{{Name: "r0", Address: "a"}, {Name: "r1", Address: "b"}})
+		table.MergeList(start, []storekeeper.Instance{{Name: "r0", Address: "a"}, {Name: "r1", Address: "b"}})
 		table.Evaluate(start)
 		So(stateOf(table, "r0"), ShouldEqual, "dead")
 		So(stateOf(table, "r3"), ShouldEqual, "live")
@@ -201,7 +201,7 @@
 	})
 	Convey("a mark of leaving in the list stops new work", t, func() {
 		table := full(4, Rules{})
-		table.List(start, []storekeeper.Instance{{Name: "r0", Address: "a", Leaving: true}})
+		table.MergeList(start, []storekeeper.Instance{{Name: "r0", Address: "a", Leaving: true}})
 		So(stateOf(table, "r0"), ShouldEqual, "leaving")
 	})
 }
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -93,7 +93,7 @@
 		view.table(service)
 	}
 	for service, table := range view.tables {
-		table.List(now, byService[service])
+		table.MergeList(now, byService[service])
 		view.rebuild(service)
 	}
 	return nil
