--- a/internal/reporter/rounds.go
+++ b/internal/reporter/rounds.go
@@ -48,7 +48,7 @@
 	answer, err := exchanger.ask(ctx, address, budgeter.Digest, ask)
 	exchanger.view.with(service, func(table *Table, now timekeeper.Instant) {
 		if err != nil {
-			table.Fail(now, peer.Name)
+			table.RecordFailure(now, peer.Name)
 			return
 		}
 		table.Reached(peer.Name)
@@ -162,7 +162,7 @@
 		if err != nil {
 			// A contact that fails once is asked again in the next round, so that
 			// a slow one is told from a dead one.
-			table.Fail(now, peer.Name)
+			table.RecordFailure(now, peer.Name)
 			dropped = table.rows[peer.Name] == nil || table.rows[peer.Name].fails >= failsToDie
 			return
 		}
--- a/internal/reporter/table.go
+++ b/internal/reporter/table.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// Fail notes that a dial to a replica, or a question to its agent, failed.
-func (table *Table) Fail(now timekeeper.Instant, name string) {
+// RecordFailure notes that a dial to a replica, or a question to its agent, failed.
+func (table *Table) RecordFailure(now timekeeper.Instant, name string) {
 	if row := table.rows[name]; row != nil {
 		if table.rules.Indirect && now.Since(row.failed) > table.rules.RetryAfter {
 			// An entry seldom speaks to most replicas. Two failures an hour apart
--- a/internal/reporter/table_test.go
+++ b/internal/reporter/table_test.go
@@ -113,8 +113,8 @@
 	})
 	Convey("an entry that can't reach a replica goes by that, not by hearsay, for a while", t, func() {
 		table := full(9, Rules{Indirect: true})
-		table.Fail(at, "r0")
-		table.Fail(at, "r0")
+		table.RecordFailure(at, "r0")
+		table.RecordFailure(at, "r0")
 		table.Merge(at, said("r0", 10, 8, live))
 		table.Evaluate(at)
 		So(stateOf(table, "r0"), ShouldEqual, "dead")
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -137,7 +137,7 @@
 func (view *View) RecordDialFailure(service, instance string) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
-	view.table(service).Fail(view.settings.Clock.Now(), instance)
+	view.table(service).RecordFailure(view.settings.Clock.Now(), instance)
 	view.rebuild(service)
 }
 
