--- a/internal/reporter/rounds.go
+++ b/internal/reporter/rounds.go
@@ -51,7 +51,7 @@
 			table.RecordFailure(now, peer.Name)
 			return
 		}
-		table.Reached(peer.Name)
+		table.RecordAnswer(peer.Name)
 		exchanger.want(table.Unpack(now, answer))
 	})
 }
@@ -166,7 +166,7 @@
 			dropped = table.rows[peer.Name] == nil || table.rows[peer.Name].fails >= failsToDie
 			return
 		}
-		table.Reached(peer.Name)
+		table.RecordAnswer(peer.Name)
 		exchanger.want(table.Unpack(now, answer))
 	})
 	exchanger.mu.Lock()
--- a/internal/reporter/table.go
+++ b/internal/reporter/table.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// Reached notes that the replica's agent has answered this process itself.
-func (table *Table) Reached(name string) {
+// RecordAnswer notes that the replica's agent has answered this process itself.
+func (table *Table) RecordAnswer(name string) {
 	if row := table.rows[name]; row != nil {
 		row.fails = 0
 	}
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -126,7 +126,7 @@
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	table := view.table(digest.GetService())
-	table.Reached(digest.GetInstance())
+	table.RecordAnswer(digest.GetInstance())
 	if table.Merge(view.settings.Clock.Now(), digest) {
 		view.rebuild(digest.GetService())
 	}
