--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -201,7 +201,7 @@
 		return
 	}
 	proc := &fleet.procs[to]
-	standing, news := proc.standing.Hear(fleet.procs[from].standing.InForce, fleet.now)
+	standing, news := proc.standing.ReceiveRevision(fleet.procs[from].standing.InForce, fleet.now)
 	proc.standing = standing
 	if news {
 		// The look that was planned stays planned; one more does no harm.
--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -39,9 +39,9 @@
 	Failures int
 }
 
-// Hear takes in a revision that a peer carried on a message. It reports
+// ReceiveRevision takes in a revision that a peer carried on a message. It reports
 // whether that is news, so that the next look should be brought forward.
-func (standing Standing) Hear(revision uint64, now timekeeper.Instant) (Standing, bool) {
+func (standing Standing) ReceiveRevision(revision uint64, now timekeeper.Instant) (Standing, bool) {
 	if revision <= standing.Heard || revision <= standing.InForce {
 		return standing, false
 	}
@@ -57,7 +57,7 @@
 func (standing Standing) Read(revision uint64, now timekeeper.Instant) (Standing, bool) {
 	standing.StoreAt = now
 	standing.Failures = 0
-	standing, _ = standing.Hear(revision, now)
+	standing, _ = standing.ReceiveRevision(revision, now)
 	return standing, revision > standing.InForce
 }
 
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -105,7 +105,7 @@
 	now := watcher.settings.Clock.Now()
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
-	standing, news := watcher.standing.Hear(revision, now)
+	standing, news := watcher.standing.ReceiveRevision(revision, now)
 	watcher.standing = standing
 	if !news {
 		return
