--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -180,7 +180,7 @@
 			continue
 		}
 		answered++
-		highest = max(highest, fleet.procs[j].standing.InForce, fleet.procs[j].standing.Heard)
+		highest = max(highest, fleet.procs[j].standing.InForce, fleet.procs[j].standing.HighestKnown)
 		if revision := fleet.procs[j].standing.InForce; revision > proc.standing.InForce {
 			fleet.take(i, revision)
 		}
@@ -241,7 +241,7 @@
 func (fleet *fleet) knows(i int, revision uint64) bool {
 	for j := range fleet.procs {
 		standing := fleet.procs[j].standing
-		if j != i && fleet.cut[i] == fleet.cut[j] && max(standing.InForce, standing.Heard) >= revision {
+		if j != i && fleet.cut[i] == fleet.cut[j] && max(standing.InForce, standing.HighestKnown) >= revision {
 			return true
 		}
 	}
--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -29,8 +29,8 @@
 type Standing struct {
 	// InForce is the revision in force, 0 before the first.
 	InForce uint64
-	// Heard is the highest revision that the process has heard of.
-	Heard uint64
+	// HighestKnown is the highest revision that the process has heard of.
+	HighestKnown uint64
 	// BehindSince is when it first heard of a revision above InForce, or 0.
 	BehindSince timekeeper.Instant
 	// StoreAt is when the store last answered.
@@ -42,10 +42,10 @@
 // ReceiveRevision takes in a revision that a peer carried on a message. It reports
 // whether that is news, so that the next look should be brought forward.
 func (standing Standing) ReceiveRevision(revision uint64, now timekeeper.Instant) (Standing, bool) {
-	if revision <= standing.Heard || revision <= standing.InForce {
+	if revision <= standing.HighestKnown || revision <= standing.InForce {
 		return standing, false
 	}
-	standing.Heard = revision
+	standing.HighestKnown = revision
 	if standing.BehindSince == 0 {
 		standing.BehindSince = now
 	}
@@ -76,8 +76,8 @@
 		return standing, false
 	}
 	standing.InForce = revision
-	if standing.Heard <= revision {
-		standing.Heard = revision
+	if standing.HighestKnown <= revision {
+		standing.HighestKnown = revision
 		standing.BehindSince = 0
 	}
 	return standing, true
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -91,7 +91,7 @@
 	status := Status{
 		Revision: watcher.standing.InForce,
 		Hash:     watcher.accepted.Hash,
-		Heard:    watcher.standing.Heard,
+		Heard:    watcher.standing.HighestKnown,
 		Behind:   watcher.standing.Behind(now),
 	}
 	if watcher.standing.Failures > 0 && watcher.standing.StoreAt > 0 {
@@ -122,7 +122,7 @@
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	head := watcher.accepted.Head
-	body := &encoder.ConfigBody{Revision: head.Revision, Hash: head.Hash, ChangeId: head.ChangeID, Heard: watcher.standing.Heard}
+	body := &encoder.ConfigBody{Revision: head.Revision, Hash: head.Hash, ChangeId: head.ChangeID, Heard: watcher.standing.HighestKnown}
 	if head.Revision >= ask.GetLeast() {
 		body.Body = watcher.accepted.Body
 	}
