--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -101,7 +101,7 @@
 			return
 		}
 		wanted := false
-		proc.standing, wanted = proc.standing.Read(head, fleet.now)
+		proc.standing, wanted = proc.standing.RecordHead(head, fleet.now)
 		if !wanted || !fleet.reaches(i) {
 			fleet.serve(i)
 			fleet.planNext(i)
--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -52,9 +52,9 @@
 	return standing, true
 }
 
-// Read takes in the revision of the store's head. It reports whether the body
+// RecordHead takes in the revision of the store's head. It reports whether the body
 // of that revision is wanted.
-func (standing Standing) Read(revision uint64, now timekeeper.Instant) (Standing, bool) {
+func (standing Standing) RecordHead(revision uint64, now timekeeper.Instant) (Standing, bool) {
 	standing.StoreAt = now
 	standing.Failures = 0
 	standing, _ = standing.ReceiveRevision(revision, now)
--- a/internal/publisher/standing_test.go
+++ b/internal/publisher/standing_test.go
@@ -55,7 +55,7 @@
 			standing = standing.Miss()
 		}
 		So(standing.Wait(2000, 0.5), ShouldEqual, longestWait)
-		standing, _ = standing.Read(1, 5)
+		standing, _ = standing.RecordHead(1, 5)
 		So(standing.Wait(2000, 0.5), ShouldEqual, 2000)
 		So(standing.Nudge(2000, 1), ShouldEqual, 1000)
 	})
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -143,7 +143,7 @@
 	now := watcher.settings.Clock.Now()
 	wanted := false
 	watcher.update(func(standing Standing) Standing {
-		standing, wanted = standing.Read(head.Revision, now)
+		standing, wanted = standing.RecordHead(head.Revision, now)
 		return standing
 	})
 	if !wanted {
