--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -90,7 +90,7 @@
 func (fleet *fleet) look(i int) {
 	proc := &fleet.procs[i]
 	if !fleet.reaches(i) {
-		proc.standing = proc.standing.Miss()
+		proc.standing = proc.standing.RecordStoreFailure()
 		fleet.askPeers(i)
 		fleet.planNext(i)
 		return
--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -61,8 +61,8 @@
 	return standing, revision > standing.InForce
 }
 
-// Miss notes that the store gave no answer.
-func (standing Standing) Miss() Standing {
+// RecordStoreFailure notes that the store gave no answer.
+func (standing Standing) RecordStoreFailure() Standing {
 	standing.Failures++
 	return standing
 }
--- a/internal/publisher/standing_test.go
+++ b/internal/publisher/standing_test.go
@@ -52,7 +52,7 @@
 		So(standing.Wait(2000, 0), ShouldEqual, 1600)
 		So(standing.Wait(2000, 0.5), ShouldEqual, 2000)
 		for range 20 {
-			standing = standing.Miss()
+			standing = standing.RecordStoreFailure()
 		}
 		So(standing.Wait(2000, 0.5), ShouldEqual, longestWait)
 		standing, _ = standing.RecordHead(1, 5)
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -134,7 +134,7 @@
 func (watcher *Watcher) Look(ctx context.Context) error {
 	head, _, err := ReadHead(ctx, watcher.settings.Platform)
 	if err != nil {
-		watcher.update(Standing.Miss)
+		watcher.update(Standing.RecordStoreFailure)
 		if _, _, found := watcher.askPeers(ctx, watcher.Current().Revision+1, Answers); found {
 			return nil
 		}
