--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -57,7 +57,7 @@
 }
 
 func (standing Standing) taken(revision uint64) Standing {
-	standing, _ = standing.Take(revision)
+	standing, _ = standing.Activate(revision)
 	return standing
 }
 
@@ -144,7 +144,7 @@
 func (fleet *fleet) take(i int, revision uint64) {
 	proc := &fleet.procs[i]
 	before := proc.standing.InForce
-	proc.standing, _ = proc.standing.Take(revision)
+	proc.standing, _ = proc.standing.Activate(revision)
 	if proc.standing.InForce < before {
 		fleet.problem = fmt.Sprintf("process %d fell from %d to %d", i, before, proc.standing.InForce)
 	}
--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -67,11 +67,11 @@
 	return standing
 }
 
-// Take brings a revision into force. It refuses, with false, one that is not
+// Activate brings a revision into force. It refuses, with false, one that is not
 // higher. The failure: a peer or a restored store offers an older revision.
 // The symptom: a key that was revoked works again. Refusing here is enough,
 // because nothing else sets InForce.
-func (standing Standing) Take(revision uint64) (Standing, bool) {
+func (standing Standing) Activate(revision uint64) (Standing, bool) {
 	if revision <= standing.InForce {
 		return standing, false
 	}
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -173,7 +173,7 @@
 	}
 	watcher.mu.Lock()
 	before := watcher.standing.InForce
-	standing, ok := watcher.standing.Take(accepted.Revision)
+	standing, ok := watcher.standing.Activate(accepted.Revision)
 	if ok {
 		watcher.standing, watcher.accepted = standing, accepted
 		watcher.current.Store(&config)
