--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -137,7 +137,7 @@
 }
 
 func (fleet *fleet) planNext(i int) {
-	fleet.plan(i, fleet.procs[i].standing.Wait(fleet.every, fleet.draws.Float64()))
+	fleet.plan(i, fleet.procs[i].standing.PollDelay(fleet.every, fleet.draws.Float64()))
 }
 
 // take is the one place where a revision comes into force.
--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -83,10 +83,10 @@
 	return standing, true
 }
 
-// Wait returns the time to the next look. While the store gives no answer the
+// PollDelay returns the time to the next look. While the store gives no answer the
 // wait doubles, so that a store that comes back isn't met by the whole fleet
 // at once. draw is from [0, 1).
-func (standing Standing) Wait(every timekeeper.Span, draw float64) timekeeper.Span {
+func (standing Standing) PollDelay(every timekeeper.Span, draw float64) timekeeper.Span {
 	wait := every
 	for range min(standing.Failures, 8) {
 		wait *= 2
--- a/internal/publisher/standing_test.go
+++ b/internal/publisher/standing_test.go
@@ -49,14 +49,14 @@
 func TestWaitsStayInTheirBounds(t *testing.T) {
 	Convey("with jitter, and back-off while the store is silent", t, func() {
 		standing := Standing{}
-		So(standing.Wait(2000, 0), ShouldEqual, 1600)
-		So(standing.Wait(2000, 0.5), ShouldEqual, 2000)
+		So(standing.PollDelay(2000, 0), ShouldEqual, 1600)
+		So(standing.PollDelay(2000, 0.5), ShouldEqual, 2000)
 		for range 20 {
 			standing = standing.RecordStoreFailure()
 		}
-		So(standing.Wait(2000, 0.5), ShouldEqual, longestWait)
+		So(standing.PollDelay(2000, 0.5), ShouldEqual, longestWait)
 		standing, _ = standing.RecordHead(1, 5)
-		So(standing.Wait(2000, 0.5), ShouldEqual, 2000)
+		So(standing.PollDelay(2000, 0.5), ShouldEqual, 2000)
 		So(standing.Nudge(2000, 1), ShouldEqual, 1000)
 	})
 }
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -210,7 +210,7 @@
 
 // rest waits until the next look.
 func (watcher *Watcher) rest(ctx context.Context) error {
-	fired, release := watcher.settings.Clock.After(watcher.draw(Standing.Wait))
+	fired, release := watcher.settings.Clock.After(watcher.draw(Standing.PollDelay))
 	defer release()
 	select {
 	case <-fired:
