--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -205,7 +205,7 @@
 	proc.standing = standing
 	if news {
 		// The look that was planned stays planned; one more does no harm.
-		fleet.at(standing.Nudge(fleet.every, fleet.draws.Float64()), func() { fleet.lookOnce(to) })
+		fleet.at(standing.EarlyPollDelay(fleet.every, fleet.draws.Float64()), func() { fleet.lookOnce(to) })
 	}
 }
 
--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -95,10 +95,10 @@
 	return wait + timekeeper.Span(float64(wait)*jitter*(2*draw-1))
 }
 
-// Nudge returns how long to wait after news of a higher revision. The whole
+// EarlyPollDelay returns how long to wait after news of a higher revision. The whole
 // fleet hears of a change at about the same time; spread over half a poll, its
 // reads stay under twice those of polling.
-func (standing Standing) Nudge(every timekeeper.Span, draw float64) timekeeper.Span {
+func (standing Standing) EarlyPollDelay(every timekeeper.Span, draw float64) timekeeper.Span {
 	return timekeeper.Span(float64(every) * draw / 2)
 }
 
--- a/internal/publisher/standing_test.go
+++ b/internal/publisher/standing_test.go
@@ -57,6 +57,6 @@
 		So(standing.PollDelay(2000, 0.5), ShouldEqual, longestWait)
 		standing, _ = standing.RecordHead(1, 5)
 		So(standing.PollDelay(2000, 0.5), ShouldEqual, 2000)
-		So(standing.Nudge(2000, 1), ShouldEqual, 1000)
+		So(standing.EarlyPollDelay(2000, 1), ShouldEqual, 1000)
 	})
 }
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -218,7 +218,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-watcher.nudged:
-		return watcher.settings.Clock.Sleep(ctx, watcher.draw(Standing.Nudge))
+		return watcher.settings.Clock.Sleep(ctx, watcher.draw(Standing.EarlyPollDelay))
 	}
 }
 
@@ -232,7 +232,7 @@
 		if watcher.tryStart(ctx, &start) {
 			return nil
 		}
-		if watcher.settings.Clock.Sleep(ctx, pause+watcher.draw(Standing.Nudge)/2) != nil {
+		if watcher.settings.Clock.Sleep(ctx, pause+watcher.draw(Standing.EarlyPollDelay)/2) != nil {
 			return eris.Wrap(ctx.Err(), "no configuration was found: the store gives no answer, and too few peers do")
 		}
 	}
