--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -33,8 +33,8 @@
 	HighestKnown uint64
 	// BehindSince is when it first heard of a revision above InForce, or 0.
 	BehindSince timekeeper.Instant
-	// StoreAt is when the store last answered.
-	StoreAt timekeeper.Instant
+	// StoreAnsweredAt is when the store last answered.
+	StoreAnsweredAt timekeeper.Instant
 	// Failures is how often in a row the store gave no answer.
 	Failures int
 }
@@ -55,7 +55,7 @@
 // RecordHead takes in the revision of the store's head. It reports whether the body
 // of that revision is wanted.
 func (standing Standing) RecordHead(revision uint64, now timekeeper.Instant) (Standing, bool) {
-	standing.StoreAt = now
+	standing.StoreAnsweredAt = now
 	standing.Failures = 0
 	standing, _ = standing.ReceiveRevision(revision, now)
 	return standing, revision > standing.InForce
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -94,8 +94,8 @@
 		Heard:    watcher.standing.HighestKnown,
 		Behind:   watcher.standing.Behind(now),
 	}
-	if watcher.standing.Failures > 0 && watcher.standing.StoreAt > 0 {
-		status.StoreSilent = now.Since(watcher.standing.StoreAt)
+	if watcher.standing.Failures > 0 && watcher.standing.StoreAnsweredAt > 0 {
+		status.StoreSilent = now.Since(watcher.standing.StoreAnsweredAt)
 	}
 	return status
 }
