--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -35,8 +35,8 @@
 	BehindSince timekeeper.Instant
 	// StoreAnsweredAt is when the store last answered.
 	StoreAnsweredAt timekeeper.Instant
-	// Failures is how often in a row the store gave no answer.
-	Failures int
+	// StoreFailures is how often in a row the store gave no answer.
+	StoreFailures int
 }
 
 // ReceiveRevision takes in a revision that a peer carried on a message. It reports
@@ -56,14 +56,14 @@
 // of that revision is wanted.
 func (standing Standing) RecordHead(revision uint64, now timekeeper.Instant) (Standing, bool) {
 	standing.StoreAnsweredAt = now
-	standing.Failures = 0
+	standing.StoreFailures = 0
 	standing, _ = standing.ReceiveRevision(revision, now)
 	return standing, revision > standing.InForce
 }
 
 // RecordStoreFailure notes that the store gave no answer.
 func (standing Standing) RecordStoreFailure() Standing {
-	standing.Failures++
+	standing.StoreFailures++
 	return standing
 }
 
@@ -88,7 +88,7 @@
 // at once. draw is from [0, 1).
 func (standing Standing) PollDelay(every timekeeper.Span, draw float64) timekeeper.Span {
 	wait := every
-	for range min(standing.Failures, 8) {
+	for range min(standing.StoreFailures, 8) {
 		wait *= 2
 	}
 	wait = min(wait, max(every, longestWait))
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -94,7 +94,7 @@
 		Heard:    watcher.standing.HighestKnown,
 		Behind:   watcher.standing.Behind(now),
 	}
-	if watcher.standing.Failures > 0 && watcher.standing.StoreAnsweredAt > 0 {
+	if watcher.standing.StoreFailures > 0 && watcher.standing.StoreAnsweredAt > 0 {
 		status.StoreSilent = now.Since(watcher.standing.StoreAnsweredAt)
 	}
 	return status
