--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -29,7 +29,7 @@
 
 // member is one process; a restart gives it a new incarnation.
 type member struct {
-	standing    Standing
+	standing    RevisionState
 	incarnation int
 	serving     bool
 	start       Start
@@ -50,13 +50,13 @@
 		agenda: map[timekeeper.Instant][]func(){},
 	}
 	for i := range fleet.procs {
-		fleet.procs[i] = member{standing: Standing{}.taken(1), serving: true, served: 1}
+		fleet.procs[i] = member{standing: RevisionState{}.taken(1), serving: true, served: 1}
 		fleet.plan(i, timekeeper.Span(fleet.draws.Float64()*float64(every)))
 	}
 	return fleet
 }
 
-func (standing Standing) taken(revision uint64) Standing {
+func (standing RevisionState) taken(revision uint64) RevisionState {
 	standing, _ = standing.Activate(revision)
 	return standing
 }
--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -24,9 +24,9 @@
 	Settle = 4 * timekeeper.Second
 )
 
-// Standing is what one process knows about the configuration. It is an
+// RevisionState is what one process knows about the configuration. It is an
 // immutable value; times come in from outside.
-type Standing struct {
+type RevisionState struct {
 	// InForce is the revision in force, 0 before the first.
 	InForce uint64
 	// HighestKnown is the highest revision that the process has heard of.
@@ -41,7 +41,7 @@
 
 // ReceiveRevision takes in a revision that a peer carried on a message. It reports
 // whether that is news, so that the next look should be brought forward.
-func (standing Standing) ReceiveRevision(revision uint64, now timekeeper.Instant) (Standing, bool) {
+func (standing RevisionState) ReceiveRevision(revision uint64, now timekeeper.Instant) (RevisionState, bool) {
 	if revision <= standing.HighestKnown || revision <= standing.InForce {
 		return standing, false
 	}
@@ -54,7 +54,7 @@
 
 // RecordHead takes in the revision of the store's head. It reports whether the body
 // of that revision is wanted.
-func (standing Standing) RecordHead(revision uint64, now timekeeper.Instant) (Standing, bool) {
+func (standing RevisionState) RecordHead(revision uint64, now timekeeper.Instant) (RevisionState, bool) {
 	standing.StoreAnsweredAt = now
 	standing.StoreFailures = 0
 	standing, _ = standing.ReceiveRevision(revision, now)
@@ -62,7 +62,7 @@
 }
 
 // RecordStoreFailure notes that the store gave no answer.
-func (standing Standing) RecordStoreFailure() Standing {
+func (standing RevisionState) RecordStoreFailure() RevisionState {
 	standing.StoreFailures++
 	return standing
 }
@@ -71,7 +71,7 @@
 // higher. The failure: a peer or a restored store offers an older revision.
 // The symptom: a key that was revoked works again. Refusing here is enough,
 // because nothing else sets InForce.
-func (standing Standing) Activate(revision uint64) (Standing, bool) {
+func (standing RevisionState) Activate(revision uint64) (RevisionState, bool) {
 	if revision <= standing.InForce {
 		return standing, false
 	}
@@ -86,7 +86,7 @@
 // PollDelay returns the time to the next look. While the store gives no answer the
 // wait doubles, so that a store that comes back isn't met by the whole fleet
 // at once. draw is from [0, 1).
-func (standing Standing) PollDelay(every timekeeper.Span, draw float64) timekeeper.Span {
+func (standing RevisionState) PollDelay(every timekeeper.Span, draw float64) timekeeper.Span {
 	wait := every
 	for range min(standing.StoreFailures, 8) {
 		wait *= 2
@@ -98,13 +98,13 @@
 // EarlyPollDelay returns how long to wait after news of a higher revision. The whole
 // fleet hears of a change at about the same time; spread over half a poll, its
 // reads stay under twice those of polling.
-func (standing Standing) EarlyPollDelay(every timekeeper.Span, draw float64) timekeeper.Span {
+func (standing RevisionState) EarlyPollDelay(every timekeeper.Span, draw float64) timekeeper.Span {
 	return timekeeper.Span(float64(every) * draw / 2)
 }
 
 // Behind returns for how long the process has known of a higher revision than
 // the one in force.
-func (standing Standing) Behind(now timekeeper.Instant) timekeeper.Span {
+func (standing RevisionState) Behind(now timekeeper.Instant) timekeeper.Span {
 	if standing.BehindSince == 0 {
 		return 0
 	}
--- a/internal/publisher/standing_test.go
+++ b/internal/publisher/standing_test.go
@@ -48,7 +48,7 @@
 
 func TestWaitsStayInTheirBounds(t *testing.T) {
 	Convey("with jitter, and back-off while the store is silent", t, func() {
-		standing := Standing{}
+		standing := RevisionState{}
 		So(standing.PollDelay(2000, 0), ShouldEqual, 1600)
 		So(standing.PollDelay(2000, 0.5), ShouldEqual, 2000)
 		for range 20 {
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -42,7 +42,7 @@
 	current  atomic.Pointer[resolver.Config]
 
 	mu       sync.Mutex
-	standing Standing
+	standing RevisionState
 	accepted Accepted
 	draws    *rand.Rand
 }
@@ -134,7 +134,7 @@
 func (watcher *Watcher) Look(ctx context.Context) error {
 	head, _, err := ReadHead(ctx, watcher.settings.Platform)
 	if err != nil {
-		watcher.update(Standing.RecordStoreFailure)
+		watcher.update(RevisionState.RecordStoreFailure)
 		if _, _, found := watcher.askPeers(ctx, watcher.Current().Revision+1, Answers); found {
 			return nil
 		}
@@ -142,7 +142,7 @@
 	}
 	now := watcher.settings.Clock.Now()
 	wanted := false
-	watcher.update(func(standing Standing) Standing {
+	watcher.update(func(standing RevisionState) RevisionState {
 		standing, wanted = standing.RecordHead(head.Revision, now)
 		return standing
 	})
@@ -159,7 +159,7 @@
 	return err
 }
 
-func (watcher *Watcher) update(change func(standing Standing) Standing) {
+func (watcher *Watcher) update(change func(standing RevisionState) RevisionState) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	watcher.standing = change(watcher.standing)
@@ -191,7 +191,7 @@
 }
 
 // draw returns the wait that a rule gives for a random draw.
-func (watcher *Watcher) draw(rule func(standing Standing, every timekeeper.Span, draw float64) timekeeper.Span) timekeeper.Span {
+func (watcher *Watcher) draw(rule func(standing RevisionState, every timekeeper.Span, draw float64) timekeeper.Span) timekeeper.Span {
 	every := watcher.Current().Limits.WithDefaults().PollEvery
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
@@ -210,7 +210,7 @@
 
 // rest waits until the next look.
 func (watcher *Watcher) rest(ctx context.Context) error {
-	fired, release := watcher.settings.Clock.After(watcher.draw(Standing.PollDelay))
+	fired, release := watcher.settings.Clock.After(watcher.draw(RevisionState.PollDelay))
 	defer release()
 	select {
 	case <-fired:
@@ -218,7 +218,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-watcher.nudged:
-		return watcher.settings.Clock.Sleep(ctx, watcher.draw(Standing.EarlyPollDelay))
+		return watcher.settings.Clock.Sleep(ctx, watcher.draw(RevisionState.EarlyPollDelay))
 	}
 }
 
@@ -232,7 +232,7 @@
 		if watcher.tryStart(ctx, &start) {
 			return nil
 		}
-		if watcher.settings.Clock.Sleep(ctx, pause+watcher.draw(Standing.EarlyPollDelay)/2) != nil {
+		if watcher.settings.Clock.Sleep(ctx, pause+watcher.draw(RevisionState.EarlyPollDelay)/2) != nil {
 			return eris.Wrap(ctx.Err(), "no configuration was found: the store gives no answer, and too few peers do")
 		}
 	}
