--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -32,7 +32,7 @@
 	standing    RevisionState
 	incarnation int
 	serving     bool
-	start       Start
+	start       StartupState
 	budget      storekeeper.Budget
 	served      uint64 // highest revision that any incarnation served with
 }
--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -111,9 +111,9 @@
 	return now.Since(standing.BehindSince)
 }
 
-// Start is what a process without a configuration has learnt from peers while
+// StartupState is what a process without a configuration has learnt from peers while
 // the store gives no answer. It is an immutable value.
-type Start struct {
+type StartupState struct {
 	first   timekeeper.Instant
 	rounds  int
 	highest uint64
@@ -123,7 +123,7 @@
 // answered, and the highest revision that any of
 // them has or has heard of. A round in which too few
 // answered doesn't count.
-func (start Start) WithRound(known, answered int, highest uint64, now timekeeper.Instant) Start {
+func (start StartupState) WithRound(known, answered int, highest uint64, now timekeeper.Instant) StartupState {
 	if answered == 0 || answered < min(Answers, known) {
 		return start
 	}
@@ -142,7 +142,7 @@
 // after a change. The symptom: the change reverts, because the peer that was
 // asked had not heard of it. Two rounds, a poll apart, over several peers are
 // enough, since every peer that can be reached polls or hears within that time.
-func (start Start) Ready(now timekeeper.Instant) (uint64, bool) {
+func (start StartupState) Ready(now timekeeper.Instant) (uint64, bool) {
 	if start.rounds < 2 || now.Since(start.first) < Settle {
 		return 0, false
 	}
--- a/internal/publisher/standing_test.go
+++ b/internal/publisher/standing_test.go
@@ -33,7 +33,7 @@
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			var start Start
+			var start StartupState
 			var now timekeeper.Instant
 			for _, round := range test.rounds {
 				now = round.at
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -227,7 +227,7 @@
 // revision of several peers.
 func (watcher *Watcher) Await(ctx context.Context) error {
 	const pause = 200 * timekeeper.Millisecond
-	var start Start
+	var start StartupState
 	for {
 		if watcher.tryStart(ctx, &start) {
 			return nil
@@ -238,7 +238,7 @@
 	}
 }
 
-func (watcher *Watcher) tryStart(ctx context.Context, start *Start) bool {
+func (watcher *Watcher) tryStart(ctx context.Context, start *StartupState) bool {
 	head, _, err := ReadHead(ctx, watcher.settings.Platform)
 	if err == nil {
 		return head.Revision > 0 && watcher.Look(ctx) == nil && watcher.Current().Revision >= head.Revision
