--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -165,7 +165,7 @@
 // askPeers asks as a watcher does: a few when it serves, many when it starts.
 func (fleet *fleet) askPeers(i int) {
 	proc := &fleet.procs[i]
-	most := Answers
+	most := MinAnswers
 	if !proc.serving {
 		most = StartPeers
 	}
--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -12,10 +12,10 @@
 	// under the bound of 13 s, less jitter and the fetch, so that a change is in
 	// force in time once the store is back.
 	longestWait = 4 * timekeeper.Second
-	// Answers is how many peers a process that starts in an outage needs to
+	// MinAnswers is how many peers a process that starts in an outage needs to
 	// hear from. One peer may have been cut off; three in different places
 	// were not, unless most of the fleet was.
-	Answers = 3
+	MinAnswers = 3
 	// StartPeers is how many peers such a process asks at most in a round.
 	StartPeers = 32
 	// Settle is the least time between the first and the last round of asking
@@ -124,7 +124,7 @@
 // them has or has heard of. A round in which too few
 // answered doesn't count.
 func (start StartupState) WithRound(known, answered int, highest uint64, now timekeeper.Instant) StartupState {
-	if answered == 0 || answered < min(Answers, known) {
+	if answered == 0 || answered < min(MinAnswers, known) {
 		return start
 	}
 	if start.rounds == 0 {
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -135,7 +135,7 @@
 	head, _, err := ReadHead(ctx, watcher.settings.Platform)
 	if err != nil {
 		watcher.update(RevisionState.RecordStoreFailure)
-		if _, _, found := watcher.askPeers(ctx, watcher.Current().Revision+1, Answers); found {
+		if _, _, found := watcher.askPeers(ctx, watcher.Current().Revision+1, MinAnswers); found {
 			return nil
 		}
 		return err
@@ -153,7 +153,7 @@
 	if err == nil {
 		return watcher.take(accepted, "store")
 	}
-	if _, _, found := watcher.askPeers(ctx, head.Revision, Answers); found {
+	if _, _, found := watcher.askPeers(ctx, head.Revision, MinAnswers); found {
 		return nil
 	}
 	return err
