--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -167,7 +167,7 @@
 	proc := &fleet.procs[i]
 	most := MinAnswers
 	if !proc.serving {
-		most = StartPeers
+		most = MaxStartupPeers
 	}
 	peers := fleet.draws.Perm(len(fleet.procs))
 	asked, answered, highest := 0, 0, uint64(0)
--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -16,8 +16,8 @@
 	// hear from. One peer may have been cut off; three in different places
 	// were not, unless most of the fleet was.
 	MinAnswers = 3
-	// StartPeers is how many peers such a process asks at most in a round.
-	StartPeers = 32
+	// MaxStartupPeers is how many peers such a process asks at most in a round.
+	MaxStartupPeers = 32
 	// Settle is the least time between the first and the last round of asking
 	// peers. A revision accepted just before the outage reaches some peer's
 	// next poll, and from there the others, in this time.
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -243,7 +243,7 @@
 	if err == nil {
 		return head.Revision > 0 && watcher.Look(ctx) == nil && watcher.Current().Revision >= head.Revision
 	}
-	answered, highest, _ := watcher.askPeers(ctx, watcher.Current().Revision+1, StartPeers)
+	answered, highest, _ := watcher.askPeers(ctx, watcher.Current().Revision+1, MaxStartupPeers)
 	known := len(watcher.settings.Peers())
 	now := watcher.settings.Clock.Now()
 	*start = start.WithRound(known, answered, max(highest, watcher.Current().Revision), now)
