--- a/internal/publisher/standing.go
+++ b/internal/publisher/standing.go
@@ -18,10 +18,10 @@
 	MinAnswers = 3
 	// MaxStartupPeers is how many peers such a process asks at most in a round.
 	MaxStartupPeers = 32
-	// Settle is the least time between the first and the last round of asking
+	// MinStartupTime is the least time between the first and the last round of asking
 	// peers. A revision accepted just before the outage reaches some peer's
 	// next poll, and from there the others, in this time.
-	Settle = 4 * timekeeper.Second
+	MinStartupTime = 4 * timekeeper.Second
 )
 
 // RevisionState is what one process knows about the configuration. It is an
@@ -143,7 +143,7 @@
 // asked had not heard of it. Two rounds, a poll apart, over several peers are
 // enough, since every peer that can be reached polls or hears within that time.
 func (start StartupState) Ready(now timekeeper.Instant) (uint64, bool) {
-	if start.rounds < 2 || now.Since(start.first) < Settle {
+	if start.rounds < 2 || now.Since(start.first) < MinStartupTime {
 		return 0, false
 	}
 	return start.highest, start.highest > 0
