--- a/internal/publisher/propose.go
+++ b/internal/publisher/propose.go
@@ -18,8 +18,8 @@
 var (
 	// ErrNotAccepted says that the head was never asked to move.
 	ErrNotAccepted = eris.New("not accepted: the store doesn't answer, and nothing was changed")
-	// ErrUnsettled says that the change may or may not be accepted.
-	ErrUnsettled = eris.New("not known whether accepted: the store doesn't answer; run the same command again, which is harmless")
+	// ErrOutcomeUnknown says that the change may or may not be accepted.
+	ErrOutcomeUnknown = eris.New("not known whether accepted: the store doesn't answer; run the same command again, which is harmless")
 )
 
 const (
@@ -126,7 +126,7 @@
 		}
 	}
 	if sent {
-		return Result{}, ErrUnsettled
+		return Result{}, ErrOutcomeUnknown
 	}
 	return Result{}, ErrNotAccepted
 }
--- a/internal/publisher/propose_test.go
+++ b/internal/publisher/propose_test.go
@@ -135,7 +135,7 @@
 				case eris.Is(err, ErrNotAccepted):
 					So(changes, ShouldBeEmpty)
 				default:
-					So(eris.Is(err, ErrUnsettled), ShouldBeTrue)
+					So(eris.Is(err, ErrOutcomeUnknown), ShouldBeTrue)
 				}
 				again, err := Proposer{Platform: seams, Clock: hasty()}.Propose(t.Context(), proposal)
 				So(err, ShouldBeNil)
