--- a/cmd/trefoilseam/change.go
+++ b/cmd/trefoilseam/change.go
@@ -143,7 +143,7 @@
 			return proposal, eris.Wrap(errUsage, "say with -edited-from REV which revision was edited; config status shows the one in force")
 		}
 		sources, err := apply.checked()
-		proposal.Bundle, proposal.Edited = sources.Bundle(), uint64(apply.edited)
+		proposal.Bundle, proposal.BaseRevision = sources.Bundle(), uint64(apply.edited)
 		return proposal, err
 	}
 	if apply.base != "" {
@@ -153,13 +153,13 @@
 	if err != nil {
 		return proposal, eris.Wrapf(err, "revision %d", apply.rollbackTo)
 	}
-	proposal.Bundle, proposal.RollbackTo, proposal.Edited = bundle, uint64(apply.rollbackTo), uint64(apply.edited)
+	proposal.Bundle, proposal.RollbackTo, proposal.BaseRevision = bundle, uint64(apply.rollbackTo), uint64(apply.edited)
 	if apply.edited == unset {
 		head, _, err := publisher.ReadHead(ctx, platform)
 		if err != nil {
 			return proposal, err
 		}
-		proposal.Edited = head.Revision
+		proposal.BaseRevision = head.Revision
 	}
 	return proposal, nil
 }
--- a/internal/publisher/propose.go
+++ b/internal/publisher/propose.go
@@ -33,8 +33,8 @@
 // Proposal is a configuration that an operator wants accepted.
 type Proposal struct {
 	Bundle resolver.Bundle
-	// Edited is the revision that the operator started from.
-	Edited uint64
+	// BaseRevision is the revision that the operator started from.
+	BaseRevision uint64
 	// ChangeID tells this change from others; empty means that it follows from
 	// the content, the operator and Edited, so that the same command run again
 	// is the same change.
@@ -117,7 +117,7 @@
 	}
 	sent := false
 	for round := range settleRounds {
-		result, err := proposer.try(ctx, next, proposal.Edited, &sent)
+		result, err := proposer.try(ctx, next, proposal.BaseRevision, &sent)
 		if err == nil || !unsettled(err) {
 			return result, err
 		}
@@ -134,10 +134,10 @@
 func (proposal Proposal) change(hash string, now timekeeper.Instant) Change {
 	id := proposal.ChangeID
 	if id == "" {
-		id = hashOf(fmt.Appendf(nil, "%d %s %q", proposal.Edited, hash, proposal.Operator))[:16]
+		id = hashOf(fmt.Appendf(nil, "%d %s %q", proposal.BaseRevision, hash, proposal.Operator))[:16]
 	}
 	return Change{
-		Head:       Head{Revision: proposal.Edited + 1, Hash: hash, ChangeID: id},
+		Head:       Head{Revision: proposal.BaseRevision + 1, Hash: hash, ChangeID: id},
 		At:         now,
 		Operator:   proposal.Operator,
 		Comment:    proposal.Comment,
@@ -284,7 +284,7 @@
 // returns a Conflict when another revision is in force.
 func Accept(ctx context.Context, platform storekeeper.Platform, bundle resolver.Bundle, edited uint64, changeID string) (Head, error) {
 	proposer := Proposer{Platform: platform, Clock: timekeeper.Wall()}
-	result, err := proposer.Propose(ctx, Proposal{Bundle: bundle, Edited: edited, ChangeID: changeID})
+	result, err := proposer.Propose(ctx, Proposal{Bundle: bundle, BaseRevision: edited, ChangeID: changeID})
 	var conflict Conflict
 	if eris.As(err, &conflict) {
 		return conflict.Now, err
--- a/internal/publisher/propose_test.go
+++ b/internal/publisher/propose_test.go
@@ -123,7 +123,7 @@
 				seams := platform.Seams()
 				_, err := Accept(t.Context(), seams, bundleOf(0), 0, "first")
 				So(err, ShouldBeNil)
-				proposal := Proposal{Bundle: bundleOf(1), Edited: 1, Operator: "almaz"}
+				proposal := Proposal{Bundle: bundleOf(1), BaseRevision: 1, Operator: "almaz"}
 				hurt := Proposer{Platform: tap(seams, test.faults(platform, step)), Clock: hasty()}
 				result, err := hurt.Propose(t.Context(), proposal)
 				platform.SetFaults(imitator.PlatformFaults{})
@@ -166,7 +166,7 @@
 			}
 			return nil
 		})
-		result, err := Proposer{Platform: hurt, Clock: hasty()}.Propose(t.Context(), Proposal{Bundle: bundleOf(1), Edited: 1})
+		result, err := Proposer{Platform: hurt, Clock: hasty()}.Propose(t.Context(), Proposal{Bundle: bundleOf(1), BaseRevision: 1})
 		So(err, ShouldBeNil)
 		So(result.Revision, ShouldEqual, 2)
 		So(result.Unchanged, ShouldBeFalse)
@@ -180,14 +180,14 @@
 		seams := imitator.NewPlatform(hasty()).Seams()
 		_, _ = Accept(t.Context(), seams, bundleOf(0), 0, "first")
 		proposer := Proposer{Platform: seams, Clock: hasty()}
-		_, err := proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(1), Edited: 1, Operator: "almaz", Comment: "more slots"})
+		_, err := proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(1), BaseRevision: 1, Operator: "almaz", Comment: "more slots"})
 		So(err, ShouldBeNil)
-		_, err = proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(2), Edited: 1, Operator: "bekele"})
+		_, err = proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(2), BaseRevision: 1, Operator: "bekele"})
 		So(eris.Is(err, storekeeper.ErrConflict), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "revision 2 by almaz")
 		So(err.Error(), ShouldContainSubstring, "~ services.orders.slots = 1 -> 2")
 		Convey("and a roll back is a new, higher revision", func() {
-			back, err := proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(0), Edited: 2, RollbackTo: 1})
+			back, err := proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(0), BaseRevision: 2, RollbackTo: 1})
 			So(err, ShouldBeNil)
 			So(back.Revision, ShouldEqual, 3)
 		})
@@ -219,7 +219,7 @@
 					platform.SetFaults(imitator.PlatformFaults{LoseAnswers: draws.IntN(3), LoseWrites: draws.IntN(2)})
 				}
 				result, err := proposer.Propose(context.Background(), Proposal{
-					Bundle: bundleOf(2*number + operator), Edited: head.Revision, Operator: name,
+					Bundle: bundleOf(2*number + operator), BaseRevision: head.Revision, Operator: name,
 				})
 				if err != nil {
 					continue
@@ -258,7 +258,7 @@
 			clock := hasty()
 			clock.Now = func() timekeeper.Instant { return at }
 			proposer := Proposer{Platform: seams, Clock: clock, Record: func(event recorder.Event) { events = append(events, event) }}
-			_, err := proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(number), Edited: uint64(number)})
+			_, err := proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(number), BaseRevision: uint64(number)})
 			So(err, ShouldBeNil)
 		}
 		run(0, 10)
