--- a/internal/publisher/propose.go
+++ b/internal/publisher/propose.go
@@ -55,7 +55,7 @@
 
 // Conflict says that another change came first.
 type Conflict struct {
-	Edited uint64
+	BaseRevision uint64
 	Now    Head
 	// Since are the changes after Edited, oldest first.
 	Since []Change
@@ -66,7 +66,7 @@
 // Error tells the loser of a race what changed.
 func (conflict Conflict) Error() string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "not accepted: revision %d is in force, and this was edited from %d\n", conflict.Now.Revision, conflict.Edited)
+	fmt.Fprintf(&out, "not accepted: revision %d is in force, and this was edited from %d\n", conflict.Now.Revision, conflict.BaseRevision)
 	for _, change := range conflict.Since {
 		fmt.Fprintf(&out, "  revision %d by %s at %s: %s\n", change.Revision, orNobody(change.Operator), change.At, change.Comment)
 	}
@@ -236,7 +236,7 @@
 // store tells it.
 func (proposer Proposer) conflict(ctx context.Context, now Head, edited uint64) Conflict {
 	const most = 20
-	conflict := Conflict{Edited: edited, Now: now}
+	conflict := Conflict{BaseRevision: edited, Now: now}
 	conflict.Since, _ = History(ctx, proposer.Platform, edited, most)
 	conflict.Differences, _ = DiffRevisions(ctx, proposer.Platform, edited, now.Revision)
 	return conflict
