--- a/internal/assembler/budget_test.go
+++ b/internal/assembler/budget_test.go
@@ -96,8 +96,8 @@
 		reads     int
 		writes    int
 	}{
-		{"a new revision: head and body", storekeeper.ForConfig, func(client storeClient, _ string) { _ = client.watcher.Look(t.Context()) }, 2, 0},
-		{"a poll", storekeeper.ForConfig, func(client storeClient, _ string) { _ = client.watcher.Look(t.Context()) }, 1, 0},
+		{"a new revision: head and body", storekeeper.ForConfig, func(client storeClient, _ string) { _ = client.watcher.Poll(t.Context()) }, 2, 0},
+		{"a poll", storekeeper.ForConfig, func(client storeClient, _ string) { _ = client.watcher.Poll(t.Context()) }, 1, 0},
 		{"the instance list", storekeeper.ForInstances, func(client storeClient, _ string) { _ = client.view.ReadList(t.Context()) }, 1, 0},
 		{"64 orders in one burst", storekeeper.ForClaims, func(client storeClient, name string) {
 			client.committer.Commit(t.Context(), burst(name, orders, clock.Clock().Now()))
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -129,9 +129,9 @@
 	return body
 }
 
-// Look reads the head once and takes a higher revision into force. When the
+// Poll reads the head once and takes a higher revision into force. When the
 // store doesn't answer, peers are asked instead.
-func (watcher *Watcher) Look(ctx context.Context) error {
+func (watcher *Watcher) Poll(ctx context.Context) error {
 	head, _, err := ReadHead(ctx, watcher.settings.Platform)
 	if err != nil {
 		watcher.update(RevisionState.RecordStoreFailure)
@@ -202,7 +202,7 @@
 // news of a higher revision.
 func (watcher *Watcher) Run(ctx context.Context) {
 	for watcher.rest(ctx) == nil {
-		if err := watcher.Look(ctx); err != nil {
+		if err := watcher.Poll(ctx); err != nil {
 			watcher.settings.Log.WithError(err).Warn("configuration not read")
 		}
 	}
@@ -241,7 +241,7 @@
 func (watcher *Watcher) tryStart(ctx context.Context, start *StartupState) bool {
 	head, _, err := ReadHead(ctx, watcher.settings.Platform)
 	if err == nil {
-		return head.Revision > 0 && watcher.Look(ctx) == nil && watcher.Current().Revision >= head.Revision
+		return head.Revision > 0 && watcher.Poll(ctx) == nil && watcher.Current().Revision >= head.Revision
 	}
 	answered, highest, _ := watcher.askPeers(ctx, watcher.Current().Revision+1, MaxStartupPeers)
 	known := len(watcher.settings.Peers())
