--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -65,7 +65,7 @@
 		Record:      agent.record.Record,
 		Table:       agent.env.Platform.Table,
 
-		Hear:          agent.watcher.Hear,
+		Hear:          agent.watcher.ReceiveRevision,
 		Configuration: agent.watcher.Answer,
 		Mean:          agent.control.exchanger.Mean,
 		Room:          func() string { return agent.control.view.Alternative(settings.Service, settings.Name) },
--- a/internal/assembler/watch.go
+++ b/internal/assembler/watch.go
@@ -60,6 +60,6 @@
 // watcher.
 func (entry *Entry) applyDigest(digest *encoder.Digest) {
 	entry.control.countDigest(digest)
-	entry.watcher.Hear(digest.GetRevision())
+	entry.watcher.ReceiveRevision(digest.GetRevision())
 	entry.view.RecordDigest(digest)
 }
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -100,8 +100,8 @@
 	return status
 }
 
-// Hear takes in a revision that came with a message of a peer.
-func (watcher *Watcher) Hear(revision uint64) {
+// ReceiveRevision takes in a revision that came with a message of a peer.
+func (watcher *Watcher) ReceiveRevision(revision uint64) {
 	now := watcher.settings.Clock.Now()
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
