--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -66,8 +66,8 @@
 type Status struct {
 	Revision uint64 `json:"revision"`
 	Hash     string `json:"hash"`
-	// Heard is the highest revision that the process has heard of.
-	Heard uint64 `json:"heard"`
+	// HighestKnown is the highest revision that the process has heard of.
+	HighestKnown uint64 `json:"heard"`
 	// Behind is for how long it has known that it lags.
 	Behind timekeeper.Span `json:"behind"`
 	// StoreSilent is how long the store has not answered.
@@ -91,7 +91,7 @@
 	status := Status{
 		Revision: watcher.standing.InForce,
 		Hash:     watcher.accepted.Hash,
-		Heard:    watcher.standing.HighestKnown,
+		HighestKnown:    watcher.standing.HighestKnown,
 		Behind:   watcher.standing.Behind(now),
 	}
 	if watcher.standing.StoreFailures > 0 && watcher.standing.StoreAnsweredAt > 0 {
