--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -70,8 +70,8 @@
 	HighestKnown uint64 `json:"heard"`
 	// Behind is for how long it has known that it lags.
 	Behind timekeeper.Span `json:"behind"`
-	// StoreSilent is how long the store has not answered.
-	StoreSilent timekeeper.Span `json:"store-silent"`
+	// StoreUnresponsive is how long the store has not answered.
+	StoreUnresponsive timekeeper.Span `json:"store-silent"`
 }
 
 // Current returns the configuration in force; its revision is zero when there
@@ -95,7 +95,7 @@
 		Behind:   watcher.standing.Behind(now),
 	}
 	if watcher.standing.StoreFailures > 0 && watcher.standing.StoreAnsweredAt > 0 {
-		status.StoreSilent = now.Since(watcher.standing.StoreAnsweredAt)
+		status.StoreUnresponsive = now.Since(watcher.standing.StoreAnsweredAt)
 	}
 	return status
 }
