--- a/cmd/trefoilseam/survey.go
+++ b/cmd/trefoilseam/survey.go
@@ -58,7 +58,7 @@
 	if process.Revision < head {
 		state = "lags"
 	}
-	if process.Silent {
+	if process.Unresponsive {
 		state = "silent"
 	}
 	return fmt.Sprintf("%s\t%s\t%d\t%s", process.Process, process.Site, process.Revision, state)
--- a/internal/publisher/survey.go
+++ b/internal/publisher/survey.go
@@ -16,8 +16,8 @@
 	Process  string `json:"process"`
 	Site     string `json:"site,omitempty"`
 	Revision uint64 `json:"revision"`
-	// Silent says that the process is listed and gave no answer.
-	Silent bool `json:"silent,omitempty"`
+	// Unresponsive says that the process is listed and gave no answer.
+	Unresponsive bool `json:"silent,omitempty"`
 }
 
 // Survey is the revision of every process that could be found.
@@ -30,7 +30,7 @@
 func (survey Survey) Lagging(revision uint64) []ProcessRevision {
 	var out []ProcessRevision
 	for _, process := range survey.Processes {
-		if process.Silent || process.Revision < revision {
+		if process.Unresponsive || process.Revision < revision {
 			out = append(out, process)
 		}
 	}
@@ -89,7 +89,7 @@
 	process := ProcessRevision{Process: instance.Name, Site: instance.Site}
 	answer, err := Exchange(ctx, surveyor.Pool, instance.Address, &encoder.DigestAsk{Service: instance.Service, WantAskers: true})
 	if err != nil {
-		process.Silent = true
+		process.Unresponsive = true
 		return process
 	}
 	digests := answer.GetDigests()
