--- a/internal/reporter/address.go
+++ b/internal/reporter/address.go
@@ -7,7 +7,7 @@
 	"github.com/trefoilseam/trefoilseam/internal/planner"
 )
 
-// Addresses returns where the agents that the view knows of are reached.
+// Addresses returns the addresses of all live agents.
 func (view *View) Addresses() []string {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -20,8 +20,8 @@
 	return addresses
 }
 
-// Locate returns the address of a replica that is known, also of one that
-// leaves: what is in flight there can still be followed.
+// Locate returns the address of a known replica, including one that is leaving,
+// so that requests in flight there can still be followed.
 func (view *View) Locate(instance string) (address string, known bool) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -33,7 +33,7 @@
 	return "", false
 }
 
-// Engines returns the agents of a service that are live.
+// Engines returns the live agents of a service.
 func (view *View) Engines(service string) []planner.Address {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -45,10 +45,10 @@
 	return engines
 }
 
-// Alternative returns a live replica of a service with little load, other than the
-// one that asks: the lesser loaded of two at random (Mitzenmacher, "The Power of
-// Two Choices in Randomized Load Balancing", 2001). Rows are a second or more
-// old, so the least loaded of all would get every caller of a burst.
+// Alternative returns a live replica of a service other than the asker: the less
+// loaded of two random ones (Mitzenmacher, "The Power of Two Choices in Randomized
+// Load Balancing", 2001). Rows are a second or more old, so always picking the
+// least loaded replica would send it every caller of a burst.
 func (view *View) Alternative(service, asker string) string {
 	view.mu.Lock()
 	defer view.mu.Unlock()
--- a/internal/reporter/bench_test.go
+++ b/internal/reporter/bench_test.go
@@ -11,13 +11,14 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// size is one size of fleet to measure.
+// size is a size of fleet to measure.
 type size struct {
 	name     string
 	entries  int
 	services int
 	replicas int
-	// scale multiplies an entry's cost, for services that are like those driven.
+	// scale multiplies an entry's cost, for services that aren't simulated but are like
+	// those that are.
 	scale int
 }
 
@@ -25,7 +26,7 @@
 	{"2x9", 2, 1, 9, 1},
 	{"10x50", 10, 2, 25, 1},
 	{"50x400", 50, 4, 100, 1},
-	// One of 17 services is driven whole, with all entries; 3,100/17 is 183.
+	// One of 17 services is simulated in full, with all entries; 3,100/17 is 183.
 	{"380x3100", 380, 1, 183, 17},
 }
 
@@ -34,94 +35,94 @@
 	designBound = 8 << 10
 )
 
-// configRate is what a look at the head of the configuration costs, at one in
-// two seconds.
+// configRate is the cost of polling the head of the configuration every two seconds,
+// in bytes a second.
 const configRate = 200
 
-// openSessions is how many sessions a daemon has open at most: an entry of the
-// design size has 3.2 calls a second, and idle sessions close after a minute.
+// openSessions is the maximum of open sessions of a process: an entry of the design
+// size has 3.2 calls a second, and idle sessions close after a minute.
 const openSessions = 300
 
-// others returns what a daemon spends beside digests, computed: the list at
-// its paced rate, probes of the open sessions, and the configuration.
-func (size size) others() int64 {
+// otherCost returns the computed cost of a process besides digests, in bytes a second:
+// the list at its limited rate, probes of open sessions, and the configuration.
+func (size size) otherCost() int64 {
 	sessions := min(openSessions, size.services*size.replicas*size.scale)
 	return listRate + configRate + int64(dialer.Settings{}.ProbeRate(sessions))
 }
 
-// cost is bytes a second of a daemon.
+// cost is the control traffic of a process in bytes a second.
 type cost struct {
 	agent int64
 	entry int64
 }
 
-func measure(driven *drive, scale int, span timekeeper.Span, churn func()) cost {
-	now := driven.manual.Now()
-	agents, entries := spent(driven.agents, now), spent(driven.entries, now)
-	driven.run(span, churn)
-	now = driven.manual.Now()
+func measure(sim *simulation, scale int, span timekeeper.Span, churn func()) cost {
+	now := sim.manual.Now()
+	agents, entries := bytesSpent(sim.agents, now), bytesSpent(sim.entries, now)
+	sim.run(span, churn)
+	now = sim.manual.Now()
 	seconds := int64(span / timekeeper.Second)
 	return cost{
-		agent: (spent(driven.agents, now) - agents) / int64(len(driven.agents)) / seconds,
-		entry: int64(scale) * (spent(driven.entries, now) - entries) / int64(len(driven.entries)) / seconds,
+		agent: (bytesSpent(sim.agents, now) - agents) / int64(len(sim.agents)) / seconds,
+		entry: int64(scale) * (bytesSpent(sim.entries, now) - entries) / int64(len(sim.entries)) / seconds,
 	}
 }
 
-// churnEvery returns a watcher that replaces an agent by a new life every so
-// often, and lets another drain.
-func (driven *drive) churnEvery(span timekeeper.Span) func() {
-	next := driven.manual.Now()
+// churnEvery returns a function that restarts one agent after another as a new
+// incarnation, one each span.
+func (sim *simulation) churnEvery(span timekeeper.Span) func() {
+	next := sim.manual.Now()
 	at := 0
 	return func() {
-		if driven.manual.Now() < next {
+		if sim.manual.Now() < next {
 			return
 		}
 		next = next.Add(span)
-		agent := driven.agents[at%len(driven.agents)]
+		agent := sim.agents[at%len(sim.agents)]
 		at++
 		agent.incarnation++
 		agent.sequence = 0
-		driven.boot(agent, uint64(at))
+		sim.startNode(agent, uint64(at))
 	}
 }
 
-// traffic is what was measured at one size, and how it is told.
+// traffic is the measurement at one size and its log line.
 type traffic struct {
 	worst cost
 	text  string
 }
 
-// trafficOf drives a fleet of a size, quiet and in churn.
-func trafficOf(b *testing.B, size size) traffic {
-	driven := newDrive(b, 1, size.entries, size.services, size.replicas)
-	for _, one := range driven.entries {
-		one.exchanger.share /= size.scale
+// measureTraffic simulates a fleet of a size, first quiet, then with churn.
+func measureTraffic(b *testing.B, size size) traffic {
+	sim := newSimulation(b, 1, size.entries, size.services, size.replicas)
+	for _, member := range sim.entries {
+		member.exchanger.loadLimit /= size.scale
 	}
-	driven.run(newsFor+2*timekeeper.Second, nil)
-	quiet := measure(driven, size.scale, 6*timekeeper.Second, nil)
-	churn := measure(driven, size.scale, 6*timekeeper.Second, driven.churnEvery(5*timekeeper.Second))
-	ages, beliefs := driven.ages(driven.agents), driven.ages(driven.entries)
+	sim.run(updateLifetime+2*timekeeper.Second, nil)
+	quiet := measure(sim, size.scale, 6*timekeeper.Second, nil)
+	churn := measure(sim, size.scale, 6*timekeeper.Second, sim.churnEvery(5*timekeeper.Second))
+	ages, estimates := sim.ages(sim.agents), sim.ages(sim.entries)
 	return traffic{
-		worst: cost{agent: max(quiet.agent, churn.agent) + size.others(), entry: max(quiet.entry, churn.entry) + size.others()},
+		worst: cost{agent: max(quiet.agent, churn.agent) + size.otherCost(), entry: max(quiet.entry, churn.entry) + size.otherCost()},
 		text: fmt.Sprintf("%-9s digests: quiet: agent %d entry %d B/s; churn: agent %d entry %d B/s; "+
 			"age at agents p50 %v p99 %v, at entries p50 %v p99 %v; all else %d B/s",
 			size.name, quiet.agent, quiet.entry, churn.agent, churn.entry,
-			quantile(ages, 0.5), quantile(ages, 0.99), quantile(beliefs, 0.5), quantile(beliefs, 0.99), size.others()),
+			quantile(ages, 0.5), quantile(ages, 0.99), quantile(estimates, 0.5), quantile(estimates, 0.99), size.otherCost()),
 	}
 }
 
-// BenchmarkControlTraffic measures what control costs a daemon, quiet and with
-// a replica replaced every five seconds, and breaks when that grows past its bounds.
+// BenchmarkControlTraffic measures the control traffic of a process, quiet and with a
+// replica replaced every five seconds, and fails when it exceeds its bounds.
 func BenchmarkControlTraffic(b *testing.B) {
-	// The drives make much garbage and hold little.
+	// The simulations allocate much and keep little.
 	defer debug.SetGCPercent(debug.SetGCPercent(800))
 	for b.Loop() {
 		measured := make([]traffic, len(sizes))
-		var drives sync.WaitGroup
+		var simulations sync.WaitGroup
 		for i, size := range sizes {
-			drives.Go(func() { measured[i] = trafficOf(b, size) })
+			simulations.Go(func() { measured[i] = measureTraffic(b, size) })
 		}
-		drives.Wait()
+		simulations.Wait()
 		costs := map[string]cost{}
 		for i, size := range sizes {
 			costs[size.name] = measured[i].worst
@@ -139,83 +140,83 @@
 	}
 }
 
-// BenchmarkAgeAgainstBytes draws the curve behind messageLimit: how old the
-// loads that an agent believes are, by the size of the messages between agents.
+// BenchmarkAgeAgainstBytes measures the curve from which messageLimit follows: the age
+// of the loads that an agent knows, by the size of the messages between agents.
 func BenchmarkAgeAgainstBytes(b *testing.B) {
 	for b.Loop() {
-		var drives sync.WaitGroup
+		var simulations sync.WaitGroup
 		for _, size := range []size{{"9", 1, 1, 9, 1}, {"183", 1, 1, 183, 1}} {
 			for _, limit := range []int{messageLimit / 4, messageLimit / 2, messageLimit, 2 * messageLimit} {
-				drives.Go(func() { agesAt(b, size, limit) })
+				simulations.Go(func() { measureAges(b, size, limit) })
 			}
 		}
-		drives.Wait()
+		simulations.Wait()
 	}
 }
 
-// agesAt drives a fleet with messages of a size and logs its point of the curve.
-func agesAt(b *testing.B, size size, limit int) {
-	driven := newDrive(b, 1, size.entries, size.services, size.replicas)
-	for _, one := range driven.all() {
-		one.exchanger.limit = limit
+// measureAges simulates a fleet with messages of a size and logs its point of the curve.
+func measureAges(b *testing.B, size size, limit int) {
+	sim := newSimulation(b, 1, size.entries, size.services, size.replicas)
+	for _, member := range sim.all() {
+		member.exchanger.limit = limit
 	}
-	driven.run(20*timekeeper.Second, nil)
-	spent := measure(driven, 1, 10*timekeeper.Second, nil)
-	ages := driven.ages(driven.agents)
+	sim.run(20*timekeeper.Second, nil)
+	bytesSpent := measure(sim, 1, 10*timekeeper.Second, nil)
+	ages := sim.ages(sim.agents)
 	b.Logf("replicas %s, messages of %d bytes: %d B/s an agent, age p50 %v p99 %v", size.name, limit,
-		spent.agent, quantile(ages, 0.5), quantile(ages, 0.99))
+		bytesSpent.agent, quantile(ages, 0.5), quantile(ages, 0.99))
 }
 
-// until runs the fleet until every entry holds the replica to be in the state,
-// and returns how long that took.
-func (driven *drive) until(name, state string) timekeeper.Span {
-	const step, longest = 50 * timekeeper.Millisecond, timekeeper.Minute
-	started := driven.manual.Now()
-	for driven.manual.Now().Since(started) < longest {
-		knowing := 0
-		for _, entry := range driven.entries {
+// timeUntil runs the fleet until every entry has the replica in the state, and returns
+// how long that took.
+func (sim *simulation) timeUntil(name, state string) timekeeper.Span {
+	const step, timeout = 50 * timekeeper.Millisecond, timekeeper.Minute
+	started := sim.manual.Now()
+	for sim.manual.Now().Since(started) < timeout {
+		informed := 0
+		for _, entry := range sim.entries {
 			for _, status := range entry.view.Status() {
 				if status.Name == name && status.State == state {
-					knowing++
+					informed++
 				}
 			}
 		}
-		if knowing == len(driven.entries) {
-			return driven.manual.Now().Since(started)
+		if informed == len(sim.entries) {
+			return sim.manual.Now().Since(started)
 		}
-		driven.run(step, nil)
+		sim.run(step, nil)
 	}
-	return longest
+	return timeout
 }
 
-// BenchmarkNewsReachesEveryEntry measures the time from a leave, a crash and a
-// new life to the last entry that knows, and breaks when a leave takes two seconds.
+// BenchmarkNewsReachesEveryEntry measures the time until every entry has received a
+// leave, a crash and a new incarnation, and fails when a leave takes two seconds.
 func BenchmarkNewsReachesEveryEntry(b *testing.B) {
 	for b.Loop() {
-		var drives sync.WaitGroup
+		var simulations sync.WaitGroup
 		for _, size := range sizes[:3] {
-			drives.Go(func() { newsAt(b, size) })
+			simulations.Go(func() { measureUpdates(b, size) })
 		}
-		drives.Wait()
+		simulations.Wait()
 	}
 }
 
-// newsAt drives a fleet of a size through a leave, a crash and a new life.
-func newsAt(b *testing.B, size size) {
-	driven := newDrive(b, 3, size.entries, size.services, size.replicas)
-	driven.run(10*timekeeper.Second, nil)
-	leaver, victim := driven.agents[0], driven.agents[1]
+// measureUpdates simulates a leave, a crash and a new incarnation in a fleet of a size.
+func measureUpdates(b *testing.B, size size) {
+	sim := newSimulation(b, 3, size.entries, size.services, size.replicas)
+	sim.run(10*timekeeper.Second, nil)
+	leaver, victim := sim.agents[0], sim.agents[1]
 	leaver.state = encoder.ReplicaState_REPLICA_STATE_DRAINING
 	leaver.exchanger.Announce(b.Context())
-	leave := driven.until(leaver.name, "leaving")
+	leave := sim.timeUntil(leaver.name, "leaving")
 	victim.down = true
-	crash := driven.until(victim.name, "dead")
+	crash := sim.timeUntil(victim.name, "dead")
 	victim.down = false
 	victim.incarnation++
 	victim.sequence = 0
-	driven.boot(victim, 9)
-	join := driven.until(victim.name, "live")
-	b.Logf("%-7s leave %v, crash %v, new life %v", size.name, leave, crash, join)
+	sim.startNode(victim, 9)
+	join := sim.timeUntil(victim.name, "live")
+	b.Logf("%-7s leave %v, crash %v, new incarnation %v", size.name, leave, crash, join)
 	if leave >= 2*timekeeper.Second {
 		b.Error("a leave took two seconds or longer")
 	}
--- a/internal/reporter/exchange.go
+++ b/internal/reporter/exchange.go
@@ -15,62 +15,65 @@
 )
 
 const (
-	// RoundInterval is the time between two rounds. News that every agent has
-	// reaches an entry within one, which leaves a second of the two that a
-	// leaving upstream may still get work for its notice to reach the agents.
+	// RoundInterval is the time between two rounds. An update that every agent has
+	// reaches an entry within one round. A leaving upstream may still get work for
+	// two seconds, so its notice has the other second to reach the agents.
 	RoundInterval = timekeeper.Second
-	// firstRounds are quick, so that a process that starts is useful at once.
-	firstRounds = 4
-	firstPause  = 100 * timekeeper.Millisecond
-	// askTimeout bounds one exchange: less than a round, so that a peer that
-	// swallows everything costs one round and holds up none.
+	// quickRounds is the number of short rounds after a start, which fill the view
+	// quickly.
+	quickRounds   = 4
+	quickInterval = 100 * timekeeper.Millisecond
+	// askTimeout bounds one exchange. It is shorter than a round, so that a peer
+	// that accepts data and never answers costs one round and delays no other.
 	askTimeout = 400 * timekeeper.Millisecond
-	// messageLimit is the size of a message in bytes, about 128 load rows. It is
-	// what keeps the bytes of an agent from growing with its service.
+	// messageLimit is the size of a message between agents in bytes, about 128 load
+	// rows. It keeps an agent's traffic from growing with its service.
 	messageLimit = 1408
-	// entryLimit is the size of the load rows that an entry asks for in a round,
-	// shared by all services. It hears all news whatever their size; loads it
-	// needs only for a first guess, since agents enforce the bound.
-	entryLimit = 1024
-	// streamCost is what an exchange takes beside its two messages: yamux
+	// entryLoadLimit is the size in bytes of the load rows that an entry requests in
+	// a round, divided among all services. An entry receives all updates whatever
+	// their size. It needs loads only as initial estimates, since agents enforce the
+	// bound.
+	entryLoadLimit = 1024
+	// streamOverhead is the bytes of an exchange besides its two messages: yamux
 	// headers of 12 bytes to open, send, answer and close, and frame lengths.
-	streamCost = 96
-	// announceWorkers bounds how many peers are told at once of a leave.
+	streamOverhead = 96
+	// announceWorkers bounds how many peers are notified of a leave concurrently.
 	announceWorkers = 16
 )
 
-// Exchanger speaks to peers for a view.
+// Exchanger exchanges digests with peers on behalf of a view.
 type Exchanger struct {
-	view   *View
-	budget *budgeter.Budget
-	clock  timekeeper.Clock
-	open   func(ctx context.Context, address string) (net.Conn, error)
-	name   string
-	site   string
-	seeds  []string
-	self   func() *encoder.Digest
-	every  timekeeper.Span
-	// limit is the size of a message between agents.
+	view     *View
+	budget   *budgeter.Budget
+	clock    timekeeper.Clock
+	open     func(ctx context.Context, address string) (net.Conn, error)
+	name     string
+	site     string
+	seeds    []string
+	self     func() *encoder.Digest
+	interval timekeeper.Span
+	// limit is the size of a message between agents in bytes.
 	limit int
-	// share is the size of load rows that an entry asks for in a round.
-	share int
+	// loadLimit is the size in bytes of the load rows that an entry requests in a
+	// round.
+	loadLimit int
 
-	mu       sync.Mutex
-	rounds   int
-	wanted   []uint32
-	contacts map[string]contact
-	known    map[string]heard
-	answered map[string]timekeeper.Instant
+	mu         sync.Mutex
+	rounds     int
+	unknownIDs []uint32
+	contacts   map[string]contact
+	positions  map[string]tablePosition
+	answeredAt map[string]timekeeper.Instant
 }
 
-// contact is the agent that an entry asks about a service.
+// contact is the agent that an entry queries about a service.
 type contact struct {
 	name string
 	site string
 }
 
-// heard is how far one agent's table has been read.
-type heard struct {
+// tablePosition is the version up to which the entry has read one agent's table.
+type tablePosition struct {
 	incarnation uint64
 	version     uint64
 }
@@ -82,15 +85,15 @@
 	Open func(ctx context.Context, address string) (net.Conn, error)
 	Name string
 	Site string
-	// Seeds are addresses of agents to ask when no replica is known.
+	// Seeds are addresses of agents to query when no replica is known.
 	Seeds []string
-	// Self returns what the agent says about itself; nil for an entry.
+	// Self returns the agent's own digest; nil for an entry.
 	Self func() *encoder.Digest
 	// Interval is the time between two rounds; zero means RoundEvery.
 	Interval timekeeper.Span
 }
 
-// NewExchanger returns an exchanger that has spoken to nobody yet.
+// NewExchanger returns an exchanger that has contacted no peer yet.
 func NewExchanger(settings ExchangeSettings) *Exchanger {
 	if settings.Interval == 0 {
 		settings.Interval = RoundInterval
@@ -98,30 +101,31 @@
 	return &Exchanger{
 		view: settings.View, budget: settings.View.settings.Budget, clock: settings.View.settings.Clock,
 		open: settings.Open, name: settings.Name, site: settings.Site, seeds: settings.Seeds, self: settings.Self,
-		every: settings.Interval, limit: messageLimit, share: entryLimit, contacts: map[string]contact{}, known: map[string]heard{}, answered: map[string]timekeeper.Instant{},
+		interval: settings.Interval, limit: messageLimit, loadLimit: entryLoadLimit, contacts: map[string]contact{}, positions: map[string]tablePosition{}, answeredAt: map[string]timekeeper.Instant{},
 	}
 }
 
 // Run makes rounds until ctx ends.
 func (exchanger *Exchanger) Run(ctx context.Context) {
-	exchanger.clock.Every(ctx, exchanger.pause, exchanger.Round)
+	exchanger.clock.Every(ctx, exchanger.nextInterval, exchanger.Round)
 }
 
-// pause returns the time to the next round, spread by a quarter.
-func (exchanger *Exchanger) pause() timekeeper.Span {
+// nextInterval returns the time to the next round, with a jitter of an eighth to
+// either side.
+func (exchanger *Exchanger) nextInterval() timekeeper.Span {
 	exchanger.mu.Lock()
 	rounds := exchanger.rounds
 	exchanger.rounds++
 	exchanger.mu.Unlock()
-	pause := exchanger.every
-	if rounds < firstRounds {
-		pause = min(pause, firstPause)
+	nextInterval := exchanger.interval
+	if rounds < quickRounds {
+		nextInterval = min(nextInterval, quickInterval)
 	}
-	// An entry keeps its pace: a leave must reach it within two seconds.
+	// An entry's interval stays: a leave must reach it within two seconds.
 	if exchanger.self != nil && exchanger.budget.Level(exchanger.clock.Now()) >= budgeter.Short {
-		pause *= 2
+		nextInterval *= 2
 	}
-	return pause*7/8 + timekeeper.Span(exchanger.random(int64(pause/4)+1))
+	return nextInterval*7/8 + timekeeper.Span(exchanger.random(int64(nextInterval/4)+1))
 }
 
 func (exchanger *Exchanger) random(below int64) int64 {
@@ -130,8 +134,8 @@
 	return exchanger.view.random.Int64N(below)
 }
 
-// Round makes one round: an agent exchanges with one peer, an entry asks about
-// each service.
+// Round makes one round: an agent exchanges digests with one peer, an entry
+// queries one agent of each service.
 func (exchanger *Exchanger) Round(ctx context.Context) {
 	if exchanger.self != nil {
 		exchanger.agentRound(ctx)
@@ -141,7 +145,7 @@
 	exchanger.view.Evaluate()
 }
 
-// query returns what a message may hold now, by the level of the budget.
+// query returns what a message may contain at the budget's current level.
 func (exchanger *Exchanger) query(limit int) Query {
 	switch level := exchanger.budget.Level(exchanger.clock.Now()); {
 	case level >= budgeter.Spent, level >= budgeter.Short && exchanger.self == nil:
@@ -152,7 +156,7 @@
 	return Query{Limit: limit}
 }
 
-// ask makes one exchange with the agent at an address and counts it.
+// ask makes one exchange with the agent at an address and counts its bytes.
 func (exchanger *Exchanger) ask(
 	ctx context.Context, address string, cause budgeter.Cause, ask *encoder.DigestAsk,
 ) (*encoder.Digests, error) {
@@ -166,13 +170,13 @@
 	// Closing a yamux stream doesn't wake its reader; a deadline does.
 	_ = conn.SetDeadline(exchanger.clock.Now().Add(askTimeout).Time())
 	stream := encoder.NewStream(conn)
-	exchanger.spend(cause, streamCost+proto.Size(ask))
+	exchanger.spend(cause, streamOverhead+proto.Size(ask))
 	if err := stream.Write(encoder.Of(ask)); err != nil {
 		return nil, err
 	}
 	answer, err := encoder.ReadAs(stream, (*encoder.Frame).GetDigests)
 	if err != nil {
-		return nil, eris.Wrap(err, "no digests came")
+		return nil, eris.Wrap(err, "read digests")
 	}
 	exchanger.spend(cause, proto.Size(answer))
 	return answer, nil
@@ -182,54 +186,55 @@
 	exchanger.budget.Spend(exchanger.clock.Now(), cause, int64(bytes))
 }
 
-// Answer answers the question of a peer, and learns from what it brought.
+// Answer merges the digests that a peer sent and returns the answer to its query.
 func (exchanger *Exchanger) Answer(ask *encoder.DigestAsk) *encoder.Digests {
 	digest := exchanger.self()
 	service := digest.GetService()
-	query := exchanger.query(exchanger.limitOf(ask))
+	query := exchanger.query(exchanger.answerLimit(ask))
 	query.KnownVersion, query.UnknownIDs, query.IncludeDead = ask.GetKnown(), ask.GetWanted(), ask.GetOwn() == nil
 	query.Recent = ask.GetOwn() != nil || ask.GetRecent()
 	query.PeerLoads = ask.GetOwn().GetLoads()
 	cause := budgeter.Digest
 	var answer *encoder.Digests
-	exchanger.view.with(service, func(table *Table, now timekeeper.Instant) {
+	exchanger.view.withTable(service, func(table *Table, now timekeeper.Instant) {
 		table.Merge(now, digest)
 		if ask.GetOwn() != nil && ask.GetService() == service {
-			exchanger.want(table.Unpack(now, ask.GetOwn()))
+			exchanger.addUnknown(table.Unpack(now, ask.GetOwn()))
 		}
 		answer = table.Pack(now, query)
 		answer.From, answer.Incarnation = exchanger.name, digest.GetIncarnation()
 		answer.Service = service
 	})
-	exchanger.spend(cause, streamCost+proto.Size(ask)+proto.Size(answer))
+	exchanger.spend(cause, streamOverhead+proto.Size(ask)+proto.Size(answer))
 	return answer
 }
 
-func (exchanger *Exchanger) limitOf(ask *encoder.DigestAsk) int {
+func (exchanger *Exchanger) answerLimit(ask *encoder.DigestAsk) int {
 	if limit := int(ask.GetLimit()); limit > 0 {
-		return min(limit, maxAnswer)
+		return min(limit, maxAnswerSize)
 	}
 	return exchanger.limit
 }
 
-// maxAnswer bounds what a peer may ask for: the whole of a large service.
-const maxAnswer = 64 << 10
+// maxAnswerSize bounds the answer that a peer may request, in bytes: the whole
+// table of a large service.
+const maxAnswerSize = 64 << 10
 
-func (exchanger *Exchanger) want(ids []uint32) {
-	const most = 32
+func (exchanger *Exchanger) addUnknown(ids []uint32) {
+	const maxUnknown = 32
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
 	for _, key := range ids {
-		if len(exchanger.wanted) < most && !slices.Contains(exchanger.wanted, key) {
-			exchanger.wanted = append(exchanger.wanted, key)
+		if len(exchanger.unknownIDs) < maxUnknown && !slices.Contains(exchanger.unknownIDs, key) {
+			exchanger.unknownIDs = append(exchanger.unknownIDs, key)
 		}
 	}
 }
 
-func (exchanger *Exchanger) takeWanted() []uint32 {
+func (exchanger *Exchanger) takeUnknown() []uint32 {
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
-	wanted := exchanger.wanted
-	exchanger.wanted = nil
-	return wanted
+	unknownIDs := exchanger.unknownIDs
+	exchanger.unknownIDs = nil
+	return unknownIDs
 }
--- a/internal/reporter/holders.go
+++ b/internal/reporter/holders.go
@@ -6,40 +6,41 @@
 	"github.com/trefoilseam/trefoilseam/internal/placer"
 )
 
-// holders are the rosters of the replicas that hold each adapter. They take
-// memory for the adapters that live engines hold and no others.
-type holders map[string]holding
+// adapterRosters maps each adapter to the roster of the replicas that have it
+// loaded. It has entries only for adapters that live engines have loaded.
+type adapterRosters map[string]adapterRoster
 
-// holding is a roster and what it was made of.
-type holding struct {
+// adapterRoster is a roster and the replicas that it was built from.
+type adapterRoster struct {
 	replicas []placer.Replica
 	roster   placer.Roster
 }
 
-// anew returns the holders among the live rows, whose replicas come in the
-// same order. A roster whose replicas are as before is kept: making a ring
-// costs a sort of all its points.
-func (before holders) anew(live []Row, replicas []placer.Replica) holders {
-	by := map[string][]placer.Replica{}
+// rebuilt returns the adapter rosters of the live rows; replicas are in the order
+// of live. A roster whose replicas are unchanged is reused, since building a ring
+// sorts all its points.
+func (rosters adapterRosters) rebuilt(live []Row, replicas []placer.Replica) adapterRosters {
+	byAdapter := map[string][]placer.Replica{}
 	for i, row := range live {
 		for _, adapter := range row.Adapters {
-			by[adapter] = append(by[adapter], replicas[i])
+			byAdapter[adapter] = append(byAdapter[adapter], replicas[i])
 		}
 	}
-	now := make(holders, len(by))
-	for adapter, replicas := range by {
-		held := before[adapter]
-		if !slices.Equal(held.replicas, replicas) {
-			held = holding{replicas: replicas, roster: placer.NewRoster(replicas)}
+	next := make(adapterRosters, len(byAdapter))
+	for adapter, replicas := range byAdapter {
+		kept := rosters[adapter]
+		if !slices.Equal(kept.replicas, replicas) {
+			kept = adapterRoster{replicas: replicas, roster: placer.NewRoster(replicas)}
 		}
-		now[adapter] = held
+		next[adapter] = kept
 	}
-	return now
+	return next
 }
 
-// AdapterRoster returns the replicas of a service that may get new work and hold the adapter.
+// AdapterRoster returns the replicas of a service that may get new work and have
+// the adapter loaded.
 func (view *View) AdapterRoster(service, adapter string) placer.Roster {
 	view.mu.Lock()
 	defer view.mu.Unlock()
-	return view.holders[service][adapter].roster
+	return view.adapterRosters[service][adapter].roster
 }
--- a/internal/reporter/pack.go
+++ b/internal/reporter/pack.go
@@ -11,48 +11,50 @@
 )
 
 const (
-	// ageUnit is the unit of an age in a load row: a byte holds 25 seconds.
+	// ageUnit is the unit of an age in a load row: a byte holds up to 25 seconds.
 	ageUnit = 100 * timekeeper.Millisecond
-	// newsSends is how often a process passes one piece of news on to peers.
-	// Each telling reaches one peer, so eight tellings by all who know reach
-	// 400 agents many times over, and after a restart of a whole service news
-	// doesn't fill the messages for longer than it must.
-	newsSends = 8
-	// mostSends is how often a process passes one load report on to peers.
-	mostSends = 3
-	// loadRowSize is what one load row takes in bytes, about: 4 for the id, 3
+	// maxUpdateSends is how often a process forwards one update to peers. Each send
+	// reaches one peer, so eight sends by each informed agent reach 400 agents many
+	// times over, and after a restart of a whole service updates fill the messages
+	// no longer than necessary.
+	maxUpdateSends = 8
+	// maxLoadSends is how often a process forwards one load row to peers.
+	maxLoadSends = 3
+	// loadRowSize is the approximate size of a load row in bytes: 4 for the id, 3
 	// for the load, 3 for the sequence, 1 for the age.
 	loadRowSize = 11
 )
 
-// Query says what a message to a peer shall hold.
+// Query selects what a message to a peer contains.
 type Query struct {
 	// KnownVersion is the table version that the peer has seen; zero means none.
 	KnownVersion uint64
-	// UnknownIDs are ids that the peer couldn't place.
+	// UnknownIDs are ids of load rows for which the peer has no replica.
 	UnknownIDs []uint32
-	// Limit is the size of the message in bytes, about; zero means no limit.
-	// Notices of replicas that leave go beyond it, and so does all news to a
-	// peer that follows by version, for it wouldn't be told twice.
+	// Limit is the approximate size of the message in bytes; zero means no limit.
+	// Notices of leaving replicas may exceed it. So may all updates to a peer that
+	// follows by version, since they aren't sent to it again.
 	Limit int
-	// Recent takes news by their age instead of by version, for a peer that
-	// knows the service from others.
+	// Recent selects updates by age instead of by version, for a peer that also
+	// receives the service's updates from other processes.
 	Recent bool
-	// IncludeDead tells of replicas that are held dead. Agents judge for
-	// themselves, so that one agent's cut isn't taken for everybody's.
+	// IncludeDead adds replicas that count as dead in this table. It isn't set
+	// between agents: each evaluates silence itself, so that the partition of one
+	// agent doesn't spread to all others.
 	IncludeDead bool
-	// PeerLoads are the load rows that the peer has just brought, with their sequences.
+	// PeerLoads are the load rows that the peer has just sent.
 	PeerLoads *encoder.Loads
-	// WithoutLoads leaves load rows out: the budget is spent.
+	// WithoutLoads omits load rows, because the budget is short or spent.
 	WithoutLoads bool
 }
 
-// Pack returns a message with what a peer should hear, the most important
-// first: notices of leaving (always), other news, rows asked for, then load
-// rows from the youngest on, until the limit.
+// Pack returns a message for a peer, the most important rows first: notices of
+// leaving (always), then other updates and requested rows, then load rows from
+// the youngest on, up to the limit.
 //
-// The order is by the harm of not knowing: work sent to a leaving replica
-// fails a promise; a stale load costs one refusal, which brings the fresh one.
+// Rows are ordered by the harm of a peer lacking them: work sent to a leaving
+// replica breaks a promise; a stale load costs one refusal, which carries the
+// current load.
 func (table *Table) Pack(now timekeeper.Instant, query Query) *encoder.Digests {
 	out := &encoder.Digests{Version: table.version, Loads: &encoder.Loads{}}
 	mean := table.Mean(now)
@@ -61,7 +63,7 @@
 	rows := table.byImportance(now, query)
 	size := 0
 	for _, row := range rows {
-		if table.isNews(now, row, query) {
+		if table.updateDue(now, row, query) {
 			digest := row.digest(table.service, now)
 			length := proto.Size(digest)
 			if query.Recent && !fits(query.Limit, size, length) && !row.leaving() {
@@ -69,19 +71,19 @@
 			}
 			digest.Service = ""
 			if !query.IncludeDead {
-				row.newsSent++
+				row.updateSends++
 			}
 			out.Digests = append(out.Digests, digest)
 			size += length
 			continue
 		}
-		if !table.loadGoes(*row, query) || !fits(query.Limit, size, loadRowSize) {
+		if !table.loadDue(*row, query) || !fits(query.Limit, size, loadRowSize) {
 			continue
 		}
 		addLoad(out.GetLoads(), *row, now)
 		if !query.IncludeDead {
-			row.sent++
-			row.sentAt = now
+			row.loadSends++
+			row.loadSentAt = now
 		}
 		size += loadRowSize
 	}
@@ -92,17 +94,17 @@
 	return limit == 0 || size+more <= limit
 }
 
-func (table *Table) loadGoes(row Row, query Query) bool {
-	if query.WithoutLoads || row.Incarnation == 0 || row.dead || row.gone() || row.leaving() {
+func (table *Table) loadDue(row Row, query Query) bool {
+	if query.WithoutLoads || row.Incarnation == 0 || row.dead || row.reportedDead() || row.leaving() {
 		return false
 	}
 	if query.Recent && !query.IncludeDead {
-		return row.sent < mostSends && !query.has(row)
+		return row.loadSends < maxLoadSends && !query.has(row)
 	}
-	return query.Recent || row.changed > query.KnownVersion
+	return query.Recent || row.changedVersion > query.KnownVersion
 }
 
-// has reports whether the peer has brought the row itself, as new or newer.
+// has reports whether the peer itself sent the row with the same or a later sequence.
 func (query Query) has(row Row) bool {
 	at := slices.Index(query.PeerLoads.GetIds(), id(row.Name, row.Incarnation))
 	return at >= 0 && at < len(query.PeerLoads.GetSequences()) && query.PeerLoads.GetSequences()[at] >= row.Sequence
@@ -115,8 +117,9 @@
 	loads.Ages = append(loads.Ages, uint32(max(0, now.Since(row.ReportedAt))/ageUnit))
 }
 
-// isNews reports whether the peer may lack more than the row's load.
-func (table *Table) isNews(now timekeeper.Instant, row *Row, query Query) bool {
+// updateDue reports whether the peer may lack more of the row than its load, so that
+// the message must contain the whole digest.
+func (table *Table) updateDue(now timekeeper.Instant, row *Row, query Query) bool {
 	if slices.Contains(query.UnknownIDs, id(row.Name, row.Incarnation)) {
 		return true
 	}
@@ -125,11 +128,11 @@
 	}
 	switch {
 	case query.Recent && query.IncludeDead:
-		return (row.Incarnation != 0 || row.dead) && now.Since(row.news) <= newsFor
+		return (row.Incarnation != 0 || row.dead) && now.Since(row.updated) <= updateLifetime
 	case query.Recent:
-		return row.Incarnation != 0 && row.newsSent < newsSends && now.Since(row.news) <= newsFor
+		return row.Incarnation != 0 && row.updateSends < maxUpdateSends && now.Since(row.updated) <= updateLifetime
 	}
-	return row.newsAt > query.KnownVersion
+	return row.updatedVersion > query.KnownVersion
 }
 
 func (table *Table) byImportance(now timekeeper.Instant, query Query) []*Row {
@@ -140,27 +143,28 @@
 	slices.SortFunc(rows, func(a, b *Row) int {
 		order := cmp.Compare(a.rank, b.rank)
 		if false {
-			order = cmp.Compare(a.sentAt, b.sentAt)
+			// Among load rows, those that this process sent the longest ago would come
+			// first, so that the same few youngest don't displace all others in every
+			// message. This order is disabled: the youngest come first.
+			order = cmp.Compare(a.loadSentAt, b.loadSentAt)
 		}
 		return cmp.Or(order, cmp.Compare(b.ReportedAt, a.ReportedAt), cmp.Compare(a.Name, b.Name))
 	})
 	return rows
 }
 
-// rank orders rows by the harm of not knowing them. Among load
-// rows those come first that this process has passed on the longest ago: were
-// it the youngest, the same few would crowd out all others in every message.
+// rank orders rows by the harm of a peer lacking them.
 func (table *Table) rank(now timekeeper.Instant, row *Row, query Query) int {
 	switch {
 	case row.leaving():
 		return 0
-	case table.isNews(now, row, query):
+	case table.updateDue(now, row, query):
 		return 1
 	}
 	return 2
 }
 
-// Unpack takes in a message and returns the ids that it couldn't place.
+// Unpack merges a message and returns the ids of load rows without a known replica.
 func (table *Table) Unpack(now timekeeper.Instant, digests *encoder.Digests) []uint32 {
 	for _, digest := range digests.GetDigests() {
 		table.Merge(now, digest)
--- a/internal/reporter/rounds.go
+++ b/internal/reporter/rounds.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	// strayOneIn is how often an agent tries a replica that it holds dead: often
-	// enough that a healed cut is noticed, rare enough that the dead cost little.
-	strayOneIn = 8
-	// otherOneIn is how often an entry asks another agent than its contact, so
-	// that a contact that is itself cut off doesn't stay the only witness.
-	otherOneIn = 4
-	// fullAnswer is the size of a first answer, which brings a whole table.
-	fullAnswer = maxAnswer
+	// deadPeerOneIn is how often an agent's peer may be one that counts as dead, one
+	// round in 8: often enough to notice that a partition has healed, rarely enough
+	// that dead replicas cost little.
+	deadPeerOneIn = 8
+	// otherAgentOneIn is how often an entry queries another agent than its contact,
+	// one round in 4, so that it doesn't depend on a contact that is itself
+	// partitioned.
+	otherAgentOneIn = 4
+	// fullAnswerLimit is the size of a first answer, which contains a whole table.
+	fullAnswerLimit = maxAnswerSize
 )
 
-// errOtherService says that an address now belongs to an agent of another service.
-var errOtherService = eris.New("the agent is of another service")
+// errOtherService means that an address now belongs to an agent of another service.
+var errOtherService = eris.New("the address belongs to an agent of another service")
 
 // agentRound exchanges digests with one peer of the agent's service.
 func (exchanger *Exchanger) agentRound(ctx context.Context) {
@@ -33,43 +35,43 @@
 	query := exchanger.query(exchanger.limit)
 	query.Recent = true
 	ask := &encoder.DigestAsk{
-		Asker: exchanger.name, Service: service, Revision: own.GetRevision(), Wanted: exchanger.takeWanted(),
+		Asker: exchanger.name, Service: service, Revision: own.GetRevision(), Wanted: exchanger.takeUnknown(),
 	}
 	var peer Row
-	exchanger.view.with(service, func(table *Table, now timekeeper.Instant) {
+	exchanger.view.withTable(service, func(table *Table, now timekeeper.Instant) {
 		table.Merge(now, own)
 		ask.Own = table.Pack(now, query)
-		peer = exchanger.peer(table)
+		peer = exchanger.pickPeer(table)
 	})
 	address := exchanger.addressOf(peer)
 	if address == "" {
 		return
 	}
 	answer, err := exchanger.ask(ctx, address, budgeter.Digest, ask)
-	exchanger.view.with(service, func(table *Table, now timekeeper.Instant) {
+	exchanger.view.withTable(service, func(table *Table, now timekeeper.Instant) {
 		if err != nil {
 			table.RecordFailure(now, peer.Name)
 			return
 		}
 		table.RecordAnswer(peer.Name)
-		exchanger.want(table.Unpack(now, answer))
+		exchanger.addUnknown(table.Unpack(now, answer))
 	})
 }
 
-// Mean returns the load of the agent's whole service as far as it is known. Its
-// own part is what it is now, not what it was in the last round: a load that
-// came since would else count as carried and not as part of the mean.
+// Mean returns the known load of the agent's whole service. The agent's own part
+// is its current load, not that of the last round: otherwise load that arrived
+// since would count for the agent but not in the mean.
 func (exchanger *Exchanger) Mean() admitter.Mean {
 	own := exchanger.self()
 	var mean admitter.Mean
-	exchanger.view.with(own.GetService(), func(table *Table, now timekeeper.Instant) {
+	exchanger.view.withTable(own.GetService(), func(table *Table, now timekeeper.Instant) {
 		table.Merge(now, own)
 		mean = table.Mean(now)
 	})
 	return mean
 }
 
-// addressOf returns where a peer is reached, or a seed when there is none.
+// addressOf returns the address of a peer, or a random seed when there is no peer.
 func (exchanger *Exchanger) addressOf(peer Row) string {
 	if peer.Name != "" {
 		return peer.DialAddress()
@@ -80,126 +82,129 @@
 	return exchanger.seeds[exchanger.random(int64(len(exchanger.seeds)))]
 }
 
-// peer picks a peer at random; the view's lock must be held. Mostly it is one
-// that is believed to be up.
-func (exchanger *Exchanger) peer(table *Table) Row {
+// pickPeer returns a random peer, in most rounds one that is neither dead nor
+// leaving. The view's lock must be held.
+func (exchanger *Exchanger) pickPeer(table *Table) Row {
 	random := exchanger.view.random
-	stray := random.IntN(strayOneIn) == 0
-	var choice []Row
+	includeDead := random.IntN(deadPeerOneIn) == 0
+	var candidates []Row
 	for _, row := range table.Rows() {
-		if row.Name != exchanger.name && row.DialAddress() != "" && (stray || !row.dead && !row.leaving()) {
-			choice = append(choice, row)
+		if row.Name != exchanger.name && row.DialAddress() != "" && (includeDead || !row.dead && !row.leaving()) {
+			candidates = append(candidates, row)
 		}
 	}
-	if len(choice) == 0 {
+	if len(candidates) == 0 {
 		return Row{}
 	}
-	return choice[random.IntN(len(choice))]
+	return candidates[random.IntN(len(candidates))]
 }
 
-// entryRound asks one agent of each service for what has changed.
+// entryRound queries one agent of each service for changes.
 func (exchanger *Exchanger) entryRound(ctx context.Context) {
 	services := exchanger.view.Services()
 	if len(services) == 0 {
-		exchanger.askSeed(ctx)
+		exchanger.querySeeds(ctx)
 		return
 	}
 	var asks sync.WaitGroup
 	for _, service := range services {
 		asks.Go(func() {
-			if failed := exchanger.askAbout(ctx, service, len(services), ""); failed != "" {
-				// The contact is gone, and may be the one that leaves: another is
-				// asked in the same round, or two seconds would pass unheard.
-				exchanger.askAbout(ctx, service, len(services), failed)
+			if failed := exchanger.queryService(ctx, service, len(services), ""); failed != "" {
+				// The contact failed and may be the replica that leaves. Another agent
+				// is queried in the same round, since a leave must be known within two
+				// seconds.
+				exchanger.queryService(ctx, service, len(services), failed)
 			}
 		})
 	}
 	asks.Wait()
 }
 
-// askAbout asks the contact of a service, or another if it is to be avoided,
-// and returns the name of an agent that didn't answer.
-func (exchanger *Exchanger) askAbout(ctx context.Context, service string, services int, avoid string) string {
+// queryService queries the contact of a service, or another agent than avoid. It
+// returns the name of the agent if the query failed, else "".
+func (exchanger *Exchanger) queryService(ctx context.Context, service string, services int, avoid string) string {
 	var peer Row
-	exchanger.view.with(service, func(table *Table, _ timekeeper.Instant) { peer = exchanger.contact(table, avoid) })
+	exchanger.view.withTable(service, func(table *Table, _ timekeeper.Instant) { peer = exchanger.pickContact(table, avoid) })
 	if peer.Name == "" {
-		exchanger.askSeed(ctx)
+		exchanger.querySeeds(ctx)
 		return ""
 	}
 	exchanger.mu.Lock()
-	known := exchanger.known[peer.Name]
-	quiet := exchanger.clock.Now().Since(exchanger.answered[service])
+	position := exchanger.positions[peer.Name]
+	quiet := exchanger.clock.Now().Since(exchanger.answeredAt[service])
 	exchanger.mu.Unlock()
-	query := exchanger.query(min(exchanger.limit, exchanger.share/services))
+	query := exchanger.query(min(exchanger.limit, exchanger.loadLimit/services))
 	ask := &encoder.DigestAsk{
-		Asker: exchanger.name, Service: service, Known: known.version, Wanted: exchanger.takeWanted(), Limit: uint32(query.Limit),
+		Asker: exchanger.name, Service: service, Known: position.version, Wanted: exchanger.takeUnknown(), Limit: uint32(query.Limit),
 	}
-	// A new contact tells the last seconds' news, unless nobody has told any
-	// for so long that more is missing.
-	ask.Recent = known.version == 0 && quiet < newsFor/2
-	if known.version == 0 && !ask.GetRecent() {
-		ask.Limit = fullAnswer
+	// A new contact sends only the updates of the last seconds, unless the service
+	// has sent no answer for so long that older updates may be missing.
+	ask.Recent = position.version == 0 && quiet < updateLifetime/2
+	if position.version == 0 && !ask.GetRecent() {
+		ask.Limit = fullAnswerLimit
 	}
 	answer, err := exchanger.ask(ctx, peer.DialAddress(), budgeter.Digest, ask)
-	if err == nil && answer.GetIncarnation() != known.incarnation && known.version != 0 {
-		// Another life of the agent counts its versions anew.
+	if err == nil && answer.GetIncarnation() != position.incarnation && position.version != 0 {
+		// A new incarnation of the agent restarts its version numbers.
 		answer.Version = 0
 	}
 	if err == nil && answer.GetService() != service {
 		err = errOtherService
 	}
-	exchanger.settle(service, peer, answer, err)
+	exchanger.recordAnswer(service, peer, answer, err)
 	if err != nil {
 		return peer.Name
 	}
 	return ""
 }
 
-// settle takes in an answer, or drops the contact that gave none.
-func (exchanger *Exchanger) settle(service string, peer Row, answer *encoder.Digests, err error) {
+// recordAnswer merges an answer, or records a failure and drops a contact that failed
+// repeatedly.
+func (exchanger *Exchanger) recordAnswer(service string, peer Row, answer *encoder.Digests, err error) {
 	dropped := false
-	exchanger.view.with(service, func(table *Table, now timekeeper.Instant) {
+	exchanger.view.withTable(service, func(table *Table, now timekeeper.Instant) {
 		if err != nil {
-			// A contact that fails once is asked again in the next round, so that
-			// a slow one is told from a dead one.
+			// A contact that fails once is queried again in the next round, to
+			// distinguish a slow one from a dead one.
 			table.RecordFailure(now, peer.Name)
-			dropped = table.rows[peer.Name] == nil || table.rows[peer.Name].fails >= failsToDie
+			dropped = table.rows[peer.Name] == nil || table.rows[peer.Name].failures >= confirmingFailures
 			return
 		}
 		table.RecordAnswer(peer.Name)
-		exchanger.want(table.Unpack(now, answer))
+		exchanger.addUnknown(table.Unpack(now, answer))
 	})
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
 	if err != nil {
 		if dropped {
 			delete(exchanger.contacts, service)
-			delete(exchanger.known, peer.Name)
+			delete(exchanger.positions, peer.Name)
 		}
 		return
 	}
-	exchanger.answered[service] = exchanger.clock.Now()
-	exchanger.known[peer.Name] = heard{incarnation: answer.GetIncarnation(), version: answer.GetVersion()}
+	exchanger.answeredAt[service] = exchanger.clock.Now()
+	exchanger.positions[peer.Name] = tablePosition{incarnation: answer.GetIncarnation(), version: answer.GetVersion()}
 }
 
-// contact returns the agent to ask about a service: one of the entry's own data
-// centre if there is one, now and then another. The view's lock must be held.
-func (exchanger *Exchanger) contact(table *Table, avoid string) Row {
+// pickContact returns the agent to query about a service: one of the entry's own
+// data centre if there is one, and in one round of otherAgentOneIn another. The
+// view's lock must be held.
+func (exchanger *Exchanger) pickContact(table *Table, avoid string) Row {
 	random := exchanger.view.random
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
-	held := exchanger.contacts[table.service]
-	stray := random.IntN(otherOneIn) == 0
+	current := exchanger.contacts[table.service]
+	otherAgent := random.IntN(otherAgentOneIn) == 0
 	var near, far []Row
 	for _, row := range table.Live() {
 		if row.Name == avoid {
 			continue
 		}
-		if row.fails > 0 && row.fails < failsToDie && avoid == "" {
-			// One failure is confirmed or cleared in the next round.
+		if row.failures > 0 && row.failures < confirmingFailures && avoid == "" {
+			// The next round confirms or clears a single failure.
 			return row
 		}
-		if row.Name == held.name && !stray {
+		if row.Name == current.name && !otherAgent {
 			return row
 		}
 		if row.Site == exchanger.site {
@@ -208,38 +213,38 @@
 			far = append(far, row)
 		}
 	}
-	choice := near
-	if len(near) == 0 || stray && len(far) > 0 {
-		choice = far
+	candidates := near
+	if len(near) == 0 || otherAgent && len(far) > 0 {
+		candidates = far
 	}
-	if len(choice) == 0 {
+	if len(candidates) == 0 {
 		return Row{}
 	}
-	picked := choice[random.IntN(len(choice))]
-	if !stray && avoid == "" {
+	picked := candidates[random.IntN(len(candidates))]
+	if !otherAgent && avoid == "" {
 		exchanger.contacts[table.service] = contact{name: picked.Name, site: picked.Site}
 	}
 	return picked
 }
 
-// askSeed asks the configured peers, whatever their service, when the view is
-// empty: an entry that starts while the instance list can't be read.
-func (exchanger *Exchanger) askSeed(ctx context.Context) {
+// querySeeds queries the configured peers of any service when the view is empty, as
+// in an entry that starts while the instance list can't be read.
+func (exchanger *Exchanger) querySeeds(ctx context.Context) {
 	for _, address := range exchanger.seeds {
-		answer, err := exchanger.ask(ctx, address, budgeter.Digest, &encoder.DigestAsk{Asker: exchanger.name, Limit: fullAnswer})
+		answer, err := exchanger.ask(ctx, address, budgeter.Digest, &encoder.DigestAsk{Asker: exchanger.name, Limit: fullAnswerLimit})
 		if err != nil {
 			continue
 		}
-		exchanger.view.with(answer.GetService(), func(table *Table, now timekeeper.Instant) { table.Unpack(now, answer) })
+		exchanger.view.withTable(answer.GetService(), func(table *Table, now timekeeper.Instant) { table.Unpack(now, answer) })
 	}
 }
 
-// Announce tells every peer at once that this agent leaves. It isn't held back
-// by the budget, and happens once in the life of a process.
+// Announce notifies every peer immediately that this agent leaves. The budget
+// doesn't limit it, since it happens once per process.
 func (exchanger *Exchanger) Announce(ctx context.Context) {
 	own := exchanger.self()
 	var peers []Row
-	exchanger.view.with(own.GetService(), func(table *Table, now timekeeper.Instant) {
+	exchanger.view.withTable(own.GetService(), func(table *Table, now timekeeper.Instant) {
 		table.Merge(now, own)
 		peers = table.Live()
 	})
--- a/internal/reporter/row.go
+++ b/internal/reporter/row.go
@@ -9,13 +9,13 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Row is what is believed about one replica.
+// Row is the known state of one replica.
 type Row struct {
 	Name    string
 	Site    string
 	Address string
-	// Incarnation orders the lives of one name: a later start has a higher
-	// number. Zero means that only the instance list has named the replica.
+	// Incarnation orders the starts of a replica under one name: a later start has a
+	// higher number. Zero means that only the instance list has named the replica.
 	Incarnation uint64
 	State       encoder.ReplicaState
 	Load        int64
@@ -25,33 +25,35 @@
 	Revision    uint64
 	Sequence    uint64
 	Strikes     []*encoder.Strike
-	// Adapters are the adapters that the engine holds.
+	// Adapters are the adapters that the engine has loaded.
 	Adapters []string
-	// ReportedAt is when the replica's agent said this, by the clock of this process.
+	// ReportedAt is when the replica's agent reported this state, by the clock of this
+	// process.
 	ReportedAt timekeeper.Instant
-	// Leaving says that the instance list marks the replica as leaving.
+	// Leaving is set when the instance list marks the replica as leaving.
 	Leaving bool
-	// Listed says that the newest instance list names the replica.
+	// Listed is set when the newest instance list names the replica.
 	Listed bool
 
-	listAddress string
-	fails       int
-	failed      timekeeper.Instant
-	returns     int
-	returned    timekeeper.Instant
-	news        timekeeper.Instant
-	changed     uint64
-	newsAt      uint64
-	dead        bool
-	announced   string
-	sent        int
-	newsSent    int
-	sentAt      timekeeper.Instant
-	rank        int
+	listAddress    string
+	failures       int
+	failed         timekeeper.Instant
+	returns        int
+	returned       timekeeper.Instant
+	updated        timekeeper.Instant
+	changedVersion uint64
+	updatedVersion uint64
+	dead           bool
+	reportedState  string
+	loadSends      int
+	updateSends    int
+	loadSentAt     timekeeper.Instant
+	rank           int
 }
 
-// WithDigest returns the row with what a digest says, at a time by this clock.
-func (row Row) WithDigest(digest *encoder.Digest, said timekeeper.Instant) Row {
+// WithDigest returns the row with the contents of a digest, reported at a time by
+// the clock of this process.
+func (row Row) WithDigest(digest *encoder.Digest, reportedAt timekeeper.Instant) Row {
 	row.Incarnation = digest.GetIncarnation()
 	row.State = digest.GetState()
 	row.Load = digest.GetLoad()
@@ -62,8 +64,8 @@
 	row.Sequence = digest.GetSequence()
 	row.Strikes = digest.GetStrikes()
 	row.Adapters = digest.GetLoaded()
-	row.ReportedAt = said
-	row.sent = 0
+	row.ReportedAt = reportedAt
+	row.loadSends = 0
 	if digest.GetSite() != "" {
 		row.Site = digest.GetSite()
 	}
@@ -73,8 +75,8 @@
 	return row
 }
 
-// DialAddress returns the address to dial: the list's, for it knows how the replica
-// is reached from outside, else the one that the agent gave.
+// DialAddress returns the address to dial: that of the instance list, which is the
+// one reachable from outside, else the one that the agent reported.
 func (row Row) DialAddress() string {
 	if row.listAddress != "" {
 		return row.listAddress
@@ -82,17 +84,17 @@
 	return row.Address
 }
 
-// leaving reports whether the replica itself or the list says that it leaves.
+// leaving reports whether the replica drains or the list marks it as leaving.
 func (row Row) leaving() bool {
 	return row.Leaving || row.State == encoder.ReplicaState_REPLICA_STATE_DRAINING
 }
 
-// gone reports whether the replica, or an agent that watched it, called it dead.
-func (row Row) gone() bool {
+// reportedDead reports whether the replica itself or another agent reported it as dead.
+func (row Row) reportedDead() bool {
 	return row.State == encoder.ReplicaState_REPLICA_STATE_GONE || row.State == encoder.ReplicaState_REPLICA_STATE_DOWN
 }
 
-// digest returns the row as it is told to others.
+// digest returns the row as a digest for peers.
 func (row Row) digest(service string, now timekeeper.Instant) *encoder.Digest {
 	state := row.State
 	if row.dead && !row.leaving() {
@@ -107,7 +109,7 @@
 	}
 }
 
-// id names a replica and incarnation in a load row.
+// id returns the hash that identifies a replica and incarnation in a load row.
 func id(name string, incarnation uint64) uint32 {
 	var tail [8]byte
 	binary.BigEndian.PutUint64(tail[:], incarnation)
--- a/internal/reporter/slopes_test.go
+++ b/internal/reporter/slopes_test.go
@@ -10,7 +10,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// heap returns the bytes in use after a collection.
+// heap returns the bytes of heap in use after a garbage collection.
 func heap() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -18,7 +18,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// processorTime returns what the process has used in microseconds.
+// processorTime returns the processor time that the process has used, in microseconds.
 func processorTime() int64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -27,8 +27,8 @@
 	return (usage.Utime.Nano() + usage.Stime.Nano()) / 1000
 }
 
-// BenchmarkSlopes prints what a replica costs a process in memory and processor
-// time, at several sizes. It asserts nothing: the figures depend on the machine.
+// BenchmarkSlopes logs the memory and processor time that a replica costs a process,
+// at several sizes. It asserts nothing, since the figures depend on the machine.
 func BenchmarkSlopes(b *testing.B) {
 	for b.Loop() {
 		slopes(b)
@@ -39,20 +39,20 @@
 	t.Helper()
 	for _, replicas := range []int{100, 400, 1600, 3200} {
 		before := heap()
-		table := full(replicas, Rules{})
+		table := tableOf(replicas, Rules{})
 		memory := heap() - before
 		t.Logf("replicas %d: %d bytes of heap a replica", replicas, memory/int64(replicas))
 		runtime.KeepAlive(table)
 	}
 	for _, replicas := range []int{9, 50, 183, 366} {
-		table := full(replicas, Rules{})
-		other := full(replicas, Rules{})
+		table := tableOf(replicas, Rules{})
+		other := tableOf(replicas, Rules{})
 		const rounds = 300
 		started := processorTime()
 		for round := range rounds {
 			now := start.Add(timekeeper.Span(round+20) * timekeeper.Second)
 			for i := range replicas {
-				table.Merge(now, said("r"+strconv.Itoa(i), 10, uint64(round+10), live))
+				table.Merge(now, digestOf("r"+strconv.Itoa(i), 10, uint64(round+10), live))
 			}
 			ask := table.Pack(now, Query{Limit: messageLimit, Recent: true})
 			encoded, err := encoder.Append(nil, encoder.Of(ask))
--- a/internal/reporter/status.go
+++ b/internal/reporter/status.go
@@ -7,7 +7,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// ReplicaStatus is what a process believes about one replica.
+// ReplicaStatus is one replica's state as known to a process.
 type ReplicaStatus struct {
 	Service     string          `json:"service"`
 	Name        string          `json:"name"`
@@ -24,7 +24,7 @@
 	Strikes     int             `json:"strikes"`
 }
 
-// Status returns what the view believes about every replica.
+// Status returns the known state of every replica.
 func (view *View) Status() []ReplicaStatus {
 	view.mu.Lock()
 	defer view.mu.Unlock()
--- a/internal/reporter/table.go
+++ b/internal/reporter/table.go
@@ -9,70 +9,71 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Rules are the limits by which a table judges replicas.
+// Rules are the limits by which a table evaluates replicas.
 type Rules struct {
-	// SilenceTimeout is how long a replica may be silent before it is held dead; zero
-	// means 8 seconds: four times the 99th percentile of the age of a digest
-	// among 50 agents, so that chance alone holds nobody dead.
+	// SilenceTimeout is the minimum silence after which a replica counts as dead; zero
+	// means 8 seconds: four times the 99th percentile of the age of a digest among 50
+	// agents, so that random delays alone make no replica count as dead.
 	SilenceTimeout timekeeper.Span
-	// ForgetAfter is how long a silent replica that no list names is remembered;
-	// zero means 10 minutes. Within it, an older incarnation isn't believed.
+	// ForgetAfter is how long the row of a silent, unlisted replica is kept; zero
+	// means 10 minutes. Until then, digests of an older incarnation are ignored.
 	ForgetAfter timekeeper.Span
-	// RetryAfter is after what time an entry tries a replica again that it could not
-	// reach, though agents call it live; zero means 10 seconds.
+	// RetryAfter is the time after which an entry retries a replica that it could not
+	// reach and that agents report as live; zero means 10 seconds.
 	RetryAfter timekeeper.Span
-	// Indirect says that others judge silence (an entry, which hears of most
-	// replicas rarely); only verdicts of agents and failed dials count then.
+	// Indirect is set for an entry, which receives digests of most replicas rarely and
+	// so doesn't evaluate silence: only agents' reports and failed dials count.
 	Indirect bool
 }
 
 const (
-	defaultSilence = 8 * timekeeper.Second
-	defaultForget  = 10 * timekeeper.Minute
-	// quartersOfSilence is how many times the age of the service's freshest
-	// quarter a replica must be silent for: with 183 replicas past the 99th
-	// percentile of their ages, so that chance alone holds hardly anybody dead.
-	quartersOfSilence = 7
-	// failsToDie is how many failed dials in a row halve the silence asked for.
-	failsToDie  = 2
-	defaultCool = 10 * timekeeper.Second
-	// newsFor is how long a change of state is told in full in each exchange:
-	// longer than a change needs to reach 400 agents.
-	newsFor = 12 * timekeeper.Second
+	defaultSilenceTimeout = 8 * timekeeper.Second
+	defaultForgetAfter    = 10 * timekeeper.Minute
+	// silenceFactor is the multiple of the first quartile of the service's ages for
+	// which a replica must be silent. With 183 replicas it lies above the 99th
+	// percentile of their ages, so that random delays make hardly any count as dead.
+	silenceFactor = 7
+	// confirmingFailures is the number of failed dials in a row that halves the
+	// required silence, or makes a replica count as dead at an entry.
+	confirmingFailures = 2
+	defaultRetryAfter  = 10 * timekeeper.Second
+	// updateLifetime is how long after a change of state exchanges contain the whole
+	// digest: longer than a change needs to reach 400 agents.
+	updateLifetime = 12 * timekeeper.Second
 )
 
 func (rules Rules) withDefaults() Rules {
 	if rules.SilenceTimeout == 0 {
-		rules.SilenceTimeout = defaultSilence
+		rules.SilenceTimeout = defaultSilenceTimeout
 	}
 	if rules.ForgetAfter == 0 {
-		rules.ForgetAfter = defaultForget
+		rules.ForgetAfter = defaultForgetAfter
 	}
 	if rules.RetryAfter == 0 {
-		rules.RetryAfter = defaultCool
+		rules.RetryAfter = defaultRetryAfter
 	}
 	return rules
 }
 
-// Table is what is believed about the replicas of one service. It has no I/O
-// and no clock of its own; it is not safe for use by several goroutines.
+// Table holds the known state of the replicas of one service. It does no I/O and
+// has no clock of its own; it is not safe for concurrent use.
 type Table struct {
 	service string
 	rules   Rules
 	rows    map[string]*Row
-	// order holds the same rows by name.
+	// order holds the same rows sorted by name.
 	order   []*Row
 	ids     map[uint32]string
 	version uint64
-	// newsVersion is the version of the last change that was more than a load.
-	newsVersion uint64
-	// judged is when the rows were judged last, and woke is when this process
-	// came back from a pause in which it could hear nobody.
-	judged timekeeper.Instant
-	woke   timekeeper.Instant
+	// lastUpdateVersion is the version of the last change other than of a load.
+	lastUpdateVersion uint64
+	// evaluatedAt is when the rows were last evaluated. resumedAt is when this process
+	// resumed after a pause in which it could receive nothing.
+	evaluatedAt timekeeper.Instant
+	resumedAt   timekeeper.Instant
 }
 
-// NewTable returns a table that knows of no replica.
+// NewTable returns an empty table.
 func NewTable(service string, rules Rules) *Table {
 	return &Table{
 		service: service,
@@ -82,68 +83,69 @@
 	}
 }
 
-// Merge takes in what was said about a replica and reports whether it was news
-// to the table: a new replica, incarnation, state or strike.
+// Merge merges a digest of a replica and reports whether it changed more than the
+// load: a new replica, incarnation, state, strike or set of adapters.
 //
-// Order is by incarnation, then by sequence. The failure: a paused process
-// wakes after its replacement has taken its name, and speaks of itself. The
-// symptom would be calls to a process that the platform has written off. A
-// later start always has a higher incarnation, so the old voice changes nothing.
+// Digests are ordered by incarnation, then by sequence. A paused process may
+// resume after its replacement has taken its name, and send digests of itself;
+// calls would then go to a process that the platform has replaced. A later start
+// always has a higher incarnation, so digests of the old process have no effect.
 func (table *Table) Merge(now timekeeper.Instant, digest *encoder.Digest) bool {
-	said := now.Add(-timekeeper.Span(max(0, digest.GetAge())))
+	reportedAt := now.Add(-timekeeper.Span(max(0, digest.GetAge())))
 	row, ok := table.rows[digest.GetInstance()]
 	if !ok {
-		table.put(now, Row{Name: digest.GetInstance()}.WithDigest(digest, said), true)
+		table.put(now, Row{Name: digest.GetInstance()}.WithDigest(digest, reportedAt), true)
 		return true
 	}
 	known := *row
-	if !table.newer(now, known, digest) {
+	if !table.supersedes(now, known, digest) {
 		return false
 	}
-	merged := known.WithDigest(digest, said)
+	merged := known.WithDigest(digest, reportedAt)
 	if merged.Incarnation == known.Incarnation {
 		merged.Sequence = max(merged.Sequence, known.Sequence)
 		merged.ReportedAt = max(merged.ReportedAt, known.ReportedAt)
 	}
 	if known.Incarnation == digest.GetIncarnation() && known.State == encoder.ReplicaState_REPLICA_STATE_DRAINING {
-		// An incarnation that drains never serves again.
+		// A draining incarnation never serves again.
 		merged.State = known.State
 	}
 	if !table.rules.Indirect || merged.Incarnation != known.Incarnation {
-		// For an agent, hearsay of a peer proves it alive. An entry must reach it
-		// itself: others may speak to a replica that is cut off from the entry.
-		merged.fails = 0
+		// For an agent, a digest relayed by a peer proves that the replica is up. An
+		// entry must reach the replica itself: peers may reach one that the entry
+		// can't.
+		merged.failures = 0
 	}
-	merged = table.comeBack(now, known, merged)
-	news := merged.Incarnation != known.Incarnation || merged.State != known.State ||
+	merged = table.countReturn(now, known, merged)
+	updated := merged.Incarnation != known.Incarnation || merged.State != known.State ||
 		len(merged.Strikes) != len(known.Strikes) || known.dead || !slices.Equal(merged.Adapters, known.Adapters)
-	merged.dead = known.dead && merged.gone()
-	table.put(now, merged, news)
-	return news
+	merged.dead = known.dead && merged.reportedDead()
+	table.put(now, merged, updated)
+	return updated
 }
 
-// newer reports whether a digest says more than the row.
-func (table *Table) newer(now timekeeper.Instant, known Row, digest *encoder.Digest) bool {
+// supersedes reports whether a digest replaces the row's state.
+func (table *Table) supersedes(now timekeeper.Instant, known Row, digest *encoder.Digest) bool {
 	if digest.GetIncarnation() != known.Incarnation {
 		return digest.GetIncarnation() > known.Incarnation
 	}
 	if digest.GetState() == encoder.ReplicaState_REPLICA_STATE_GONE && known.State != digest.GetState() {
-		// A verdict repeats the last sequence that its agent heard. This process
-		// may have heard a later one itself; the verdict holds all the same once
-		// the replica has been silent here too.
+		// A digest that reports a replica dead has the last sequence that the
+		// reporting agent received. This process may have received a later one; it
+		// accepts the report all the same once the replica has been silent here too.
 		return digest.GetSequence() >= known.Sequence || now.Since(known.ReportedAt) > table.rules.SilenceTimeout/2
 	}
 	return digest.GetSequence() > known.Sequence
 }
 
-// comeBack counts a return from the dead or a new life of a known name.
-func (table *Table) comeBack(now timekeeper.Instant, known, merged Row) Row {
-	if merged.gone() {
+// countReturn counts the return of a dead replica or a new incarnation of a known one.
+func (table *Table) countReturn(now timekeeper.Instant, known, merged Row) Row {
+	if merged.reportedDead() {
 		return merged
 	}
 	newLife := known.Incarnation != 0 && merged.Incarnation != known.Incarnation
 	if newLife || (known.dead && known.Incarnation != 0) {
-		if now.Since(known.returned) > calm {
+		if now.Since(known.returned) > stableAfter {
 			merged.returns = 0
 		}
 		merged.returns++
@@ -155,14 +157,14 @@
 	return merged
 }
 
-func (table *Table) put(now timekeeper.Instant, row Row, news bool) {
+func (table *Table) put(now timekeeper.Instant, row Row, updated bool) {
 	table.version++
-	row.changed = table.version
-	if news {
-		row.newsAt = table.version
-		row.news = now
-		row.newsSent = 0
-		table.newsVersion = table.version
+	row.changedVersion = table.version
+	if updated {
+		row.updatedVersion = table.version
+		row.updated = now
+		row.updateSends = 0
+		table.lastUpdateVersion = table.version
 		table.ids[id(row.Name, row.Incarnation)] = row.Name
 	}
 	if known := table.rows[row.Name]; known != nil {
@@ -175,7 +177,7 @@
 	table.order = slices.Insert(table.order, at, kept)
 }
 
-// MergeLoads takes in load rows and returns the ids that it couldn't place.
+// MergeLoads merges load rows and returns the ids that belong to no known replica.
 func (table *Table) MergeLoads(now timekeeper.Instant, loads *encoder.Loads) []uint32 {
 	var unknown []uint32
 	count := min(len(loads.GetIds()), len(loads.GetLoads()), len(loads.GetSequences()), len(loads.GetAges()))
@@ -189,7 +191,7 @@
 		}
 		digest := row.digest(table.service, now)
 		digest.State = row.State
-		if row.gone() {
+		if row.reportedDead() {
 			digest.State = encoder.ReplicaState_REPLICA_STATE_LIVE
 		}
 		digest.Load = loads.GetLoads()[i]
@@ -201,8 +203,8 @@
 	return unknown
 }
 
-// MergeList takes in the platform's list: names and addresses to start from. A
-// replica that the list omits stays as its digests say.
+// MergeList merges the platform's list, which provides initial names and
+// addresses. A replica that the list omits keeps the state of its digests.
 func (table *Table) MergeList(now timekeeper.Instant, instances []storekeeper.Instance) {
 	for _, row := range table.rows {
 		row.Listed = false
@@ -217,8 +219,8 @@
 		}
 		if row.Leaving != instance.Leaving {
 			table.version++
-			row.newsAt, row.changed, row.news = table.version, table.version, now
-			table.newsVersion = table.version
+			row.updatedVersion, row.changedVersion, row.updated = table.version, table.version, now
+			table.lastUpdateVersion = table.version
 		}
 		row.Listed = true
 		row.Leaving = instance.Leaving
@@ -227,27 +229,27 @@
 	}
 }
 
-// RecordFailure notes that a dial to a replica, or a question to its agent, failed.
+// RecordFailure records that a dial to a replica, or a query to its agent, failed.
 func (table *Table) RecordFailure(now timekeeper.Instant, name string) {
 	if row := table.rows[name]; row != nil {
 		if table.rules.Indirect && now.Since(row.failed) > table.rules.RetryAfter {
-			// An entry seldom speaks to most replicas. Two failures an hour apart
-			// are two accidents, and no replica that can't be reached.
-			row.fails = 0
+			// An entry rarely contacts most replicas. Two failures an hour apart are
+			// two unrelated faults and don't show that the replica is unreachable.
+			row.failures = 0
 		}
-		row.fails++
+		row.failures++
 		row.failed = now
 	}
 }
 
-// RecordAnswer notes that the replica's agent has answered this process itself.
+// RecordAnswer records that the replica's agent answered this process directly.
 func (table *Table) RecordAnswer(name string) {
 	if row := table.rows[name]; row != nil {
-		row.fails = 0
+		row.failures = 0
 	}
 }
 
-// Rows returns all rows in the order of their names.
+// Rows returns all rows sorted by name.
 func (table *Table) Rows() []Row {
 	rows := make([]Row, 0, len(table.order))
 	for _, row := range table.order {
@@ -256,19 +258,19 @@
 	return rows
 }
 
-// Changes returns the rows whose state changed since it was last called.
+// Changes returns the rows whose state has changed since the previous call.
 func (table *Table) Changes() []Row {
 	var changes []Row
 	for _, row := range table.order {
-		if state := StateOf(*row); state != row.announced {
-			row.announced = state
+		if state := StateOf(*row); state != row.reportedState {
+			row.reportedState = state
 			changes = append(changes, *row)
 		}
 	}
 	return changes
 }
 
-// Version returns a number that grows with each change.
+// Version returns a number that increases with each change.
 func (table *Table) Version() uint64 {
 	return table.version
 }
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// MinListInterval is the shortest time between two readings of the instance list.
+	// MinListInterval is the shortest time between two reads of the instance list.
 	MinListInterval = 2 * timekeeper.Second
-	// listRate is what reading the list may cost in bytes a second. A list of
-	// 3,100 instances is some 500 KB; read every 2 seconds by each process it
-	// would be most of what the platform and the budget can bear.
+	// listRate bounds the cost of reading the list, in bytes a second. A list of
+	// 3,100 instances is some 500 KB; if each process read it every 2 seconds, that
+	// would use most of the platform's capacity and of the budget.
 	listRate = 640
-	// listEnvelope is what an instance takes in the list beside its texts.
-	listEnvelope = 64
+	// listRowOverhead is the bytes of an instance in the list besides its texts.
+	listRowOverhead = 64
 )
 
 // Settings set up a view. All fields without a stated default must be set.
@@ -39,47 +39,47 @@
 	Seed uint64
 }
 
-// View is what a process believes about the replicas of all services. Its
-// methods may be called from several goroutines; one lock guards all tables.
+// View holds the known state of the replicas of all services. Its methods are safe
+// for concurrent use; one lock guards all tables.
 type View struct {
 	settings Settings
 
 	mu      sync.Mutex
 	tables  map[string]*Table
 	rosters map[string]placer.Roster
-	// replicas are what each roster was made of.
+	// replicas are those that each service's roster was built from.
 	replicas map[string][]placer.Replica
-	// holders are the rosters of those that hold an adapter, by service.
-	holders map[string]holders
-	random  *rand.Rand
-	// listed is the size of the newest list in bytes, instances its length.
-	listed    int64
+	// adapterRosters are the rosters by adapter, for each service.
+	adapterRosters map[string]adapterRosters
+	random         *rand.Rand
+	// listBytes is the size of the newest list, instances its length.
+	listBytes int64
 	instances int
 }
 
-// NewView returns a view that knows of no replica.
+// NewView returns an empty view.
 func NewView(settings Settings) *View {
 	return &View{
-		settings: settings,
-		tables:   map[string]*Table{},
-		rosters:  map[string]placer.Roster{},
-		replicas: map[string][]placer.Replica{},
-		holders:  map[string]holders{},
-		random:   rand.New(rand.NewPCG(settings.Seed, settings.Seed)),
+		settings:       settings,
+		tables:         map[string]*Table{},
+		rosters:        map[string]placer.Roster{},
+		replicas:       map[string][]placer.Replica{},
+		adapterRosters: map[string]adapterRosters{},
+		random:         rand.New(rand.NewPCG(settings.Seed, settings.Seed)),
 	}
 }
 
-// ReadList reads the instance list once.
+// ReadList reads the instance list once and merges it.
 func (view *View) ReadList(ctx context.Context) error {
-	listed, err := view.settings.Directory.List(ctx)
+	instances, err := view.settings.Directory.List(ctx)
 	if err != nil {
 		return err
 	}
 	now := view.settings.Clock.Now()
 	var bytes int64
 	byService := map[string][]storekeeper.Instance{}
-	for _, instance := range listed {
-		bytes += int64(listEnvelope + len(instance.Name) + len(instance.Service) + len(instance.Address) +
+	for _, instance := range instances {
+		bytes += int64(listRowOverhead + len(instance.Name) + len(instance.Service) + len(instance.Address) +
 			len(instance.Site) + len(instance.Region))
 		if view.settings.Service == "" || view.settings.Service == instance.Service {
 			byService[instance.Service] = append(byService[instance.Service], instance)
@@ -88,7 +88,7 @@
 	view.settings.Budget.Spend(now, budgeter.List, bytes)
 	view.mu.Lock()
 	defer view.mu.Unlock()
-	view.listed, view.instances = bytes, len(listed)
+	view.listBytes, view.instances = bytes, len(instances)
 	for service := range byService {
 		view.table(service)
 	}
@@ -99,29 +99,29 @@
 	return nil
 }
 
-// listPause returns the time to the next reading of the list: by its size, so
-// that it costs the same at any size of fleet, and spread, so that processes
-// that started together don't read together.
-func (view *View) listPause() timekeeper.Span {
+// listInterval returns the time to the next read of the list. It grows with the
+// size of the list, so that the bytes a second are the same for any size of fleet,
+// and has jitter, so that processes that started together don't read together.
+func (view *View) listInterval() timekeeper.Span {
 	view.mu.Lock()
 	defer view.mu.Unlock()
-	pause := max(MinListInterval, timekeeper.Span(view.listed)*timekeeper.Second/listRate)
+	interval := max(MinListInterval, timekeeper.Span(view.listBytes)*timekeeper.Second/listRate)
 	if view.settings.Budget.Level(view.settings.Clock.Now()) >= budgeter.Short {
-		pause *= 2
+		interval *= 2
 	}
-	return pause*3/4 + timekeeper.Span(view.random.Int64N(int64(pause/2)))
+	return interval*3/4 + timekeeper.Span(view.random.Int64N(int64(interval/2)))
 }
 
-// Run reads the list again and again until ctx ends.
+// Run reads the list periodically until ctx ends.
 func (view *View) Run(ctx context.Context, clock timekeeper.Clock) {
-	clock.Every(ctx, view.listPause, func(ctx context.Context) {
+	clock.Every(ctx, view.listInterval, func(ctx context.Context) {
 		if err := view.ReadList(ctx); err != nil {
 			view.settings.Log.WithError(err).Warn("instance list not read")
 		}
 	})
 }
 
-// RecordDigest takes in what an agent said about itself.
+// RecordDigest merges a digest received from the replica's own agent.
 func (view *View) RecordDigest(digest *encoder.Digest) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -132,8 +132,8 @@
 	}
 }
 
-// RecordDialFailure takes in that a call could not reach a replica. The replica is judged at
-// once, so that the next call doesn't meet it again.
+// RecordDialFailure records that a call could not reach a replica. The service is
+// evaluated at once, so that the next call doesn't try the replica again.
 func (view *View) RecordDialFailure(service, instance string) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -141,14 +141,14 @@
 	view.rebuild(service)
 }
 
-// CountListed returns how many instances the newest list named.
+// CountListed returns the number of instances in the newest list.
 func (view *View) CountListed() int {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	return view.instances
 }
 
-// Evaluate decides anew who is held dead and what weight each replica has.
+// Evaluate updates which replicas count as dead and the weight of each.
 func (view *View) Evaluate() {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -164,7 +164,7 @@
 	return view.rosters[service]
 }
 
-// Services returns the services that the view has heard of.
+// Services returns the services that the view has a table of.
 func (view *View) Services() []string {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -175,15 +175,15 @@
 	return names
 }
 
-// with runs work on a service's table under the lock, and judges it anew if
-// there was news.
-func (view *View) with(service string, work func(table *Table, now timekeeper.Instant)) {
+// withTable runs work on a service's table under the lock, and evaluates the
+// service again if more than loads changed.
+func (view *View) withTable(service string, work func(table *Table, now timekeeper.Instant)) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	table := view.table(service)
-	before := table.newsVersion
+	before := table.lastUpdateVersion
 	work(table, view.settings.Clock.Now())
-	if table.newsVersion != before {
+	if table.lastUpdateVersion != before {
 		view.rebuild(service)
 	}
 }
@@ -196,8 +196,8 @@
 	return view.tables[service]
 }
 
-// rebuild judges a service's replicas and makes its roster anew; the lock must
-// be held. Each replica that is newly held dead, or live again, is logged.
+// rebuild evaluates a service's replicas and updates its rosters, and logs each
+// replica whose state changed. The lock must be held.
 func (view *View) rebuild(service string) {
 	now := view.settings.Clock.Now()
 	table := view.tables[service]
@@ -215,9 +215,9 @@
 		replicas[i] = placer.Replica{Name: row.Name, Address: row.DialAddress(), Site: row.Site, Share: share}
 	}
 	if !slices.Equal(replicas, view.replicas[service]) {
-		// Making a ring costs a sort of all its points, so it is made only anew.
+		// Building a ring sorts all its points, so a roster is rebuilt only on a change.
 		view.replicas[service] = replicas
 		view.rosters[service] = placer.NewRoster(replicas)
 	}
-	view.holders[service] = view.holders[service].anew(live, replicas)
+	view.adapterRosters[service] = view.adapterRosters[service].rebuilt(live, replicas)
 }
--- a/internal/reporter/view_test.go
+++ b/internal/reporter/view_test.go
@@ -13,9 +13,10 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-func TestRoomIsNeverTheOneThatAsks(t *testing.T) {
-	// The caller would be sent back to the replica that has just refused it.
-	// The asker has the least load it knows of, since others' loads are older.
+func TestAlternativeIsNeverTheAsker(t *testing.T) {
+	// Guards against a refusal that sends the caller back to the replica that has just
+	// refused it. The asker often has the least load in its own table, since its
+	// peers' loads are older.
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	listed := []storekeeper.Instance{}
@@ -28,7 +29,7 @@
 		load int64
 	}{{"r0", 1}, {"r1", 50}, {"r2", 20}}
 	for _, one := range digests {
-		digest := said(one.name, 10, 1, live)
+		digest := digestOf(one.name, 10, 1, live)
 		digest.Service, digest.Load = "planner", one.load
 		view.RecordDigest(digest)
 	}
@@ -42,24 +43,25 @@
 			}
 			So(named[test.asker], ShouldEqual, 0)
 			So(named[test.least]+named[test.most], ShouldEqual, draws)
-			// The lesser of two draws from two replicas is the least in three of four.
+			// The less loaded of two random draws from two replicas is the least loaded one
+			// in three of four cases.
 			So(named[test.least], ShouldBeBetween, draws*65/100, draws*85/100)
 		})
 	}
 }
 
-func TestHoldersAreThoseThatHoldTheAdapter(t *testing.T) {
-	// A call for an adapter at an engine without it would fail there. What an
-	// engine holds is news: it changes seldom, and a later digest corrects it.
+func TestAdapterRosterFollowsDigests(t *testing.T) {
+	// Guards against calls for an adapter that go to an engine without it, where they
+	// fail. Loaded adapters change seldom, so a change is sent as an update.
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	view := NewView(Settings{Clock: timekeeper.NewManual(start).Clock(), Log: log, Budget: budgeter.New(budgeter.Settings{})})
 	learn := func(name string, sequence uint64, loaded ...string) {
-		digest := said(name, 10, sequence, live)
+		digest := digestOf(name, 10, sequence, live)
 		digest.Service, digest.Loaded = "planner", loaded
 		view.RecordDigest(digest)
 	}
-	Convey("the roster follows what the engines hold", t, func() {
+	Convey("the roster follows the adapters that the engines have loaded", t, func() {
 		learn("r0", 1, "vans")
 		learn("r1", 1)
 		So(view.AdapterRoster("planner", "vans").Len(), ShouldEqual, 1)
@@ -68,22 +70,22 @@
 		learn("r0", 2)
 		learn("r1", 3)
 		So(view.AdapterRoster("planner", "vans").Len(), ShouldEqual, 0)
-		So(view.holders["planner"], ShouldBeEmpty)
+		So(view.adapterRosters["planner"], ShouldBeEmpty)
 	})
 }
 
-func TestACallThatReachesNobodyCountsAtOnce(t *testing.T) {
-	// The caller waits for one failed dial after the other until a round of
-	// membership has passed, if the calls' own failures count for nothing.
+func TestDialFailuresOfCallsCountAtOnce(t *testing.T) {
+	// Guards against callers that wait for one failed dial after another until the next
+	// round of digests, because the failed dials of calls don't count.
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	manual := timekeeper.NewManual(start)
 	view := NewView(Settings{Clock: manual.Clock(), Log: log, Budget: budgeter.New(budgeter.Settings{}), Rules: Rules{Indirect: true}})
 	for _, name := range []string{"r0", "r1", "r2"} {
-		view.RecordDigest(said(name, 10, 1, live))
+		view.RecordDigest(digestOf(name, 10, 1, live))
 	}
-	service := said("r0", 10, 1, live).GetService()
-	Convey("two in a row take the replica out, two an hour apart don't", t, func() {
+	service := digestOf("r0", 10, 1, live).GetService()
+	Convey("two in a row remove the replica, two an hour apart don't", t, func() {
 		view.RecordDialFailure(service, "r0")
 		So(view.Roster(service).Len(), ShouldEqual, 3)
 		manual.Advance(timekeeper.Hour)
@@ -91,7 +93,7 @@
 		So(view.Roster(service).Len(), ShouldEqual, 3)
 		view.RecordDialFailure(service, "r0")
 		So(view.Roster(service).Len(), ShouldEqual, 2)
-		answered := said("r0", 10, 2, live)
+		answered := digestOf("r0", 10, 2, live)
 		view.RecordDigest(answered)
 		view.Evaluate()
 		So(view.Roster(service).Len(), ShouldEqual, 3)
