--- a/internal/budgeter/budget.go
+++ b/internal/budgeter/budget.go
@@ -11,13 +11,13 @@
 
 // The causes, from the most to the least important.
 const (
-	// Notice is the word of a replica that leaves. It is counted, never held back.
+	// Notice is the announcement that a replica leaves. It is counted and never limited.
 	Notice Cause = iota
-	// Config is the reading of the accepted configuration.
+	// Config is reads of the accepted configuration.
 	Config
 	// Digest is the exchange of digests and load rows.
 	Digest
-	// List is the reading of the platform's instance list.
+	// List is reads of the platform's instance list.
 	List
 	// Probe is the keepalive of idle sessions.
 	Probe
@@ -26,42 +26,42 @@
 
 var causeNames = [causes]string{"notice", "config", "digest", "list", "probe"}
 
-// String returns the cause as it stands in metrics.
+// String returns the cause's name in metrics.
 func (cause Cause) String() string {
 	return causeNames[cause]
 }
 
-// Level says how near the budget is, and with it what gives way.
+// Level is how near spending is to the budget; it determines which traffic is reduced.
 type Level uint8
 
-// The levels in the order in which things give way.
+// The levels, in the order in which traffic is reduced.
 const (
-	// Ample: everything goes as set.
+	// Ample: all traffic is sent as configured.
 	Ample Level = iota
-	// Tight: load rows are halved, for stale load costs the least.
+	// Tight: load rows are halved, since stale loads do the least harm.
 	Tight
-	// Short: agents' rounds come half as often, entries ask for news only, and
+	// Short: agents make rounds half as often, entries request updates without loads, and
 	// the list is read half as often.
 	Short
-	// Spent: only news goes: notices, deaths, new incarnations.
+	// Spent: only updates are sent: notices, deaths, new incarnations.
 	Spent
 )
 
 var levelNames = [...]string{"ample", "tight", "short", "spent"}
 
-// String returns the level as it stands in status pages.
+// String returns the level's name on status pages.
 func (level Level) String() string {
 	return levelNames[level]
 }
 
 const (
-	// DefaultLimit is the budget of a process in bytes a second, sent and
-	// received: the 11 KB of the design size less what tunnels and bursts take.
+	// DefaultLimit is the budget of a process in bytes a second, sent and received: the
+	// 11 KB of the design size less the share of tunnels and bursts.
 	DefaultLimit = 8 << 10
-	// window is the time over which spending is averaged: long enough that one
-	// reading of the list doesn't look like a rush, short enough to react.
+	// window is the time over which spending is averaged: long enough that one read of the
+	// list doesn't raise the level, short enough to react.
 	window = 10 * timekeeper.Second
-	// tightAt and shortAt are shares of the budget at which a level begins.
+	// tightAt and shortAt are the fractions of the budget at which their levels begin.
 	tightAt = 0.6
 	shortAt = 0.8
 )
@@ -70,11 +70,11 @@
 type Settings struct {
 	// Limit is in bytes a second; zero means DefaultLimit.
 	Limit int64
-	// Count takes each spending to the metrics; nil means it is dropped.
+	// Count reports each spending to the metrics; nil means that it isn't reported.
 	Count func(cause Cause, bytes int64)
 }
 
-// Budget counts spending. Its methods may be called from several goroutines.
+// Budget counts spending. Its methods are safe for concurrent use.
 type Budget struct {
 	limit int64
 	count func(cause Cause, bytes int64)
@@ -85,7 +85,7 @@
 	last    timekeeper.Instant
 }
 
-// New returns a budget that nothing has been spent of.
+// New returns a budget without any spending.
 func New(settings Settings) *Budget {
 	if settings.Limit == 0 {
 		settings.Limit = DefaultLimit
@@ -96,7 +96,7 @@
 	return &Budget{limit: settings.Limit, count: settings.Count}
 }
 
-// Spend counts bytes of a cause.
+// Spend adds bytes to the spending of a cause.
 func (budget *Budget) Spend(now timekeeper.Instant, cause Cause, bytes int64) {
 	budget.count(cause, bytes)
 	budget.mu.Lock()
@@ -106,15 +106,15 @@
 	budget.average += float64(bytes) / (float64(window) / float64(timekeeper.Second))
 }
 
-// decay lets old spending fade; the lock must be held.
+// decay reduces the average by the time that has passed; the lock must be held.
 func (budget *Budget) decay(now timekeeper.Instant) {
-	passed := max(0, now.Since(budget.last))
+	elapsed := max(0, now.Since(budget.last))
 	budget.last = max(budget.last, now)
-	left := 1 - float64(passed)/float64(window)
-	budget.average *= max(0, left)
+	remaining := 1 - float64(elapsed)/float64(window)
+	budget.average *= max(0, remaining)
 }
 
-// Level returns how near the budget is.
+// Level returns the level at the current average.
 func (budget *Budget) Level(now timekeeper.Instant) Level {
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
@@ -131,7 +131,7 @@
 	return Ample
 }
 
-// Status is what a budget says about itself.
+// Status is the state of a budget.
 type Status struct {
 	Limit     int64         `json:"limit-bytes-per-second"`
 	PerSecond int64         `json:"bytes-per-second"`
@@ -139,13 +139,13 @@
 	Causes    []CauseStatus `json:"causes"`
 }
 
-// CauseStatus is what one cause has cost since the process started.
+// CauseStatus is the spending of one cause since the process started.
 type CauseStatus struct {
 	Cause string `json:"cause"`
 	Bytes int64  `json:"bytes"`
 }
 
-// Status returns what the budget says about itself.
+// Status returns the state of the budget.
 func (budget *Budget) Status(now timekeeper.Instant) Status {
 	level := budget.Level(now)
 	budget.mu.Lock()
--- a/internal/budgeter/budget_test.go
+++ b/internal/budgeter/budget_test.go
@@ -14,7 +14,7 @@
 		level Level
 	}{{100, Ample}, {650, Tight}, {850, Short}, {1200, Spent}}
 	for _, test := range tests {
-		Convey("a steady rate out of 1000 bytes a second reaches "+test.level.String(), t, func() {
+		Convey("a steady rate against a limit of 1000 bytes a second reaches "+test.level.String(), t, func() {
 			budget := New(Settings{Limit: 1000})
 			now := timekeeper.Instant(0)
 			for range 60 {
--- a/internal/budgeter/doc.go
+++ b/internal/budgeter/doc.go
@@ -1,6 +1,6 @@
-// Package budgeter counts what a process spends on control messages, by cause,
-// and says how much of its budget is left.
+// Package budgeter counts the bytes of a process's control messages by cause, and
+// returns how near they are to its budget.
 //
-// Every control message passes it at the seam where it is sent or read. The
-// decision has no I/O and no clock of its own.
+// Every control message is counted where it is sent or received. The package does no
+// I/O and has no clock of its own.
 package budgeter
