--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -11,67 +11,67 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// fleet runs many Standings in virtual time, in steps of tick. Only reading,
-// hearing and asking are modelled; every decision is the package's own.
+// fleet runs many RevisionStates in virtual time, in steps of tick. Only reads of the
+// store and messages between peers are modelled; every decision is made by the package.
 type fleet struct {
-	draws   *rand.Rand
-	now     timekeeper.Instant
-	every   timekeeper.Span
-	slow    timekeeper.Span // of each call to the store
-	head    uint64
-	down    bool
-	cut     []bool // by process: neither store nor peers are reached
-	procs   []member
-	agenda  map[timekeeper.Instant][]func()
-	reads   int
-	problem string
+	random       *rand.Rand
+	now          timekeeper.Instant
+	interval     timekeeper.Span
+	storeLatency timekeeper.Span // latency of each call to the store
+	head         uint64
+	down         bool
+	isolated     []bool // by process: it reaches neither the store nor the other side
+	procs        []member
+	schedule     map[timekeeper.Instant][]func()
+	reads        int
+	failure      string
 }
 
-// member is one process; a restart gives it a new incarnation.
+// member is one process; a restart increments its incarnation.
 type member struct {
-	standing    RevisionState
+	state       RevisionState
 	incarnation int
 	serving     bool
 	start       StartupState
 	budget      storekeeper.Budget
-	served      uint64 // highest revision that any incarnation served with
+	served      uint64 // highest revision with which any incarnation has served
 }
 
 const tick = 10 * timekeeper.Millisecond
 
-func newFleet(seed uint64, size int, every timekeeper.Span) *fleet {
+func newFleet(seed uint64, size int, interval timekeeper.Span) *fleet {
 	fleet := &fleet{
-		draws:  rand.New(rand.NewPCG(seed, 3)),
-		now:    timekeeper.Instant(timekeeper.Hour),
-		every:  every,
-		head:   1,
-		cut:    make([]bool, size),
-		procs:  make([]member, size),
-		agenda: map[timekeeper.Instant][]func(){},
+		random:   rand.New(rand.NewPCG(seed, 3)),
+		now:      timekeeper.Instant(timekeeper.Hour),
+		interval: interval,
+		head:     1,
+		isolated: make([]bool, size),
+		procs:    make([]member, size),
+		schedule: map[timekeeper.Instant][]func(){},
 	}
 	for i := range fleet.procs {
-		fleet.procs[i] = member{standing: RevisionState{}.taken(1), serving: true, served: 1}
-		fleet.plan(i, timekeeper.Span(fleet.draws.Float64()*float64(every)))
+		fleet.procs[i] = member{state: RevisionState{}.activated(1), serving: true, served: 1}
+		fleet.schedulePoll(i, timekeeper.Span(fleet.random.Float64()*float64(interval)))
 	}
 	return fleet
 }
 
-func (standing RevisionState) taken(revision uint64) RevisionState {
-	standing, _ = standing.Activate(revision)
-	return standing
+func (state RevisionState) activated(revision uint64) RevisionState {
+	state, _ = state.Activate(revision)
+	return state
 }
 
-func (fleet *fleet) at(span timekeeper.Span, work func()) {
+func (fleet *fleet) scheduleAfter(span timekeeper.Span, work func()) {
 	due := fleet.now.Add(max(tick, span/tick*tick))
-	fleet.agenda[due] = append(fleet.agenda[due], work)
+	fleet.schedule[due] = append(fleet.schedule[due], work)
 }
 
-// plan plans the next look of a process.
-func (fleet *fleet) plan(i int, wait timekeeper.Span) {
+// schedulePoll schedules the next poll of a process.
+func (fleet *fleet) schedulePoll(i int, wait timekeeper.Span) {
 	incarnation := fleet.procs[i].incarnation
-	fleet.at(wait, func() {
+	fleet.scheduleAfter(wait, func() {
 		if fleet.procs[i].incarnation == incarnation {
-			fleet.look(i)
+			fleet.poll(i)
 		}
 	})
 }
@@ -79,48 +79,48 @@
 func (fleet *fleet) advance(span timekeeper.Span) {
 	for end := fleet.now.Add(span); fleet.now < end; {
 		fleet.now = fleet.now.Add(tick)
-		due := fleet.agenda[fleet.now]
-		delete(fleet.agenda, fleet.now)
+		due := fleet.schedule[fleet.now]
+		delete(fleet.schedule, fleet.now)
 		for _, work := range due {
 			work()
 		}
 	}
 }
 
-func (fleet *fleet) look(i int) {
+func (fleet *fleet) poll(i int) {
 	proc := &fleet.procs[i]
-	if !fleet.reaches(i) {
-		proc.standing = proc.standing.RecordStoreFailure()
+	if !fleet.readStore(i) {
+		proc.state = proc.state.RecordStoreFailure()
 		fleet.askPeers(i)
-		fleet.planNext(i)
+		fleet.scheduleNextPoll(i)
 		return
 	}
 	head, incarnation := fleet.head, proc.incarnation
-	fleet.at(fleet.slow, func() {
+	fleet.scheduleAfter(fleet.storeLatency, func() {
 		if proc.incarnation != incarnation {
 			return
 		}
-		wanted := false
-		proc.standing, wanted = proc.standing.RecordHead(head, fleet.now)
-		if !wanted || !fleet.reaches(i) {
+		bodyWanted := false
+		proc.state, bodyWanted = proc.state.RecordHead(head, fleet.now)
+		if !bodyWanted || !fleet.readStore(i) {
 			fleet.serve(i)
-			fleet.planNext(i)
+			fleet.scheduleNextPoll(i)
 			return
 		}
-		fleet.at(fleet.slow, func() {
+		fleet.scheduleAfter(fleet.storeLatency, func() {
 			if proc.incarnation == incarnation {
-				fleet.take(i, head)
+				fleet.activate(i, head)
 				fleet.serve(i)
-				fleet.planNext(i)
+				fleet.scheduleNextPoll(i)
 			}
 		})
 	})
 }
 
-// reaches makes one read for a process through its meter, and reports whether
-// the store answers. After failures the meter sends nothing for a while, also
-// when the store is back.
-func (fleet *fleet) reaches(i int) bool {
+// readStore makes one read for a process within its store budget, and reports whether
+// the store answers. After failures the budget allows no read for a while, even when
+// the store is back.
+func (fleet *fleet) readStore(i int) bool {
 	proc := &fleet.procs[i]
 	rates := storekeeper.Rates{Reads: resolver.DefaultStoreReads, Writes: resolver.DefaultStoreWrites}
 	budget, allowed := proc.budget.Allow(false, rates, fleet.now)
@@ -128,98 +128,98 @@
 	if !allowed {
 		return false
 	}
-	answers := !fleet.down && !fleet.cut[i]
-	proc.budget = proc.budget.Settle(answers, fleet.draws.Float64(), fleet.now)
+	answers := !fleet.down && !fleet.isolated[i]
+	proc.budget = proc.budget.Settle(answers, fleet.random.Float64(), fleet.now)
 	if answers {
 		fleet.reads++
 	}
 	return answers
 }
 
-func (fleet *fleet) planNext(i int) {
-	fleet.plan(i, fleet.procs[i].standing.PollDelay(fleet.every, fleet.draws.Float64()))
+func (fleet *fleet) scheduleNextPoll(i int) {
+	fleet.schedulePoll(i, fleet.procs[i].state.PollDelay(fleet.interval, fleet.random.Float64()))
 }
 
-// take is the one place where a revision comes into force.
-func (fleet *fleet) take(i int, revision uint64) {
+// activate brings a revision into force; nothing else does.
+func (fleet *fleet) activate(i int, revision uint64) {
 	proc := &fleet.procs[i]
-	before := proc.standing.InForce
-	proc.standing, _ = proc.standing.Activate(revision)
-	if proc.standing.InForce < before {
-		fleet.problem = fmt.Sprintf("process %d fell from %d to %d", i, before, proc.standing.InForce)
+	before := proc.state.InForce
+	proc.state, _ = proc.state.Activate(revision)
+	if proc.state.InForce < before {
+		fleet.failure = fmt.Sprintf("process %d went back from revision %d to %d", i, before, proc.state.InForce)
 	}
 	if proc.serving {
-		proc.served = max(proc.served, proc.standing.InForce)
+		proc.served = max(proc.served, proc.state.InForce)
 	}
 }
 
 func (fleet *fleet) serve(i int) {
 	proc := &fleet.procs[i]
-	if proc.serving || proc.standing.InForce == 0 {
+	if proc.serving || proc.state.InForce == 0 {
 		return
 	}
 	proc.serving = true
-	proc.served = max(proc.served, proc.standing.InForce)
+	proc.served = max(proc.served, proc.state.InForce)
 }
 
-// askPeers asks as a watcher does: a few when it serves, many when it starts.
+// askPeers asks peers as a Watcher does: a few while it serves, many while it starts.
 func (fleet *fleet) askPeers(i int) {
 	proc := &fleet.procs[i]
-	most := MinAnswers
+	maxPeers := MinAnswers
 	if !proc.serving {
-		most = MaxStartupPeers
+		maxPeers = MaxStartupPeers
 	}
-	peers := fleet.draws.Perm(len(fleet.procs))
+	peers := fleet.random.Perm(len(fleet.procs))
 	asked, answered, highest := 0, 0, uint64(0)
 	for _, j := range peers {
-		if j == i || asked == most {
+		if j == i || asked == maxPeers {
 			continue
 		}
 		asked++
-		if fleet.cut[i] != fleet.cut[j] || !fleet.procs[j].serving && proc.serving {
+		if fleet.isolated[i] != fleet.isolated[j] || !fleet.procs[j].serving && proc.serving {
 			continue
 		}
 		answered++
-		highest = max(highest, fleet.procs[j].standing.InForce, fleet.procs[j].standing.HighestKnown)
-		if revision := fleet.procs[j].standing.InForce; revision > proc.standing.InForce {
-			fleet.take(i, revision)
+		highest = max(highest, fleet.procs[j].state.InForce, fleet.procs[j].state.HighestKnown)
+		if revision := fleet.procs[j].state.InForce; revision > proc.state.InForce {
+			fleet.activate(i, revision)
 		}
 	}
 	if proc.serving {
 		return
 	}
-	proc.start = proc.start.WithRound(len(peers)-1, answered, max(highest, proc.standing.InForce), fleet.now)
-	if revision, ready := proc.start.Ready(fleet.now); ready && proc.standing.InForce >= revision {
+	proc.start = proc.start.WithRound(len(peers)-1, answered, max(highest, proc.state.InForce), fleet.now)
+	if revision, ready := proc.start.Ready(fleet.now); ready && proc.state.InForce >= revision {
 		fleet.serve(i)
 	}
 }
 
-// talk carries a revision on a message between two random processes.
-func (fleet *fleet) talk() {
-	from, to := fleet.draws.IntN(len(fleet.procs)), fleet.draws.IntN(len(fleet.procs))
-	if from == to || fleet.cut[from] != fleet.cut[to] || !fleet.procs[from].serving {
+// sendRevision sends a message with a revision between two random processes.
+func (fleet *fleet) sendRevision() {
+	from, to := fleet.random.IntN(len(fleet.procs)), fleet.random.IntN(len(fleet.procs))
+	if from == to || fleet.isolated[from] != fleet.isolated[to] || !fleet.procs[from].serving {
 		return
 	}
 	proc := &fleet.procs[to]
-	standing, news := proc.standing.ReceiveRevision(fleet.procs[from].standing.InForce, fleet.now)
-	proc.standing = standing
-	if news {
-		// The look that was planned stays planned; one more does no harm.
-		fleet.at(standing.EarlyPollDelay(fleet.every, fleet.draws.Float64()), func() { fleet.lookOnce(to) })
+	state, changed := proc.state.ReceiveRevision(fleet.procs[from].state.InForce, fleet.now)
+	proc.state = state
+	if changed {
+		// The poll that is already scheduled stays; an additional one does no harm.
+		fleet.scheduleAfter(state.EarlyPollDelay(fleet.interval, fleet.random.Float64()), func() { fleet.pollOnce(to) })
 	}
 }
 
-// lookOnce is a look that plans no other.
-func (fleet *fleet) lookOnce(i int) {
-	head, body := fleet.reaches(i), fleet.reaches(i)
+// pollOnce polls without scheduling the next poll.
+func (fleet *fleet) pollOnce(i int) {
+	head, body := fleet.readStore(i), fleet.readStore(i)
 	if !head || !body {
 		fleet.askPeers(i)
 		return
 	}
 	revision, incarnation := fleet.head, fleet.procs[i].incarnation
-	fleet.at(2*fleet.slow, func() {
+	fleet.scheduleAfter(2*fleet.storeLatency, func() {
 		if fleet.procs[i].incarnation == incarnation {
-			fleet.take(i, revision)
+			fleet.activate(i, revision)
 		}
 	})
 }
@@ -227,41 +227,41 @@
 func (fleet *fleet) restart(i int) {
 	proc := &fleet.procs[i]
 	*proc = member{incarnation: proc.incarnation + 1, served: proc.served}
-	fleet.plan(i, tick)
+	fleet.schedulePoll(i, tick)
 }
 
-// everywhere reports whether every process serves with the head.
-func (fleet *fleet) everywhere() bool {
+// converged reports whether every process serves with the head.
+func (fleet *fleet) converged() bool {
 	return !slices.ContainsFunc(fleet.procs, func(proc member) bool {
-		return !proc.serving || proc.standing.InForce < fleet.head
+		return !proc.serving || proc.state.InForce < fleet.head
 	})
 }
 
-// knows reports whether a process that i can reach has or has heard of a revision.
+// knows reports whether a process that i can reach has or knows of a revision.
 func (fleet *fleet) knows(i int, revision uint64) bool {
 	for j := range fleet.procs {
-		standing := fleet.procs[j].standing
-		if j != i && fleet.cut[i] == fleet.cut[j] && max(standing.InForce, standing.HighestKnown) >= revision {
+		state := fleet.procs[j].state
+		if j != i && fleet.isolated[i] == fleet.isolated[j] && max(state.InForce, state.HighestKnown) >= revision {
 			return true
 		}
 	}
 	return false
 }
 
-// bound is the time in which a change is in force everywhere.
+// bound is the time within which a change must be in force everywhere.
 const bound = 13 * timekeeper.Second
 
 func TestRevisionsNeverFall(t *testing.T) {
-	// Operators accept changes while the store goes down and comes back, sites
-	// are cut off, and processes are restarted, alone and all entries together.
-	// No process may serve with a lower revision than it did before, unless
-	// nobody whom it can reach knows of the higher one; and once all is
-	// reachable again, what was accepted is in force everywhere in 13 s.
+	// Operators accept changes during outages of the store, partitions of sites, and
+	// restarts of single processes and of all entries together. No process may serve
+	// with a lower revision than it did before, unless no process that it can reach
+	// knows of the higher one. Once all is reachable again, the last accepted revision
+	// must be in force everywhere within 13 s.
 	const schedules, size, rounds = 2000, 12, 30
 	for seed := range uint64(schedules) {
 		fleet := newFleet(seed, size, 2*timekeeper.Second)
 		for range rounds {
-			disturb(fleet)
+			injectFault(fleet)
 			before := make([]uint64, size)
 			for i, proc := range fleet.procs {
 				before[i] = proc.served
@@ -269,19 +269,19 @@
 			wasServing := servingOf(fleet)
 			for range 20 {
 				fleet.advance(100 * timekeeper.Millisecond)
-				fleet.talk()
+				fleet.sendRevision()
 			}
 			for i, proc := range fleet.procs {
-				if proc.serving && !wasServing[i] && proc.standing.InForce < before[i] && fleet.knows(i, before[i]) {
-					t.Fatalf("schedule %d: process %d came back with %d after %d", seed, i, proc.standing.InForce, before[i])
+				if proc.serving && !wasServing[i] && proc.state.InForce < before[i] && fleet.knows(i, before[i]) {
+					t.Fatalf("schedule %d: process %d restarted with revision %d after %d", seed, i, proc.state.InForce, before[i])
 				}
 			}
 		}
 		fleet.down = false
-		clear(fleet.cut)
+		clear(fleet.isolated)
 		fleet.advance(bound)
-		if !fleet.everywhere() || fleet.problem != "" {
-			t.Fatalf("schedule %d: revision %d isn't in force everywhere after %s: %+v %s", seed, fleet.head, bound, fleet.procs, fleet.problem)
+		if !fleet.converged() || fleet.failure != "" {
+			t.Fatalf("schedule %d: revision %d isn't in force everywhere after %s: %+v %s", seed, fleet.head, bound, fleet.procs, fleet.failure)
 		}
 	}
 }
@@ -294,23 +294,23 @@
 	return serving
 }
 
-func disturb(fleet *fleet) {
-	draws := fleet.draws
-	switch draws.IntN(6) {
+func injectFault(fleet *fleet) {
+	random := fleet.random
+	switch random.IntN(6) {
 	case 0:
 		fleet.down = !fleet.down
 	case 1:
-		from := draws.IntN(len(fleet.cut))
-		side := draws.IntN(2) == 0
-		for i := from; i < min(len(fleet.cut), from+4); i++ {
-			fleet.cut[i] = side
+		from := random.IntN(len(fleet.isolated))
+		side := random.IntN(2) == 0
+		for i := from; i < min(len(fleet.isolated), from+4); i++ {
+			fleet.isolated[i] = side
 		}
 	case 2:
 		for i := range 3 {
 			fleet.restart(i)
 		}
 	case 3:
-		fleet.restart(draws.IntN(len(fleet.procs)))
+		fleet.restart(random.IntN(len(fleet.procs)))
 	default:
 		if !fleet.down {
 			fleet.head++
@@ -318,15 +318,15 @@
 	}
 }
 
-// BenchmarkConfigInForce measures the time from the acceptance of a change to
-// its being in force at every process, in virtual time.
+// BenchmarkConfigInForce measures the virtual time from the acceptance of a change until
+// it is in force at every process.
 func BenchmarkConfigInForce(b *testing.B) {
 	tests := []struct {
-		name  string
-		size  int
-		every timekeeper.Span
-		slow  timekeeper.Span
-		bound timekeeper.Span
+		name         string
+		size         int
+		interval     timekeeper.Span
+		storeLatency timekeeper.Span
+		bound        timekeeper.Span
 	}{
 		{"processes=20", 20, 2 * timekeeper.Second, 5, 4 * timekeeper.Second},
 		{"processes=20/store-slow", 20, 2 * timekeeper.Second, 1500, 8 * timekeeper.Second},
@@ -338,19 +338,19 @@
 		b.Run(test.name, func(b *testing.B) {
 			for range b.N {
 				const changes = 40
-				fleet := newFleet(1, test.size, test.every)
-				fleet.slow = test.slow
+				fleet := newFleet(1, test.size, test.interval)
+				fleet.storeLatency = test.storeLatency
 				took := make([]timekeeper.Span, 0, changes)
 				for range changes {
 					took = append(took, fleet.change())
-					fleet.advance(timekeeper.Span(fleet.draws.IntN(int(test.every))))
+					fleet.advance(timekeeper.Span(fleet.random.IntN(int(test.interval))))
 				}
 				slices.Sort(took)
 				worst := took[len(took)-1]
 				b.ReportMetric(float64(took[len(took)/2]), "median-ms")
 				b.ReportMetric(float64(took[len(took)*99/100]), "p99-ms")
 				b.ReportMetric(float64(worst), "worst-ms")
-				b.ReportMetric(fleet.restingReads(), "reads/s")
+				b.ReportMetric(fleet.idleReads(), "reads/s")
 				if worst > test.bound {
 					b.Fatalf("worst %s is over the bound of %s", worst, test.bound)
 				}
@@ -363,26 +363,26 @@
 func (fleet *fleet) change() timekeeper.Span {
 	fleet.head++
 	accepted := fleet.now
-	for !fleet.everywhere() {
+	for !fleet.converged() {
 		fleet.advance(100 * timekeeper.Millisecond)
 		for range max(1, len(fleet.procs)/10) {
-			fleet.talk()
+			fleet.sendRevision()
 		}
 	}
 	return fleet.now.Since(accepted)
 }
 
-// restingReads returns the reads a second while nothing changes.
-func (fleet *fleet) restingReads() float64 {
-	const rest = 60
+// idleReads returns the reads of the store a second while nothing changes.
+func (fleet *fleet) idleReads() float64 {
+	const idleSeconds = 60
 	before := fleet.reads
-	fleet.advance(rest * timekeeper.Second)
-	return float64(fleet.reads-before) / rest
+	fleet.advance(idleSeconds * timekeeper.Second)
+	return float64(fleet.reads-before) / idleSeconds
 }
 
-func TestALongOutageDelaysNoChangeAfterIt(t *testing.T) {
-	// Operators fix what caused an outage by a change, at once when the store is
-	// back. Every meter is then in its longest pause. The change must be in force
+func TestLongOutageDelaysNoLaterChange(t *testing.T) {
+	// Operators may apply a change that fixes the cause of an outage as soon as the store
+	// is back, when every process is in its longest backoff. The change must be in force
 	// everywhere within the bound all the same.
 	const schedules, size = 200, 12
 	for seed := range uint64(schedules) {
@@ -392,8 +392,8 @@
 		fleet.down = false
 		fleet.head++
 		fleet.advance(bound)
-		if !fleet.everywhere() || fleet.problem != "" {
-			t.Fatalf("schedule %d: not in force everywhere after %s: %+v %s", seed, bound, fleet.procs, fleet.problem)
+		if !fleet.converged() || fleet.failure != "" {
+			t.Fatalf("schedule %d: not in force everywhere after %s: %+v %s", seed, bound, fleet.procs, fleet.failure)
 		}
 	}
 }
--- a/internal/publisher/head.go
+++ b/internal/publisher/head.go
@@ -18,7 +18,7 @@
 	prefix  = "config/"
 )
 
-// Head says which configuration is in force.
+// Head names the configuration in force.
 type Head struct {
 	Revision uint64 `json:"revision"`
 	Hash     string `json:"hash"`
@@ -26,7 +26,7 @@
 }
 
 // ReadHead returns the head and the version of its row; both are zero when no
-// configuration was ever accepted.
+// configuration has been accepted yet.
 func ReadHead(ctx context.Context, platform storekeeper.Platform) (Head, uint64, error) {
 	row, err := platform.Table.Get(ctx, table, headKey)
 	if eris.Is(err, storekeeper.ErrAbsent) {
@@ -48,8 +48,8 @@
 	Body []byte
 }
 
-// seal returns the body of a bundle under its hash.
-func seal(bundle resolver.Bundle) (Accepted, error) {
+// encodeBundle returns the encoded bundle with its hash.
+func encodeBundle(bundle resolver.Bundle) (Accepted, error) {
 	body, err := json.Marshal(bundle)
 	if err != nil {
 		return Accepted{}, eris.Wrap(err, "encode bundle")
@@ -62,8 +62,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Bundle returns the files of the body. A body that doesn't match its hash is
-// an error: whoever it came from, it is not what was accepted.
+// Bundle returns the files of the body, or an error if the body doesn't match its
+// hash and so isn't the accepted one, whether it came from the store or a peer.
 func (accepted Accepted) Bundle() (resolver.Bundle, error) {
 	if hashOf(accepted.Body) != accepted.Hash {
 		return resolver.Bundle{}, eris.New("the configuration's body doesn't match its hash")
@@ -73,7 +73,7 @@
 	return bundle, eris.Wrap(err, "decode bundle")
 }
 
-// Resolve returns the configuration at a site under the head's revision.
+// Resolve returns the configuration of a site with the head's revision.
 func (accepted Accepted) Resolve(site string) (resolver.Config, error) {
 	bundle, err := accepted.Bundle()
 	if err != nil {
--- a/internal/publisher/history.go
+++ b/internal/publisher/history.go
@@ -11,18 +11,18 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// historyPrefix begins the keys of accepted changes. The revision follows in
-// twenty digits, so that keys are in order.
+// historyPrefix is the key prefix of accepted changes. The revision follows in
+// twenty digits, so that the keys sort by revision.
 const historyPrefix = "history/"
 
-// Change is one accepted change. Its row is written in the commit that moves
-// the head, so each accepted change is in the history exactly once.
+// Change is one accepted change. Its row is written in the commit that updates the
+// head, so each accepted change is in the history exactly once.
 type Change struct {
 	Head
 	At       timekeeper.Instant `json:"at"`
 	Operator string             `json:"operator,omitempty"`
 	Comment  string             `json:"comment,omitempty"`
-	// RollbackTo is the revision whose content this change brought back, or 0.
+	// RollbackTo is the revision whose content this change restored, or 0.
 	RollbackTo uint64 `json:"rollback-to,omitempty"`
 }
 
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%s%020d", historyPrefix, revision)
 }
 
-// ReadChange returns the change that made a revision, or storekeeper.ErrAbsent.
+// ReadChange returns the change that created a revision, or storekeeper.ErrAbsent.
 func ReadChange(ctx context.Context, platform storekeeper.Platform, revision uint64) (Change, error) {
 	row, err := platform.Table.Get(ctx, table, historyKey(revision))
 	if err != nil {
@@ -45,7 +45,7 @@
 	return change, eris.Wrap(err, "decode a change of the history")
 }
 
-// History returns up to limit changes with revisions above after, in order.
+// History returns up to limit changes with revisions above after, in ascending order.
 func History(ctx context.Context, platform storekeeper.Platform, after uint64, limit int) ([]Change, error) {
 	rows, err := platform.Table.Scan(ctx, table, historyPrefix, historyKey(after), limit)
 	if err != nil {
--- a/internal/publisher/peer.go
+++ b/internal/publisher/peer.go
@@ -10,13 +10,13 @@
 	"github.com/trefoilseam/trefoilseam/internal/encoder"
 )
 
-// askTimeout bounds one question to a peer.
+// askTimeout bounds one request to a peer.
 const askTimeout = time.Second
 
-// Asker returns a Settings.Ask that asks over a pool of sessions.
-func Asker(pool *dialer.Pool, name string) func(ctx context.Context, address string, least uint64) (*encoder.ConfigBody, error) {
-	return func(ctx context.Context, address string, least uint64) (*encoder.ConfigBody, error) {
-		answer, err := Exchange(ctx, pool, address, &encoder.ConfigAsk{Asker: name, Least: least})
+// Asker returns a Settings.Ask that sends requests over a pool of sessions.
+func Asker(pool *dialer.Pool, name string) func(ctx context.Context, address string, minRevision uint64) (*encoder.ConfigBody, error) {
+	return func(ctx context.Context, address string, minRevision uint64) (*encoder.ConfigBody, error) {
+		answer, err := Exchange(ctx, pool, address, &encoder.ConfigAsk{Asker: name, Least: minRevision})
 		if err != nil {
 			return nil, err
 		}
@@ -28,15 +28,15 @@
 	}
 }
 
-// Exchange sends one message to a peer and returns the frame that answers it,
-// or an error after a second.
+// Exchange sends one message to a peer and returns the frame that answers it. It
+// times out after a second.
 func Exchange(ctx context.Context, pool *dialer.Pool, address string, message any) (*encoder.Frame, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	return ExchangeUntil(ctx, pool, address, message)
 }
 
-// ExchangeUntil is Exchange with the deadline of ctx.
+// ExchangeUntil is like Exchange, but with the deadline of ctx.
 func ExchangeUntil(ctx context.Context, pool *dialer.Pool, address string, message any) (*encoder.Frame, error) {
 	conn, err := pool.Open(ctx, address)
 	if err != nil {
@@ -56,16 +56,16 @@
 	return stream.Read()
 }
 
-// askPeers asks some random peers for a revision of at least least, all at
-// once, and takes the highest that they have. It returns how many answered,
-// the highest revision that any of them has or has heard of, and whether one
-// came into force.
-func (watcher *Watcher) askPeers(ctx context.Context, least uint64, most int) (answered int, highest uint64, found bool) {
-	peers := watcher.somePeers(most)
+// askPeers requests a revision of at least minRevision from up to maxPeers random
+// peers concurrently, and brings the highest one into force. It returns how many
+// peers answered, the highest revision that any of them has or knows of, and
+// whether a revision came into force.
+func (watcher *Watcher) askPeers(ctx context.Context, minRevision uint64, maxPeers int) (answered int, highest uint64, found bool) {
+	peers := watcher.randomPeers(maxPeers)
 	answers := make(chan *encoder.ConfigBody, len(peers))
 	for _, address := range peers {
 		go func() {
-			body, err := watcher.settings.Ask(ctx, address, least)
+			body, err := watcher.settings.Ask(ctx, address, minRevision)
 			if err != nil {
 				body = nil
 			}
@@ -79,31 +79,32 @@
 		}
 		answered++
 		highest = max(highest, body.GetRevision(), body.GetHeard())
-		found = watcher.takeFrom(body, least) || found
+		found = watcher.activateFrom(body, minRevision) || found
 	}
 	return answered, highest, found
 }
 
-// takeFrom brings a peer's configuration into force when it is high enough.
-func (watcher *Watcher) takeFrom(body *encoder.ConfigBody, least uint64) bool {
-	if body.GetRevision() < least || len(body.GetBody()) == 0 {
+// activateFrom brings a peer's configuration into force if its revision is at least
+// minRevision.
+func (watcher *Watcher) activateFrom(body *encoder.ConfigBody, minRevision uint64) bool {
+	if body.GetRevision() < minRevision || len(body.GetBody()) == 0 {
 		return false
 	}
 	accepted := Accepted{
 		Head: Head{Revision: body.GetRevision(), Hash: body.GetHash(), ChangeID: body.GetChangeId()},
 		Body: body.GetBody(),
 	}
-	if err := watcher.take(accepted, "peer"); err != nil {
+	if err := watcher.activate(accepted, "peer"); err != nil {
 		watcher.settings.Log.WithError(err).Warn("a peer's configuration was refused")
 		return false
 	}
 	return true
 }
 
-func (watcher *Watcher) somePeers(most int) []string {
+func (watcher *Watcher) randomPeers(maxPeers int) []string {
 	peers := append([]string(nil), watcher.settings.Peers()...)
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
-	watcher.draws.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	return peers[:min(most, len(peers))]
+	watcher.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+	return peers[:min(maxPeers, len(peers))]
 }
--- a/internal/publisher/peer_test.go
+++ b/internal/publisher/peer_test.go
@@ -11,10 +11,10 @@
 	"github.com/trefoilseam/trefoilseam/internal/encoder"
 )
 
-func TestAPeerThatNeverAnswersIsGivenUpOn(t *testing.T) {
-	// The asker would wait for ever, and its loop with it.
-	// A peer takes the stream and says nothing. Closing a yamux stream on this
-	// side leaves a reader asleep; only the deadline wakes it.
+func TestExchangeTimesOutWithoutAnswer(t *testing.T) {
+	// Guards against a caller that blocks forever, because a peer accepts the stream and
+	// never answers. Closing a yamux stream locally doesn't wake its reader; only the
+	// deadline does.
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	}()
 	pool, release := dialer.NewPool(dialer.Settings{})
 	defer release()
-	Convey("the question ends with an error", t, func() {
+	Convey("the request ends with an error", t, func() {
 		_, err := Exchange(t.Context(), pool, listener.Addr().String(), &encoder.DigestAsk{})
 		So(err, ShouldNotBeNil)
 	})
--- a/internal/publisher/propose.go
+++ b/internal/publisher/propose.go
@@ -14,61 +14,62 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Errors of a proposal whose outcome the store didn't tell.
+// Errors of a proposal when the store doesn't answer.
 var (
-	// ErrNotAccepted says that the head was never asked to move.
+	// ErrNotAccepted means that no write of the head was sent.
 	ErrNotAccepted = eris.New("not accepted: the store doesn't answer, and nothing was changed")
-	// ErrOutcomeUnknown says that the change may or may not be accepted.
+	// ErrOutcomeUnknown means that the change may or may not have been accepted.
 	ErrOutcomeUnknown = eris.New("not known whether accepted: the store doesn't answer; run the same command again, which is harmless")
 )
 
 const (
-	// settleRounds and settlePause bound how long a proposal asks a store that
-	// doesn't answer: some three seconds, or more when each call times out.
-	settleRounds = 5
-	settlePause  = 200 * timekeeper.Millisecond
-	longestPause = 2 * timekeeper.Second
+	// maxRounds, firstRetryDelay and maxRetryDelay bound how long a proposal retries
+	// while the store doesn't answer: some three seconds, or more when each call
+	// times out.
+	maxRounds       = 5
+	firstRetryDelay = 200 * timekeeper.Millisecond
+	maxRetryDelay   = 2 * timekeeper.Second
 )
 
 // Proposal is a configuration that an operator wants accepted.
 type Proposal struct {
 	Bundle resolver.Bundle
-	// BaseRevision is the revision that the operator started from.
+	// BaseRevision is the revision that the operator edited.
 	BaseRevision uint64
-	// ChangeID tells this change from others; empty means that it follows from
-	// the content, the operator and Edited, so that the same command run again
-	// is the same change.
+	// ChangeID identifies this change; empty means that it is derived from the content,
+	// the operator and BaseRevision, so that the same command run again is the same
+	// change.
 	ChangeID string
 	Operator string
 	Comment  string
-	// RollbackTo is the revision whose content the bundle brings back, or 0.
+	// RollbackTo is the revision whose content the bundle restores, or 0.
 	RollbackTo uint64
 }
 
-// Result is what became of a proposal that was not refused.
+// Result is the outcome of a proposal that was not refused.
 type Result struct {
 	Change
-	// Unchanged says that this content was in force already under the
-	// revision, and that nothing was written.
+	// Unchanged is set when this content was already in force under the revision, so
+	// that nothing was written.
 	Unchanged bool
 }
 
-// Conflict says that another change came first.
+// Conflict is the error when another change was accepted first.
 type Conflict struct {
 	BaseRevision uint64
-	Now    Head
-	// Since are the changes after Edited, oldest first.
+	Now          Head
+	// Since are the changes after BaseRevision, oldest first.
 	Since []Change
-	// Differences are what they changed; empty when it could not be read.
+	// Differences are the changed settings; empty when they could not be read.
 	Differences []resolver.Difference
 }
 
-// Error tells the loser of a race what changed.
+// Error lists the changes that were accepted first.
 func (conflict Conflict) Error() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "not accepted: revision %d is in force, and this was edited from %d\n", conflict.Now.Revision, conflict.BaseRevision)
 	for _, change := range conflict.Since {
-		fmt.Fprintf(&out, "  revision %d by %s at %s: %s\n", change.Revision, orNobody(change.Operator), change.At, change.Comment)
+		fmt.Fprintf(&out, "  revision %d by %s at %s: %s\n", change.Revision, operatorName(change.Operator), change.At, change.Comment)
 	}
 	for _, diff := range conflict.Differences {
 		fmt.Fprintf(&out, "  %s\n", diff)
@@ -76,7 +77,7 @@
 	return out.String() + "edit from the revision in force, and apply again"
 }
 
-func orNobody(operator string) string {
+func operatorName(operator string) string {
 	if operator == "" {
 		return "an unnamed operator"
 	}
@@ -86,7 +87,7 @@
 // Unwrap makes a conflict a storekeeper.ErrConflict.
 func (conflict Conflict) Unwrap() error { return storekeeper.ErrConflict }
 
-// Proposer accepts configurations.
+// Proposer submits configurations for acceptance.
 type Proposer struct {
 	Platform storekeeper.Platform
 	Clock    timekeeper.Clock
@@ -94,34 +95,34 @@
 	Record func(event recorder.Event)
 }
 
-// Propose makes the proposal the revision after the one it was edited from. An
-// error is resolver.Faults, a Conflict, ErrNotAccepted or ErrUnsettled.
+// Propose accepts the proposal as the revision after its BaseRevision. An error is
+// resolver.Faults, a Conflict, ErrNotAccepted or ErrOutcomeUnknown.
 //
-// The failure: the store takes the write, and its answer is lost. The symptom:
-// the operator is told that it failed, applies again, and loses against the
-// own change. The safeguard: after a lost answer the change is looked for
-// under its id in the history. When it is not there the same commit is tried
-// again; both commits expect the same version of the head's row, so at most
-// one of them takes effect, however late the first one lands.
+// The answer to a write can be lost after the write took effect. If the operator
+// saw that as a failure and applied the change again, it would conflict with the
+// operator's own change. So after a lost answer, Propose looks for the change by
+// its id in the history. If it isn't there, Propose retries the same commit; both
+// commits expect the same version of the head's row, so at most one of them takes
+// effect, however late the first one arrives.
 func (proposer Proposer) Propose(ctx context.Context, proposal Proposal) (Result, error) {
 	if faults := proposal.Bundle.Sources().Check(); len(faults) > 0 {
 		return Result{}, faults
 	}
-	sealed, err := seal(proposal.Bundle)
+	encoded, err := encodeBundle(proposal.Bundle)
 	if err != nil {
 		return Result{}, err
 	}
-	next := proposal.change(sealed.Hash, proposer.Clock.Now())
-	if err := proposer.putBody(ctx, sealed); err != nil {
+	next := proposal.change(encoded.Hash, proposer.Clock.Now())
+	if err := proposer.putBody(ctx, encoded); err != nil {
 		return Result{}, eris.Wrap(ErrNotAccepted, err.Error())
 	}
 	sent := false
-	for round := range settleRounds {
-		result, err := proposer.try(ctx, next, proposal.BaseRevision, &sent)
-		if err == nil || !unsettled(err) {
+	for round := range maxRounds {
+		result, err := proposer.attempt(ctx, next, proposal.BaseRevision, &sent)
+		if err == nil || !retriable(err) {
 			return result, err
 		}
-		if proposer.pause(ctx, round) != nil {
+		if proposer.waitForRetry(ctx, round) != nil {
 			break
 		}
 	}
@@ -145,42 +146,43 @@
 	}
 }
 
-// unsettled reports whether asking again can tell more.
-func unsettled(err error) bool {
-	return eris.Is(err, storekeeper.ErrUnknown) || eris.Is(err, storekeeper.ErrBusy) || eris.Is(err, errMoved)
+// retriable reports whether another attempt may succeed or show the outcome.
+func retriable(err error) bool {
+	return eris.Is(err, storekeeper.ErrUnknown) || eris.Is(err, storekeeper.ErrBusy) || eris.Is(err, errHeadMoved)
 }
 
-// errMoved says that the head moved between the reading and the commit.
-var errMoved = eris.New("the head moved")
+// errHeadMoved means that the head changed between the read and the commit.
+var errHeadMoved = eris.New("the head moved")
 
-func (proposer Proposer) pause(ctx context.Context, round int) error {
-	return proposer.Clock.Sleep(ctx, min(settlePause<<round, longestPause))
+func (proposer Proposer) waitForRetry(ctx context.Context, round int) error {
+	return proposer.Clock.Sleep(ctx, min(firstRetryDelay<<round, maxRetryDelay))
 }
 
-// putBody stores the body. A body under the same hash is the same body, so
-// "there already" is success, also after a lost answer.
-func (proposer Proposer) putBody(ctx context.Context, sealed Accepted) error {
+// putBody stores the body. A body under the same hash is the same body, so a
+// conflict with an existing one is a success, also after a lost answer.
+func (proposer Proposer) putBody(ctx context.Context, encoded Accepted) error {
 	var err error
-	for round := range settleRounds {
-		err = proposer.Platform.Objects.Put(ctx, prefix+sealed.Hash, sealed.Body)
+	for round := range maxRounds {
+		err = proposer.Platform.Objects.Put(ctx, prefix+encoded.Hash, encoded.Body)
 		if err == nil || eris.Is(err, storekeeper.ErrConflict) {
 			return nil
 		}
-		if proposer.pause(ctx, round) != nil {
+		if proposer.waitForRetry(ctx, round) != nil {
 			break
 		}
 	}
 	return err
 }
 
-// try reads where things stand and commits when nothing came between.
-func (proposer Proposer) try(ctx context.Context, next Change, edited uint64, sent *bool) (Result, error) {
+// attempt reads the head and commits the change if the head is still at base. It sets
+// sent before it sends the commit.
+func (proposer Proposer) attempt(ctx context.Context, next Change, base uint64, sent *bool) (Result, error) {
 	now, version, err := ReadHead(ctx, proposer.Platform)
 	if err != nil {
 		return Result{}, err
 	}
-	if now.Revision != edited {
-		return proposer.overtaken(ctx, next, now, edited)
+	if now.Revision != base {
+		return proposer.resolveHeadMismatch(ctx, next, now, base)
 	}
 	if now.Hash == next.Hash {
 		return Result{Change: Change{Head: now}, Unchanged: true}, nil
@@ -188,16 +190,16 @@
 	*sent = true
 	err = proposer.commit(ctx, next, version)
 	if eris.Is(err, storekeeper.ErrConflict) {
-		return Result{}, errMoved
+		return Result{}, errHeadMoved
 	}
 	if err != nil {
 		return Result{}, err
 	}
-	proposer.note(next)
+	proposer.recordAccepted(next)
 	return Result{Change: next}, nil
 }
 
-// commit moves the head and writes the history in one transaction.
+// commit updates the head and writes the history in one transaction.
 func (proposer Proposer) commit(ctx context.Context, next Change, version uint64) error {
 	head, err := json.Marshal(next.Head)
 	if err != nil {
@@ -213,45 +215,46 @@
 	})
 }
 
-// overtaken decides what it means that the head is not at the revision edited:
-// the own change took effect, the same content is in force, or another came first.
-func (proposer Proposer) overtaken(ctx context.Context, next Change, now Head, edited uint64) (Result, error) {
-	if now.Revision > edited {
-		there, err := ReadChange(ctx, proposer.Platform, next.Revision)
+// resolveHeadMismatch returns the outcome when the head is not at the base revision:
+// the proposed change took effect, the same content is in force, or another change
+// was accepted first.
+func (proposer Proposer) resolveHeadMismatch(ctx context.Context, next Change, now Head, base uint64) (Result, error) {
+	if now.Revision > base {
+		existing, err := ReadChange(ctx, proposer.Platform, next.Revision)
 		if err != nil && !eris.Is(err, storekeeper.ErrAbsent) {
 			return Result{}, err
 		}
-		if err == nil && there.ChangeID == next.ChangeID && there.Hash == next.Hash {
-			proposer.note(there)
-			return Result{Change: there}, nil
+		if err == nil && existing.ChangeID == next.ChangeID && existing.Hash == next.Hash {
+			proposer.recordAccepted(existing)
+			return Result{Change: existing}, nil
 		}
 	}
 	if now.Hash == next.Hash {
 		return Result{Change: Change{Head: now}, Unchanged: true}, nil
 	}
-	return Result{}, proposer.conflict(ctx, now, edited)
+	return Result{}, proposer.conflict(ctx, now, base)
 }
 
-// conflict collects what changed since the revision edited, as far as the
-// store tells it.
-func (proposer Proposer) conflict(ctx context.Context, now Head, edited uint64) Conflict {
-	const most = 20
-	conflict := Conflict{BaseRevision: edited, Now: now}
-	conflict.Since, _ = History(ctx, proposer.Platform, edited, most)
-	conflict.Differences, _ = DiffRevisions(ctx, proposer.Platform, edited, now.Revision)
+// conflict collects the changes since the base revision, as far as the store returns
+// them.
+func (proposer Proposer) conflict(ctx context.Context, now Head, base uint64) Conflict {
+	const maxChanges = 20
+	conflict := Conflict{BaseRevision: base, Now: now}
+	conflict.Since, _ = History(ctx, proposer.Platform, base, maxChanges)
+	conflict.Differences, _ = DiffRevisions(ctx, proposer.Platform, base, now.Revision)
 	return conflict
 }
 
-func (proposer Proposer) note(change Change) {
+func (proposer Proposer) recordAccepted(change Change) {
 	if proposer.Record == nil {
 		return
 	}
-	// The time is the change's own: a command that is run again finds the same
-	// change, and must not seem to have accepted it anew.
+	// The event has the time of the change, since a command that is run again finds
+	// the same change and must not record it as accepted again.
 	proposer.Record(recorder.Event{At: change.At, Kind: recorder.Accepted, Revision: change.Revision, Detail: change.Hash})
 }
 
-// BundleOf returns the files of a revision; revision 0 is empty.
+// BundleOf returns the files of a revision; those of revision 0 are empty.
 func BundleOf(ctx context.Context, platform storekeeper.Platform, revision uint64) (resolver.Bundle, error) {
 	if revision == 0 {
 		return resolver.Bundle{}, nil
@@ -267,7 +270,7 @@
 	return accepted.Bundle()
 }
 
-// DiffRevisions returns what differs between two accepted revisions.
+// DiffRevisions returns the differences between two accepted revisions.
 func DiffRevisions(ctx context.Context, platform storekeeper.Platform, before, after uint64) ([]resolver.Difference, error) {
 	old, err := BundleOf(ctx, platform, before)
 	if err != nil {
@@ -280,11 +283,11 @@
 	return resolver.Diff(old, now)
 }
 
-// Accept makes the bundle the configuration that follows revision edited. It
-// returns a Conflict when another revision is in force.
-func Accept(ctx context.Context, platform storekeeper.Platform, bundle resolver.Bundle, edited uint64, changeID string) (Head, error) {
+// Accept accepts the bundle as the revision after base. It returns a Conflict when
+// another revision is in force.
+func Accept(ctx context.Context, platform storekeeper.Platform, bundle resolver.Bundle, base uint64, changeID string) (Head, error) {
 	proposer := Proposer{Platform: platform, Clock: timekeeper.Wall()}
-	result, err := proposer.Propose(ctx, Proposal{Bundle: bundle, BaseRevision: edited, ChangeID: changeID})
+	result, err := proposer.Propose(ctx, Proposal{Bundle: bundle, BaseRevision: base, ChangeID: changeID})
 	var conflict Conflict
 	if eris.As(err, &conflict) {
 		return conflict.Now, err
--- a/internal/publisher/propose_test.go
+++ b/internal/publisher/propose_test.go
@@ -17,8 +17,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// hasty is a clock on which every wait is over at once.
-func hasty() timekeeper.Clock {
+// instantClock is a clock on which every wait ends at once.
+func instantClock() timekeeper.Clock {
 	return timekeeper.Clock{
 		Now: func() timekeeper.Instant { return 1 },
 		After: func(timekeeper.Span) (<-chan timekeeper.Instant, func()) {
@@ -29,44 +29,43 @@
 	}
 }
 
-// bundleOf returns a sound bundle that differs by number.
+// bundleOf returns a valid bundle that differs by number.
 func bundleOf(number int) resolver.Bundle {
 	return resolver.Bundle{Base: fmt.Sprintf("[services.orders]\nkind = \"plain\"\nslots = %d\n", number+1)}
 }
 
-// tap calls before with the number of each call to the platform; an error that
-// it returns comes in place of the call.
-func tap(platform storekeeper.Platform, before func(call int) error) storekeeper.Platform {
+// intercept calls before with the number of each call to the platform; if before returns
+// an error, that error replaces the call.
+func intercept(platform storekeeper.Platform, before func(call int) error) storekeeper.Platform {
 	call := 0
 	next := func() error { call++; return before(call) }
-	tapped := platform
-	tapped.Table.Get = func(ctx context.Context, table, key string) (storekeeper.Row, error) {
+	intercepted := platform
+	intercepted.Table.Get = func(ctx context.Context, table, key string) (storekeeper.Row, error) {
 		if err := next(); err != nil {
 			return storekeeper.Row{}, err
 		}
 		return platform.Table.Get(ctx, table, key)
 	}
-	tapped.Table.Commit = func(ctx context.Context, writes []storekeeper.Write) error {
+	intercepted.Table.Commit = func(ctx context.Context, writes []storekeeper.Write) error {
 		if err := next(); err != nil {
 			return err
 		}
 		return platform.Table.Commit(ctx, writes)
 	}
-	tapped.Objects.Put = func(ctx context.Context, name string, body []byte) error {
+	intercepted.Objects.Put = func(ctx context.Context, name string, body []byte) error {
 		if err := next(); err != nil {
 			return err
 		}
 		return platform.Objects.Put(ctx, name, body)
 	}
-	return tapped
+	return intercepted
 }
 
-func TestAProposalIsSettledAtEachStep(t *testing.T) {
-	// The operator sees "accepted", "not accepted" or "not known", and the same
-	// command run again ends in "accepted".
-	// The store fails at one step of the proposal: its answer is lost before or
-	// after the write took effect, or it stays down from that step on.
-	// Whatever the step, the history holds the change once.
+func TestProposalOutcomeAfterFaultAtEachStep(t *testing.T) {
+	// The store fails at one step of the proposal: the write or its answer is lost, the
+	// store is over its rate, or it stays down from that step on. The operator must see
+	// "accepted", "not accepted" or "not known" as is true, and the same command run again
+	// must end in "accepted", with the change in the history exactly once.
 	const steps = 5
 	tests := []struct {
 		name   string
@@ -88,7 +87,7 @@
 				return nil
 			}
 		}},
-		{"over the rate once", func(_ *imitator.Platform, step int) func(int) error {
+		{"rate exceeded once", func(_ *imitator.Platform, step int) func(int) error {
 			return func(call int) error {
 				if call == step {
 					return storekeeper.ErrBusy
@@ -96,7 +95,7 @@
 				return nil
 			}
 		}},
-		{"down from there on", func(_ *imitator.Platform, step int) func(int) error {
+		{"store down from there on", func(_ *imitator.Platform, step int) func(int) error {
 			return func(call int) error {
 				if call >= step {
 					return storekeeper.ErrUnknown
@@ -104,7 +103,7 @@
 				return nil
 			}
 		}},
-		{"answer lost, and down from there on", func(platform *imitator.Platform, step int) func(int) error {
+		{"answer lost, store down from there on", func(platform *imitator.Platform, step int) func(int) error {
 			return func(call int) error {
 				if call == step {
 					platform.SetFaults(imitator.PlatformFaults{LoseAnswers: 1})
@@ -119,13 +118,13 @@
 	for _, test := range tests {
 		for step := 1; step <= steps; step++ {
 			Convey(fmt.Sprintf("%s at step %d", test.name, step), t, func() {
-				platform := imitator.NewPlatform(hasty())
+				platform := imitator.NewPlatform(instantClock())
 				seams := platform.Seams()
 				_, err := Accept(t.Context(), seams, bundleOf(0), 0, "first")
 				So(err, ShouldBeNil)
 				proposal := Proposal{Bundle: bundleOf(1), BaseRevision: 1, Operator: "almaz"}
-				hurt := Proposer{Platform: tap(seams, test.faults(platform, step)), Clock: hasty()}
-				result, err := hurt.Propose(t.Context(), proposal)
+				faulty := Proposer{Platform: intercept(seams, test.faults(platform, step)), Clock: instantClock()}
+				result, err := faulty.Propose(t.Context(), proposal)
 				platform.SetFaults(imitator.PlatformFaults{})
 				changes, _ := History(t.Context(), seams, 1, 10)
 				switch {
@@ -137,7 +136,7 @@
 				default:
 					So(eris.Is(err, ErrOutcomeUnknown), ShouldBeTrue)
 				}
-				again, err := Proposer{Platform: seams, Clock: hasty()}.Propose(t.Context(), proposal)
+				again, err := Proposer{Platform: seams, Clock: instantClock()}.Propose(t.Context(), proposal)
 				So(err, ShouldBeNil)
 				So(again.Revision, ShouldEqual, 2)
 				changes, _ = History(t.Context(), seams, 0, 10)
@@ -148,25 +147,25 @@
 	}
 }
 
-func TestAChangeIsFoundUnderALaterOne(t *testing.T) {
-	// The operator must see "accepted": the change is in the history.
-	// The store takes the write and its answer is lost; before the operator's
-	// command reads back, another operator's change is accepted on top of it.
+func TestChangeIsFoundBelowLaterOne(t *testing.T) {
+	// The store takes the write and its answer is lost. Before the operator's command
+	// reads the head again, another operator's change is accepted on top of it. The
+	// operator must still see "accepted", since the change is in the history.
 	Convey("the change is found by its id", t, func() {
-		platform := imitator.NewPlatform(hasty())
+		platform := imitator.NewPlatform(instantClock())
 		seams := platform.Seams()
 		_, _ = Accept(t.Context(), seams, bundleOf(0), 0, "first")
-		hurt := tap(seams, func(call int) error {
+		faulty := intercept(seams, func(call int) error {
 			switch call {
 			case 3: // The commit.
 				platform.SetFaults(imitator.PlatformFaults{LoseAnswers: 1})
-			case 4: // The reading back.
+			case 4: // The read after the lost answer.
 				_, err := Accept(t.Context(), seams, bundleOf(2), 2, "another")
 				return err
 			}
 			return nil
 		})
-		result, err := Proposer{Platform: hurt, Clock: hasty()}.Propose(t.Context(), Proposal{Bundle: bundleOf(1), BaseRevision: 1})
+		result, err := Proposer{Platform: faulty, Clock: instantClock()}.Propose(t.Context(), Proposal{Bundle: bundleOf(1), BaseRevision: 1})
 		So(err, ShouldBeNil)
 		So(result.Revision, ShouldEqual, 2)
 		So(result.Unchanged, ShouldBeFalse)
@@ -175,18 +174,18 @@
 	})
 }
 
-func TestTheLoserIsToldWhatChanged(t *testing.T) {
-	Convey("with the changes since, and their differences", t, func() {
-		seams := imitator.NewPlatform(hasty()).Seams()
+func TestConflictListsChanges(t *testing.T) {
+	Convey("a conflict lists the changes since the base revision and their differences", t, func() {
+		seams := imitator.NewPlatform(instantClock()).Seams()
 		_, _ = Accept(t.Context(), seams, bundleOf(0), 0, "first")
-		proposer := Proposer{Platform: seams, Clock: hasty()}
+		proposer := Proposer{Platform: seams, Clock: instantClock()}
 		_, err := proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(1), BaseRevision: 1, Operator: "almaz", Comment: "more slots"})
 		So(err, ShouldBeNil)
 		_, err = proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(2), BaseRevision: 1, Operator: "bekele"})
 		So(eris.Is(err, storekeeper.ErrConflict), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "revision 2 by almaz")
 		So(err.Error(), ShouldContainSubstring, "~ services.orders.slots = 1 -> 2")
-		Convey("and a roll back is a new, higher revision", func() {
+		Convey("a rollback is a new, higher revision", func() {
 			back, err := proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(0), BaseRevision: 2, RollbackTo: 1})
 			So(err, ShouldBeNil)
 			So(back.Revision, ShouldEqual, 3)
@@ -194,13 +193,12 @@
 	})
 }
 
-func TestTwoOperatorsRaceAThousandTimes(t *testing.T) {
-	// Two operators apply at the same time, again and again, and now and then
-	// the answer to a write is lost after it took effect, or the write is.
-	// Each is told "accepted" exactly for the changes that are in the history,
-	// and the history has each of them once, in order.
+func TestTwoOperatorsApplyConcurrently(t *testing.T) {
+	// Two operators apply changes concurrently, and now and then a write is lost, or its
+	// answer after it took effect. Each must see "accepted" for exactly those changes that
+	// are in the history, and the history must have each of them once, in order.
 	const wanted = 1000
-	platform := imitator.NewPlatform(hasty())
+	platform := imitator.NewPlatform(instantClock())
 	seams := platform.Seams()
 	var operators sync.WaitGroup
 	var mu sync.Mutex
@@ -208,15 +206,15 @@
 	for operator := range 2 {
 		operators.Go(func() {
 			name := fmt.Sprintf("operator-%d", operator)
-			draws := rand.New(rand.NewPCG(uint64(operator), 7))
-			proposer := Proposer{Platform: seams, Clock: hasty()}
+			random := rand.New(rand.NewPCG(uint64(operator), 7))
+			proposer := Proposer{Platform: seams, Clock: instantClock()}
 			for number := 0; ; number++ {
 				head, _, err := ReadHead(context.Background(), seams)
 				if err != nil || head.Revision >= wanted {
 					return
 				}
-				if draws.IntN(10) == 0 {
-					platform.SetFaults(imitator.PlatformFaults{LoseAnswers: draws.IntN(3), LoseWrites: draws.IntN(2)})
+				if random.IntN(10) == 0 {
+					platform.SetFaults(imitator.PlatformFaults{LoseAnswers: random.IntN(3), LoseWrites: random.IntN(2)})
 				}
 				result, err := proposer.Propose(context.Background(), Proposal{
 					Bundle: bundleOf(2*number + operator), BaseRevision: head.Revision, Operator: name,
@@ -231,7 +229,7 @@
 		})
 	}
 	operators.Wait()
-	Convey("the history agrees with what the operators were told", t, func() {
+	Convey("the history matches the outcomes that the operators saw", t, func() {
 		changes, err := History(t.Context(), seams, 0, 2*wanted)
 		So(err, ShouldBeNil)
 		So(len(changes), ShouldBeGreaterThanOrEqualTo, wanted)
@@ -248,14 +246,14 @@
 	})
 }
 
-func TestACommandRunAgainDoesNotAcceptAnew(t *testing.T) {
-	// An operator runs an old command again, after a later change was accepted.
-	// The record must not show the old revision as accepted after the later one.
-	Convey("the event carries the time of the change", t, func() {
-		seams := imitator.NewPlatform(hasty()).Seams()
+func TestRepeatedCommandKeepsTimeOfChange(t *testing.T) {
+	// Guards against a record that shows an old revision as accepted after a later one,
+	// because an operator runs an old command again after the later change.
+	Convey("the event has the time of the change", t, func() {
+		seams := imitator.NewPlatform(instantClock()).Seams()
 		var events []recorder.Event
 		run := func(number int, at timekeeper.Instant) {
-			clock := hasty()
+			clock := instantClock()
 			clock.Now = func() timekeeper.Instant { return at }
 			proposer := Proposer{Platform: seams, Clock: clock, Record: func(event recorder.Event) { events = append(events, event) }}
 			_, err := proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(number), BaseRevision: uint64(number)})
--- a/internal/publisher/survey.go
+++ b/internal/publisher/survey.go
@@ -11,22 +11,22 @@
 	"github.com/trefoilseam/trefoilseam/internal/storekeeper"
 )
 
-// ProcessRevision is what one process was found to have in force.
+// ProcessRevision is the revision that one process has in force.
 type ProcessRevision struct {
 	Process  string `json:"process"`
 	Site     string `json:"site,omitempty"`
 	Revision uint64 `json:"revision"`
-	// Unresponsive says that the process is listed and gave no answer.
+	// Unresponsive is set when the process is listed and didn't answer.
 	Unresponsive bool `json:"silent,omitempty"`
 }
 
-// Survey is the revision of every process that could be found.
+// Survey lists the revision of every listed agent and of every entry that agents know.
 type Survey struct {
 	Head      Head              `json:"head"`
 	Processes []ProcessRevision `json:"processes"`
 }
 
-// Lagging returns the processes that don't have at least a revision.
+// Lagging returns the processes that are below a revision or unresponsive.
 func (survey Survey) Lagging(revision uint64) []ProcessRevision {
 	var out []ProcessRevision
 	for _, process := range survey.Processes {
@@ -37,18 +37,18 @@
 	return out
 }
 
-// Surveyor asks the fleet which revision is in force where.
+// Surveyor finds out which revision each process has in force.
 type Surveyor struct {
 	Platform storekeeper.Platform
 	Pool     *dialer.Pool
 }
 
-// surveyWorkers bounds how many agents are asked at once.
+// surveyWorkers bounds how many agents are queried concurrently.
 const surveyWorkers = 32
 
-// Survey reads the head and asks every agent on the instance list. Entries are
-// on no list; agents tell the revision that each entry carried on its messages
-// of late, so that entries need no row in the store for it.
+// Survey reads the head and queries every agent on the instance list. Entries are on
+// no list; agents report the revision in each entry's recent messages, so that entries
+// need no row in the store for it.
 func (surveyor Surveyor) Survey(ctx context.Context) (Survey, error) {
 	head, _, err := ReadHead(ctx, surveyor.Platform)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return process
 }
 
-// entrySet collects what agents know of entries.
+// entrySet collects the revisions of entries that agents report.
 type entrySet struct {
 	agents []string
 
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -22,29 +22,30 @@
 	Clock    timekeeper.Clock
 	Log      logrus.FieldLogger
 	Site     string
-	// Seed sets the jitter of this process apart from that of others.
+	// Seed seeds the jitter and the choice of peers of this process.
 	Seed uint64
-	// Peers returns the addresses of processes that may hold the
-	// configuration; nil means that none are known.
+	// Peers returns the addresses of processes that may have the configuration; nil means
+	// that none are known.
 	Peers func() []string
-	// Ask asks a peer for its configuration; nil means that none is asked.
-	Ask func(ctx context.Context, address string, least uint64) (*encoder.ConfigBody, error)
-	// Record takes an event for each revision in force; nil means it is dropped.
+	// Ask requests a peer's configuration; nil means that no peer is asked.
+	Ask func(ctx context.Context, address string, minRevision uint64) (*encoder.ConfigBody, error)
+	// Record receives an event for each revision that comes into force; nil means that
+	// events are dropped.
 	Record func(event recorder.Event)
 }
 
-// Watcher keeps a process at the newest accepted configuration. Current,
-// Status, Hear and Answer may be called from any goroutine; one goroutine
-// runs Await and then Run.
+// Watcher keeps a process at the newest accepted configuration. Current, Status,
+// ReceiveRevision and Answer are safe for concurrent use; one goroutine runs Await and
+// then Run.
 type Watcher struct {
 	settings Settings
-	nudged   chan struct{}
+	wakeUp   chan struct{}
 	current  atomic.Pointer[resolver.Config]
 
 	mu       sync.Mutex
-	standing RevisionState
+	state    RevisionState
 	accepted Accepted
-	draws    *rand.Rand
+	random   *rand.Rand
 }
 
 // NewWatcher returns a watcher that has no configuration yet.
@@ -57,25 +58,25 @@
 	}
 	return &Watcher{
 		settings: settings,
-		nudged:   make(chan struct{}, 1),
-		draws:    rand.New(rand.NewPCG(settings.Seed, 1)),
+		wakeUp:   make(chan struct{}, 1),
+		random:   rand.New(rand.NewPCG(settings.Seed, 1)),
 	}
 }
 
-// Status is what a process says about its configuration.
+// Status is the state of a process's configuration.
 type Status struct {
 	Revision uint64 `json:"revision"`
 	Hash     string `json:"hash"`
-	// HighestKnown is the highest revision that the process has heard of.
+	// HighestKnown is the highest revision that the process knows of.
 	HighestKnown uint64 `json:"heard"`
-	// Behind is for how long it has known that it lags.
+	// Behind is how long it has known of a revision above its own.
 	Behind timekeeper.Span `json:"behind"`
 	// StoreUnresponsive is how long the store has not answered.
 	StoreUnresponsive timekeeper.Span `json:"store-silent"`
 }
 
-// Current returns the configuration in force; its revision is zero when there
-// is none yet.
+// Current returns the configuration in force; its revision is zero if there is none
+// yet.
 func (watcher *Watcher) Current() resolver.Config {
 	if config := watcher.current.Load(); config != nil {
 		return *config
@@ -83,54 +84,54 @@
 	return resolver.Config{}
 }
 
-// Status returns what the process knows about its configuration.
+// Status returns the state of the process's configuration.
 func (watcher *Watcher) Status() Status {
 	now := watcher.settings.Clock.Now()
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	status := Status{
-		Revision: watcher.standing.InForce,
-		Hash:     watcher.accepted.Hash,
-		HighestKnown:    watcher.standing.HighestKnown,
-		Behind:   watcher.standing.Behind(now),
+		Revision:     watcher.state.InForce,
+		Hash:         watcher.accepted.Hash,
+		HighestKnown: watcher.state.HighestKnown,
+		Behind:       watcher.state.Behind(now),
 	}
-	if watcher.standing.StoreFailures > 0 && watcher.standing.StoreAnsweredAt > 0 {
-		status.StoreUnresponsive = now.Since(watcher.standing.StoreAnsweredAt)
+	if watcher.state.StoreFailures > 0 && watcher.state.StoreAnsweredAt > 0 {
+		status.StoreUnresponsive = now.Since(watcher.state.StoreAnsweredAt)
 	}
 	return status
 }
 
-// ReceiveRevision takes in a revision that came with a message of a peer.
+// ReceiveRevision records a revision that came with a peer's message.
 func (watcher *Watcher) ReceiveRevision(revision uint64) {
 	now := watcher.settings.Clock.Now()
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
-	standing, news := watcher.standing.ReceiveRevision(revision, now)
-	watcher.standing = standing
-	if !news {
+	state, changed := watcher.state.ReceiveRevision(revision, now)
+	watcher.state = state
+	if !changed {
 		return
 	}
 	select {
-	case watcher.nudged <- struct{}{}:
+	case watcher.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
-// Answer returns the configuration for a peer that asks: without the body when
-// it is below the least revision that the peer wants.
+// Answer returns the configuration for a peer that asks, without the body if its
+// revision is below the one that the peer wants.
 func (watcher *Watcher) Answer(ask *encoder.ConfigAsk) *encoder.ConfigBody {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	head := watcher.accepted.Head
-	body := &encoder.ConfigBody{Revision: head.Revision, Hash: head.Hash, ChangeId: head.ChangeID, Heard: watcher.standing.HighestKnown}
+	body := &encoder.ConfigBody{Revision: head.Revision, Hash: head.Hash, ChangeId: head.ChangeID, Heard: watcher.state.HighestKnown}
 	if head.Revision >= ask.GetLeast() {
 		body.Body = watcher.accepted.Body
 	}
 	return body
 }
 
-// Poll reads the head once and takes a higher revision into force. When the
-// store doesn't answer, peers are asked instead.
+// Poll reads the head once and brings a higher revision into force. If the store
+// doesn't answer, it asks peers instead.
 func (watcher *Watcher) Poll(ctx context.Context) error {
 	head, _, err := ReadHead(ctx, watcher.settings.Platform)
 	if err != nil {
@@ -141,17 +142,17 @@
 		return err
 	}
 	now := watcher.settings.Clock.Now()
-	wanted := false
-	watcher.update(func(standing RevisionState) RevisionState {
-		standing, wanted = standing.RecordHead(head.Revision, now)
-		return standing
+	bodyWanted := false
+	watcher.update(func(state RevisionState) RevisionState {
+		state, bodyWanted = state.RecordHead(head.Revision, now)
+		return state
 	})
-	if !wanted {
+	if !bodyWanted {
 		return nil
 	}
 	accepted, err := FetchBody(ctx, watcher.settings.Platform, head)
 	if err == nil {
-		return watcher.take(accepted, "store")
+		return watcher.activate(accepted, "store")
 	}
 	if _, _, found := watcher.askPeers(ctx, head.Revision, MinAnswers); found {
 		return nil
@@ -159,23 +160,23 @@
 	return err
 }
 
-func (watcher *Watcher) update(change func(standing RevisionState) RevisionState) {
+func (watcher *Watcher) update(change func(state RevisionState) RevisionState) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
-	watcher.standing = change(watcher.standing)
+	watcher.state = change(watcher.state)
 }
 
-// take brings an accepted configuration into force, unless it is not higher.
-func (watcher *Watcher) take(accepted Accepted, from string) error {
+// activate brings an accepted configuration into force if its revision is higher.
+func (watcher *Watcher) activate(accepted Accepted, from string) error {
 	config, err := accepted.Resolve(watcher.settings.Site)
 	if err != nil {
 		return err
 	}
 	watcher.mu.Lock()
-	before := watcher.standing.InForce
-	standing, ok := watcher.standing.Activate(accepted.Revision)
+	before := watcher.state.InForce
+	state, ok := watcher.state.Activate(accepted.Revision)
 	if ok {
-		watcher.standing, watcher.accepted = standing, accepted
+		watcher.state, watcher.accepted = state, accepted
 		watcher.current.Store(&config)
 	}
 	watcher.mu.Unlock()
@@ -190,26 +191,26 @@
 	return nil
 }
 
-// draw returns the wait that a rule gives for a random draw.
-func (watcher *Watcher) draw(rule func(standing RevisionState, every timekeeper.Span, draw float64) timekeeper.Span) timekeeper.Span {
-	every := watcher.Current().Limits.WithDefaults().PollEvery
+// draw returns the delay of a rule for a random draw.
+func (watcher *Watcher) draw(rule func(state RevisionState, interval timekeeper.Span, draw float64) timekeeper.Span) timekeeper.Span {
+	interval := watcher.Current().Limits.WithDefaults().PollEvery
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
-	return rule(watcher.standing, every, watcher.draws.Float64())
+	return rule(watcher.state, interval, watcher.random.Float64())
 }
 
-// Run looks again and again until ctx ends: after each poll, and soon after
-// news of a higher revision.
+// Run polls until ctx ends: at the poll interval, and soon after a peer sent a higher
+// revision.
 func (watcher *Watcher) Run(ctx context.Context) {
-	for watcher.rest(ctx) == nil {
+	for watcher.waitForPoll(ctx) == nil {
 		if err := watcher.Poll(ctx); err != nil {
 			watcher.settings.Log.WithError(err).Warn("configuration not read")
 		}
 	}
 }
 
-// rest waits until the next look.
-func (watcher *Watcher) rest(ctx context.Context) error {
+// waitForPoll waits until the next poll.
+func (watcher *Watcher) waitForPoll(ctx context.Context) error {
 	fired, release := watcher.settings.Clock.After(watcher.draw(RevisionState.PollDelay))
 	defer release()
 	select {
@@ -217,14 +218,14 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-watcher.nudged:
+	case <-watcher.wakeUp:
 		return watcher.settings.Clock.Sleep(ctx, watcher.draw(RevisionState.EarlyPollDelay))
 	}
 }
 
-// Await looks until the process may serve, or returns the error of ctx. It may
-// serve with the store's head, or when that gives no answer, with the highest
-// revision of several peers.
+// Await polls until the process may serve, or returns the error of ctx. It may serve
+// with the store's head or, if the store doesn't answer, with the highest revision of
+// several peers.
 func (watcher *Watcher) Await(ctx context.Context) error {
 	const pause = 200 * timekeeper.Millisecond
 	var start StartupState
