--- a/internal/reporter/exchange.go
+++ b/internal/reporter/exchange.go
@@ -89,7 +89,7 @@
 	Seeds []string
 	// Self returns the agent's own digest; nil for an entry.
 	Self func() *encoder.Digest
-	// Interval is the time between two rounds; zero means RoundEvery.
+	// Interval is the time between two rounds; zero means RoundInterval.
 	Interval timekeeper.Span
 }
 
