--- a/internal/assembler/base.go
+++ b/internal/assembler/base.go
@@ -74,7 +74,7 @@
 		service: settings.service, self: settings.self,
 	})
 	base.view = base.control.view
-	base.record, release = newRecorder(env, process, origin, base.view.CountListed)
+	base.record, release = newRecorder(env, process, origin, base.view.ListedCount)
 	base.onRelease(release)
 	base.watcher = newWatcher(
 		base.control.meteredEnvironment(), process, base.incarnation, base.pool, base.view.Addresses, base.record.Record,
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -141,8 +141,8 @@
 	view.rebuild(service)
 }
 
-// CountListed returns the number of instances in the newest list.
-func (view *View) CountListed() int {
+// ListedCount returns the number of instances in the newest list.
+func (view *View) ListedCount() int {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	return view.instances
