--- a/internal/assembler/control.go
+++ b/internal/assembler/control.go
@@ -51,12 +51,12 @@
 		Seed:      settings.incarnation,
 	})
 	ctrl.exchanger = reporter.NewExchanger(reporter.ExchangeSettings{
-		View:  ctrl.view,
-		Open:  settings.pool.Open,
-		Name:  settings.process.Name,
-		Site:  settings.process.Site,
-		Seeds: settings.process.Peers,
-		Self:  settings.self,
+		View:     ctrl.view,
+		Open:     settings.pool.Open,
+		Name:     settings.process.Name,
+		Site:     settings.process.Site,
+		Seeds:    settings.process.Peers,
+		Self:     settings.self,
 		Interval: settings.process.MembershipRound,
 	})
 	return ctrl
@@ -65,9 +65,9 @@
 // rulesOf returns the rules of a process's view. Their spans are multiples of the
 // membership round, so that a false alarm is as unlikely at any length of the round.
 func rulesOf(settings controlSettings) reporter.Rules {
-	const silenceRounds, coolRounds = 8, 10
+	const silenceRounds, retryRounds = 8, 10
 	round := settings.process.MembershipRound
-	return reporter.Rules{Indirect: settings.self == nil, SilenceTimeout: silenceRounds * round, RetryAfter: coolRounds * round}
+	return reporter.Rules{Indirect: settings.self == nil, SilenceTimeout: silenceRounds * round, RetryAfter: retryRounds * round}
 }
 
 // countControlBytes returns a function that adds control traffic to the metrics.
--- a/internal/budgeter/budget.go
+++ b/internal/budgeter/budget.go
@@ -40,8 +40,7 @@
 	Ample Level = iota
 	// Tight: load rows are halved, since stale loads do the least harm.
 	Tight
-	// Short: agents make rounds half as often, entries request updates without loads, and
-	// the list is read half as often.
+	// Short: agents make rounds half as often, and the list is read half as often.
 	Short
 	// Spent: only updates are sent: notices, deaths, new incarnations.
 	Spent
@@ -106,7 +105,7 @@
 	budget.average += float64(bytes) / (float64(window) / float64(timekeeper.Second))
 }
 
-// decay reduces the average by the time that has passed; the lock must be held.
+// decay decays the average over the time since the last call; the lock must be held.
 func (budget *Budget) decay(now timekeeper.Instant) {
 	elapsed := max(0, now.Since(budget.last))
 	budget.last = max(budget.last, now)
--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -382,8 +382,8 @@
 
 func TestLongOutageDelaysNoLaterChange(t *testing.T) {
 	// Operators may apply a change that fixes the cause of an outage as soon as the store
-	// is back, when every process is in its longest backoff. The change must be in force
-	// everywhere within the bound all the same.
+	// is back, when the store budget of every process is in its longest pause. The change
+	// must be in force everywhere within the bound all the same.
 	const schedules, size = 200, 12
 	for seed := range uint64(schedules) {
 		fleet := newFleet(seed, size, 6*timekeeper.Second)
--- a/internal/publisher/propose.go
+++ b/internal/publisher/propose.go
@@ -87,15 +87,16 @@
 // Unwrap makes a conflict a storekeeper.ErrConflict.
 func (conflict Conflict) Unwrap() error { return storekeeper.ErrConflict }
 
-// Proposer submits configurations for acceptance.
+// Proposer makes proposed configurations the accepted ones.
 type Proposer struct {
 	Platform storekeeper.Platform
 	Clock    timekeeper.Clock
-	// Record takes the event of an accepted change; nil means it is dropped.
+	// Record receives an event for each accepted change; nil means that events are
+	// dropped.
 	Record func(event recorder.Event)
 }
 
-// Propose accepts the proposal as the revision after its BaseRevision. An error is
+// Propose commits the proposal as the revision after its BaseRevision. An error is
 // resolver.Faults, a Conflict, ErrNotAccepted or ErrOutcomeUnknown.
 //
 // The answer to a write can be lost after the write took effect. If the operator
@@ -249,8 +250,8 @@
 	if proposer.Record == nil {
 		return
 	}
-	// The event has the time of the change, since a command that is run again finds
-	// the same change and must not record it as accepted again.
+	// The event has the time of the change: a command that is run again finds the same
+	// change and records it again, and must not make it look accepted later than it was.
 	proposer.Record(recorder.Event{At: change.At, Kind: recorder.Accepted, Revision: change.Revision, Detail: change.Hash})
 }
 
--- a/internal/publisher/state.go
+++ b/internal/publisher/state.go
@@ -16,7 +16,7 @@
 	// of the store. One peer may have been partitioned; three in different places
 	// were not, unless most of the fleet was.
 	MinAnswers = 3
-	// MaxStartupPeers is the maximum of peers that such a process asks in a round.
+	// MaxStartupPeers is the maximum number of peers that such a process asks in a round.
 	MaxStartupPeers = 32
 	// MinStartupTime is the minimum time between the first and the last round of asking
 	// peers. Within it, a revision accepted just before the outage reaches some peer
@@ -31,7 +31,7 @@
 	InForce uint64
 	// HighestKnown is the highest revision that the process knows of.
 	HighestKnown uint64
-	// BehindSince is when it first learnt of a revision above InForce, or 0.
+	// BehindSince is when the process first learnt of a revision above InForce, or 0.
 	BehindSince timekeeper.Instant
 	// StoreAnsweredAt is when the store last answered.
 	StoreAnsweredAt timekeeper.Instant
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// draw returns the delay of a rule for a random draw.
-func (watcher *Watcher) draw(rule func(state RevisionState, interval timekeeper.Span, draw float64) timekeeper.Span) timekeeper.Span {
+// drawDelay returns the delay that rule gives for the poll interval and a random draw.
+func (watcher *Watcher) drawDelay(rule func(state RevisionState, interval timekeeper.Span, draw float64) timekeeper.Span) timekeeper.Span {
 	interval := watcher.Current().Limits.WithDefaults().PollEvery
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
@@ -209,9 +209,9 @@
 	}
 }
 
-// waitForPoll waits until the next poll.
+// waitForPoll waits until the next poll is due; it returns an error if ctx ends first.
 func (watcher *Watcher) waitForPoll(ctx context.Context) error {
-	fired, release := watcher.settings.Clock.After(watcher.draw(RevisionState.PollDelay))
+	fired, release := watcher.settings.Clock.After(watcher.drawDelay(RevisionState.PollDelay))
 	defer release()
 	select {
 	case <-fired:
@@ -219,7 +219,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-watcher.wakeUp:
-		return watcher.settings.Clock.Sleep(ctx, watcher.draw(RevisionState.EarlyPollDelay))
+		return watcher.settings.Clock.Sleep(ctx, watcher.drawDelay(RevisionState.EarlyPollDelay))
 	}
 }
 
@@ -233,7 +233,7 @@
 		if watcher.tryStart(ctx, &start) {
 			return nil
 		}
-		if watcher.settings.Clock.Sleep(ctx, pause+watcher.draw(RevisionState.EarlyPollDelay)/2) != nil {
+		if watcher.settings.Clock.Sleep(ctx, pause+watcher.drawDelay(RevisionState.EarlyPollDelay)/2) != nil {
 			return eris.Wrap(ctx.Err(), "no configuration was found: the store gives no answer, and too few peers do")
 		}
 	}
--- a/internal/reporter/bench_test.go
+++ b/internal/reporter/bench_test.go
@@ -39,7 +39,7 @@
 // in bytes a second.
 const configRate = 200
 
-// openSessions is the maximum of open sessions of a process: an entry of the design
+// openSessions is the maximum number of open sessions of a process: an entry of the design
 // size has 3.2 calls a second, and idle sessions close after a minute.
 const openSessions = 300
 
@@ -101,13 +101,13 @@
 	sim.run(updateLifetime+2*timekeeper.Second, nil)
 	quiet := measure(sim, size.scale, 6*timekeeper.Second, nil)
 	churn := measure(sim, size.scale, 6*timekeeper.Second, sim.churnEvery(5*timekeeper.Second))
-	ages, estimates := sim.ages(sim.agents), sim.ages(sim.entries)
+	agentAges, entryAges := sim.ages(sim.agents), sim.ages(sim.entries)
 	return traffic{
 		worst: cost{agent: max(quiet.agent, churn.agent) + size.otherCost(), entry: max(quiet.entry, churn.entry) + size.otherCost()},
 		text: fmt.Sprintf("%-9s digests: quiet: agent %d entry %d B/s; churn: agent %d entry %d B/s; "+
 			"age at agents p50 %v p99 %v, at entries p50 %v p99 %v; all else %d B/s",
 			size.name, quiet.agent, quiet.entry, churn.agent, churn.entry,
-			quantile(ages, 0.5), quantile(ages, 0.99), quantile(estimates, 0.5), quantile(estimates, 0.99), size.otherCost()),
+			quantile(agentAges, 0.5), quantile(agentAges, 0.99), quantile(entryAges, 0.5), quantile(entryAges, 0.99), size.otherCost()),
 	}
 }
 
@@ -161,10 +161,10 @@
 		member.exchanger.limit = limit
 	}
 	sim.run(20*timekeeper.Second, nil)
-	bytesSpent := measure(sim, 1, 10*timekeeper.Second, nil)
+	spent := measure(sim, 1, 10*timekeeper.Second, nil)
 	ages := sim.ages(sim.agents)
 	b.Logf("replicas %s, messages of %d bytes: %d B/s an agent, age p50 %v p99 %v", size.name, limit,
-		bytesSpent.agent, quantile(ages, 0.5), quantile(ages, 0.99))
+		spent.agent, quantile(ages, 0.5), quantile(ages, 0.99))
 }
 
 // timeUntil runs the fleet until every entry has the replica in the state, and returns
@@ -190,7 +190,8 @@
 }
 
 // BenchmarkNewsReachesEveryEntry measures the time until every entry has received a
-// leave, a crash and a new incarnation, and fails when a leave takes two seconds.
+// leave, a crash and a new incarnation, and fails when a leave takes two seconds or
+// longer.
 func BenchmarkNewsReachesEveryEntry(b *testing.B) {
 	for b.Loop() {
 		var simulations sync.WaitGroup
--- a/internal/reporter/doc.go
+++ b/internal/reporter/doc.go
@@ -3,8 +3,9 @@
 //
 // All of it is soft state. An agent is the authority on its own replica: its
 // digests are ordered by incarnation and sequence, and the newest one wins,
-// whichever peer delivers it. The platform's instance list lags, so it only
-// provides initial names and addresses.
+// whichever peer delivers it. The platform's instance list lags, so it adds
+// replicas, provides sites and addresses and marks leaving replicas, but never makes
+// a replica dead, and one that it omits keeps the state of its digests.
 //
 // In each round an agent exchanges digests with a random peer of its service, as
 // in anti-entropy (Demers and others, "Epidemic Algorithms for Replicated
--- a/internal/reporter/evaluate.go
+++ b/internal/reporter/evaluate.go
@@ -63,7 +63,7 @@
 }
 
 // detectPause detects that this process itself was paused. Without it, a process
-// that resumes after half a minute would count every replica as dead whose next
+// that resumes after half a minute would count as dead every replica whose next
 // digest hasn't arrived yet.
 func (table *Table) detectPause(now timekeeper.Instant) {
 	if table.evaluatedAt != 0 && now.Since(table.evaluatedAt) > table.rules.SilenceTimeout/2 {
@@ -79,15 +79,17 @@
 	}
 	row.dead = dead
 	table.version++
-	row.changedVersion, row.updatedVersion, row.updated = table.version, table.version, now
+	row.changedVersion, row.updatedVersion, row.updatedAt = table.version, table.version, now
 	table.lastUpdateVersion = table.version
 }
 
-// isDead reports whether a row counts as dead: an agent reported it dead, dials to
-// it failed, or it has been silent for longer than limit (not for an Indirect table).
+// isDead reports whether a row counts as dead: an agent reported it dead, or it has
+// been silent for longer than limit, or half of limit after confirmingFailures failed
+// dials. An Indirect table ignores silence; there, confirmingFailures failed dials make
+// a row dead for RetryAfter.
 func (table *Table) isDead(now timekeeper.Instant, row *Row, limit timekeeper.Span) bool {
 	if table.rules.Indirect {
-		return row.reportedDead() || row.failures >= confirmingFailures && now.Since(row.failed) <= table.rules.RetryAfter
+		return row.reportedDead() || row.failures >= confirmingFailures && now.Since(row.failedAt) <= table.rules.RetryAfter
 	}
 	if row.failures >= confirmingFailures {
 		limit /= 2
@@ -132,7 +134,7 @@
 // table of an Indirect process removes only dead or leaving ones.
 func (table *Table) removeStale(now timekeeper.Instant) {
 	for name, row := range table.rows {
-		quiet := now.Since(max(row.ReportedAt, row.updated)) > table.rules.ForgetAfter
+		quiet := now.Since(max(row.ReportedAt, row.updatedAt)) > table.rules.ForgetAfter
 		if quiet && !row.Listed && (!table.rules.Indirect || row.dead || row.leaving()) {
 			delete(table.rows, name)
 			table.order = slices.DeleteFunc(table.order, func(row *Row) bool { return row.Name == name })
@@ -160,7 +162,7 @@
 		return 1
 	}
 	ramp := min(maxRamp, firstRamp<<min(row.returns-1, 10))
-	share := float64(now.Since(row.returned)) / float64(ramp)
+	share := float64(now.Since(row.returnedAt)) / float64(ramp)
 	return min(1, max(minWeight, share))
 }
 
--- a/internal/reporter/exchange.go
+++ b/internal/reporter/exchange.go
@@ -32,9 +32,9 @@
 	// entryLoadLimit is the size in bytes of the load rows that an entry requests in
 	// a round, divided among all services. An entry receives all updates whatever
 	// their size. It needs loads only as initial estimates, since agents enforce the
-	// bound.
+	// bound on load.
 	entryLoadLimit = 1024
-	// streamOverhead is the bytes of an exchange besides its two messages: yamux
+	// streamOverhead is the size in bytes of an exchange besides its two messages: yamux
 	// headers of 12 bytes to open, send, answer and close, and frame lengths.
 	streamOverhead = 96
 	// announceWorkers bounds how many peers are notified of a leave concurrently.
@@ -61,6 +61,7 @@
 	mu         sync.Mutex
 	rounds     int
 	unknownIDs []uint32
+	// contacts and answeredAt are by service, positions by the name of an agent.
 	contacts   map[string]contact
 	positions  map[string]tablePosition
 	answeredAt map[string]timekeeper.Instant
@@ -117,15 +118,15 @@
 	rounds := exchanger.rounds
 	exchanger.rounds++
 	exchanger.mu.Unlock()
-	nextInterval := exchanger.interval
+	interval := exchanger.interval
 	if rounds < quickRounds {
-		nextInterval = min(nextInterval, quickInterval)
+		interval = min(interval, quickInterval)
 	}
-	// An entry's interval stays: a leave must reach it within two seconds.
+	// An entry's interval isn't doubled, since a leave must reach it within two seconds.
 	if exchanger.self != nil && exchanger.budget.Level(exchanger.clock.Now()) >= budgeter.Short {
-		nextInterval *= 2
+		interval *= 2
 	}
-	return nextInterval*7/8 + timekeeper.Span(exchanger.random(int64(nextInterval/4)+1))
+	return interval*7/8 + timekeeper.Span(exchanger.random(int64(interval/4)+1))
 }
 
 func (exchanger *Exchanger) random(below int64) int64 {
@@ -216,8 +217,8 @@
 	return exchanger.limit
 }
 
-// maxAnswerSize bounds the answer that a peer may request, in bytes: the whole
-// table of a large service.
+// maxAnswerSize bounds the limit in bytes that a peer may request for an answer. It
+// leaves room for the whole table of a large service.
 const maxAnswerSize = 64 << 10
 
 func (exchanger *Exchanger) addUnknown(ids []uint32) {
--- a/internal/reporter/pack.go
+++ b/internal/reporter/pack.go
@@ -38,9 +38,10 @@
 	// Recent selects updates by age instead of by version, for a peer that also
 	// receives the service's updates from other processes.
 	Recent bool
-	// IncludeDead adds replicas that count as dead in this table. It isn't set
-	// between agents: each evaluates silence itself, so that the partition of one
-	// agent doesn't spread to all others.
+	// IncludeDead is set for an entry. It adds replicas that count as dead in this
+	// table; maxUpdateSends and maxLoadSends don't apply, and the sends don't count
+	// towards them. It isn't set between agents: each evaluates silence itself, so that
+	// what one partitioned agent counts as dead isn't dead at all others.
 	IncludeDead bool
 	// PeerLoads are the load rows that the peer has just sent.
 	PeerLoads *encoder.Loads
@@ -128,9 +129,9 @@
 	}
 	switch {
 	case query.Recent && query.IncludeDead:
-		return (row.Incarnation != 0 || row.dead) && now.Since(row.updated) <= updateLifetime
+		return (row.Incarnation != 0 || row.dead) && now.Since(row.updatedAt) <= updateLifetime
 	case query.Recent:
-		return row.Incarnation != 0 && row.updateSends < maxUpdateSends && now.Since(row.updated) <= updateLifetime
+		return row.Incarnation != 0 && row.updateSends < maxUpdateSends && now.Since(row.updatedAt) <= updateLifetime
 	}
 	return row.updatedVersion > query.KnownVersion
 }
--- a/internal/reporter/rounds.go
+++ b/internal/reporter/rounds.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// deadPeerOneIn is how often an agent's peer may be one that counts as dead, one
+	// deadPeerOneIn is how often an agent's peer may be a dead or leaving replica, one
 	// round in 8: often enough to notice that a partition has healed, rarely enough
 	// that dead replicas cost little.
 	deadPeerOneIn = 8
@@ -86,10 +86,10 @@
 // leaving. The view's lock must be held.
 func (exchanger *Exchanger) pickPeer(table *Table) Row {
 	random := exchanger.view.random
-	includeDead := random.IntN(deadPeerOneIn) == 0
+	includeAll := random.IntN(deadPeerOneIn) == 0
 	var candidates []Row
 	for _, row := range table.Rows() {
-		if row.Name != exchanger.name && row.DialAddress() != "" && (includeDead || !row.dead && !row.leaving()) {
+		if row.Name != exchanger.name && row.DialAddress() != "" && (includeAll || !row.dead && !row.leaving()) {
 			candidates = append(candidates, row)
 		}
 	}
@@ -120,8 +120,8 @@
 	asks.Wait()
 }
 
-// queryService queries the contact of a service, or another agent than avoid. It
-// returns the name of the agent if the query failed, else "".
+// queryService queries the contact of a service or, if avoid is set, an agent other
+// than avoid. It returns the agent's name if the query failed, else "".
 func (exchanger *Exchanger) queryService(ctx context.Context, service string, services int, avoid string) string {
 	var peer Row
 	exchanger.view.withTable(service, func(table *Table, _ timekeeper.Instant) { peer = exchanger.pickContact(table, avoid) })
@@ -137,8 +137,8 @@
 	ask := &encoder.DigestAsk{
 		Asker: exchanger.name, Service: service, Known: position.version, Wanted: exchanger.takeUnknown(), Limit: uint32(query.Limit),
 	}
-	// A new contact sends only the updates of the last seconds, unless the service
-	// has sent no answer for so long that older updates may be missing.
+	// A new contact is asked only for the updates of the last seconds, unless no agent
+	// of the service has answered for so long that older updates may be missing.
 	ask.Recent = position.version == 0 && quiet < updateLifetime/2
 	if position.version == 0 && !ask.GetRecent() {
 		ask.Limit = fullAnswerLimit
@@ -186,9 +186,12 @@
 	exchanger.positions[peer.Name] = tablePosition{incarnation: answer.GetIncarnation(), version: answer.GetVersion()}
 }
 
-// pickContact returns the agent to query about a service: one of the entry's own
-// data centre if there is one, and in one round of otherAgentOneIn another. The
-// view's lock must be held.
+// pickContact returns the agent to query about a service: the current contact or one
+// with a single failure, whichever comes first by name, else a random agent, of the
+// entry's own data centre if it has one. In one round of otherAgentOneIn a random
+// agent takes the contact's place, one of another data centre if there is one. If
+// avoid is set, it isn't picked, and a single failure doesn't matter. The view's lock
+// must be held.
 func (exchanger *Exchanger) pickContact(table *Table, avoid string) Row {
 	random := exchanger.view.random
 	exchanger.mu.Lock()
@@ -227,8 +230,8 @@
 	return picked
 }
 
-// querySeeds queries the configured peers of any service when the view is empty, as
-// in an entry that starts while the instance list can't be read.
+// querySeeds queries all seeds, whichever service they belong to, when there is no
+// agent to query, as in an entry that starts while the instance list can't be read.
 func (exchanger *Exchanger) querySeeds(ctx context.Context) {
 	for _, address := range exchanger.seeds {
 		answer, err := exchanger.ask(ctx, address, budgeter.Digest, &encoder.DigestAsk{Asker: exchanger.name, Limit: fullAnswerLimit})
--- a/internal/reporter/row.go
+++ b/internal/reporter/row.go
@@ -37,18 +37,19 @@
 
 	listAddress    string
 	failures       int
-	failed         timekeeper.Instant
+	failedAt       timekeeper.Instant
 	returns        int
-	returned       timekeeper.Instant
-	updated        timekeeper.Instant
+	returnedAt     timekeeper.Instant
+	updatedAt      timekeeper.Instant
 	changedVersion uint64
 	updatedVersion uint64
 	dead           bool
-	reportedState  string
-	loadSends      int
-	updateSends    int
-	loadSentAt     timekeeper.Instant
-	rank           int
+	// lastChangesState is the state at the last call of Changes.
+	lastChangesState string
+	loadSends        int
+	updateSends      int
+	loadSentAt       timekeeper.Instant
+	rank             int
 }
 
 // WithDigest returns the row with the contents of a digest, reported at a time by
--- a/internal/reporter/table.go
+++ b/internal/reporter/table.go
@@ -37,8 +37,9 @@
 	// required silence, or makes a replica count as dead at an entry.
 	confirmingFailures = 2
 	defaultRetryAfter  = 10 * timekeeper.Second
-	// updateLifetime is how long after a change of state exchanges contain the whole
-	// digest: longer than a change needs to reach 400 agents.
+	// updateLifetime is how long after a change of more than a load a message with
+	// updates by age may contain the whole digest: longer than a change needs to
+	// reach 400 agents.
 	updateLifetime = 12 * timekeeper.Second
 )
 
@@ -84,7 +85,8 @@
 }
 
 // Merge merges a digest of a replica and reports whether it changed more than the
-// load: a new replica, incarnation, state, strike or set of adapters.
+// load: a new replica, incarnation, state, strike or set of adapters, or a newer
+// digest of a replica that counted as dead.
 //
 // Digests are ordered by incarnation, then by sequence. A paused process may
 // resume after its replacement has taken its name, and send digests of itself;
@@ -112,8 +114,8 @@
 	}
 	if !table.rules.Indirect || merged.Incarnation != known.Incarnation {
 		// For an agent, a digest relayed by a peer proves that the replica is up. An
-		// entry must reach the replica itself: peers may reach one that the entry
-		// can't.
+		// entry must reach the replica itself: agents may reach a replica that the
+		// entry can't.
 		merged.failures = 0
 	}
 	merged = table.countReturn(now, known, merged)
@@ -143,26 +145,28 @@
 	if merged.reportedDead() {
 		return merged
 	}
-	newLife := known.Incarnation != 0 && merged.Incarnation != known.Incarnation
-	if newLife || (known.dead && known.Incarnation != 0) {
-		if now.Since(known.returned) > stableAfter {
+	newIncarnation := known.Incarnation != 0 && merged.Incarnation != known.Incarnation
+	if newIncarnation || (known.dead && known.Incarnation != 0) {
+		if now.Since(known.returnedAt) > stableAfter {
 			merged.returns = 0
 		}
 		merged.returns++
-		merged.returned = now
+		merged.returnedAt = now
 	}
-	if newLife {
+	if newIncarnation {
 		merged.Leaving = false
 	}
 	return merged
 }
 
+// put stores a row; updated says that more than its load changed, so that peers get
+// the whole digest.
 func (table *Table) put(now timekeeper.Instant, row Row, updated bool) {
 	table.version++
 	row.changedVersion = table.version
 	if updated {
 		row.updatedVersion = table.version
-		row.updated = now
+		row.updatedAt = now
 		row.updateSends = 0
 		table.lastUpdateVersion = table.version
 		table.ids[id(row.Name, row.Incarnation)] = row.Name
@@ -203,8 +207,8 @@
 	return unknown
 }
 
-// MergeList merges the platform's list, which provides initial names and
-// addresses. A replica that the list omits keeps the state of its digests.
+// MergeList merges the platform's list: new replicas, sites, addresses and marks of
+// leaving. A replica that the list omits keeps the state of its digests.
 func (table *Table) MergeList(now timekeeper.Instant, instances []storekeeper.Instance) {
 	for _, row := range table.rows {
 		row.Listed = false
@@ -219,7 +223,7 @@
 		}
 		if row.Leaving != instance.Leaving {
 			table.version++
-			row.updatedVersion, row.changedVersion, row.updated = table.version, table.version, now
+			row.updatedVersion, row.changedVersion, row.updatedAt = table.version, table.version, now
 			table.lastUpdateVersion = table.version
 		}
 		row.Listed = true
@@ -232,13 +236,13 @@
 // RecordFailure records that a dial to a replica, or a query to its agent, failed.
 func (table *Table) RecordFailure(now timekeeper.Instant, name string) {
 	if row := table.rows[name]; row != nil {
-		if table.rules.Indirect && now.Since(row.failed) > table.rules.RetryAfter {
+		if table.rules.Indirect && now.Since(row.failedAt) > table.rules.RetryAfter {
 			// An entry rarely contacts most replicas. Two failures an hour apart are
 			// two unrelated faults and don't show that the replica is unreachable.
 			row.failures = 0
 		}
 		row.failures++
-		row.failed = now
+		row.failedAt = now
 	}
 }
 
@@ -262,8 +266,8 @@
 func (table *Table) Changes() []Row {
 	var changes []Row
 	for _, row := range table.order {
-		if state := StateOf(*row); state != row.reportedState {
-			row.reportedState = state
+		if state := StateOf(*row); state != row.lastChangesState {
+			row.lastChangesState = state
 			changes = append(changes, *row)
 		}
 	}
--- a/internal/reporter/table_test.go
+++ b/internal/reporter/table_test.go
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestSilentReplicasCountAsDead(t *testing.T) {
+func TestSilenceCountsAsDeathOnlyWhileOthersReport(t *testing.T) {
 	at := start.Add(9 * timekeeper.Second)
 	// withDigests merges a digest of each replica from r<from> to before r<to> every
 	// second for 10 seconds, each delayed by age, and returns the table.
@@ -111,7 +111,7 @@
 		}
 		So(len(table.Live()), ShouldBeGreaterThanOrEqualTo, 5)
 	})
-	Convey("an entry that can't reach a replica ignores its relayed digests until RetryAfter", t, func() {
+	Convey("an entry that can't reach a replica counts it as dead for RetryAfter, whatever relayed digests report", t, func() {
 		table := tableOf(9, Rules{Indirect: true})
 		table.RecordFailure(at, "r0")
 		table.RecordFailure(at, "r0")
@@ -214,7 +214,7 @@
 		table.Merge(later, digestOf("r"+strconv.Itoa(i), 10, 50, live))
 	}
 	Convey("the notice of leaving is always sent, load rows only as they fit", t, func() {
-		table.rows["r7"].updated = later
+		table.rows["r7"].updatedAt = later
 		table.rows["r7"].updateSends = 0
 		message := table.Pack(later, Query{Limit: 10 + 5*loadRowSize, Recent: true})
 		So(len(message.GetDigests()), ShouldEqual, 1)
--- a/internal/reporter/view.go
+++ b/internal/reporter/view.go
@@ -22,7 +22,7 @@
 	// 3,100 instances is some 500 KB; if each process read it every 2 seconds, that
 	// would use most of the platform's capacity and of the budget.
 	listRate = 640
-	// listRowOverhead is the bytes of an instance in the list besides its texts.
+	// listRowOverhead is the size in bytes of a list row besides its strings.
 	listRowOverhead = 64
 )
 
--- a/internal/reporter/view_test.go
+++ b/internal/reporter/view_test.go
@@ -52,23 +52,24 @@
 
 func TestAdapterRosterFollowsDigests(t *testing.T) {
 	// Guards against calls for an adapter that go to an engine without it, where they
-	// fail. Loaded adapters change seldom, so a change is sent as an update.
+	// fail. Loaded adapters change seldom, so a change is sent as an update, and a later
+	// digest corrects a stale one.
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	view := NewView(Settings{Clock: timekeeper.NewManual(start).Clock(), Log: log, Budget: budgeter.New(budgeter.Settings{})})
-	learn := func(name string, sequence uint64, loaded ...string) {
+	record := func(name string, sequence uint64, loaded ...string) {
 		digest := digestOf(name, 10, sequence, live)
 		digest.Service, digest.Loaded = "planner", loaded
 		view.RecordDigest(digest)
 	}
 	Convey("the roster follows the adapters that the engines have loaded", t, func() {
-		learn("r0", 1, "vans")
-		learn("r1", 1)
+		record("r0", 1, "vans")
+		record("r1", 1)
 		So(view.AdapterRoster("planner", "vans").Len(), ShouldEqual, 1)
-		learn("r1", 2, "menus", "vans")
+		record("r1", 2, "menus", "vans")
 		So(view.AdapterRoster("planner", "vans").Len(), ShouldEqual, 2)
-		learn("r0", 2)
-		learn("r1", 3)
+		record("r0", 2)
+		record("r1", 3)
 		So(view.AdapterRoster("planner", "vans").Len(), ShouldEqual, 0)
 		So(view.adapterRosters["planner"], ShouldBeEmpty)
 	})
