--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -65,10 +65,10 @@
 		Record:      agent.record.Record,
 		Table:       agent.env.Platform.Table,
 
-		OnRevision:   agent.watcher.Hear,
+		OnRevision:   agent.watcher.ReceiveRevision,
 		AnswerConfig: agent.watcher.Answer,
 		Mean:         agent.control.exchanger.Mean,
-		Alternative:  func() string { return agent.control.view.Room(settings.Service, settings.Name) },
+		Alternative:  func() string { return agent.control.view.Alternative(settings.Service, settings.Name) },
 		Digests:      agent.control.exchanger.Answer,
 		AllowDigest:  agent.control.admitDigest,
 		Replicas:     func() placer.Roster { return agent.control.view.Roster(settings.Service) },
--- a/internal/assembler/base.go
+++ b/internal/assembler/base.go
@@ -74,7 +74,7 @@
 		service: settings.service, self: settings.self,
 	})
 	base.view = base.control.view
-	base.record, release = newRecorder(env, process, origin, base.view.Listed)
+	base.record, release = newRecorder(env, process, origin, base.view.ListedCount)
 	base.onRelease(release)
 	base.watcher = newWatcher(
 		base.control.meteredEnvironment(), process, base.incarnation, base.pool, base.view.Addresses, base.record.Record,
@@ -101,7 +101,7 @@
 	if err := base.watcher.Await(ctx); err != nil {
 		return err
 	}
-	if err := base.view.Look(ctx); err != nil {
+	if err := base.view.ReadList(ctx); err != nil {
 		base.env.Log.WithError(err).Warn("instance list not read")
 		onListError(ctx)
 	}
--- a/internal/assembler/control.go
+++ b/internal/assembler/control.go
@@ -51,13 +51,13 @@
 		Seed:      settings.incarnation,
 	})
 	ctrl.exchanger = reporter.NewExchanger(reporter.ExchangeSettings{
-		View:  ctrl.view,
-		Open:  settings.pool.Open,
-		Name:  settings.process.Name,
-		Site:  settings.process.Site,
-		Seeds: settings.process.Peers,
-		Self:  settings.self,
-		Every: settings.process.MembershipRound,
+		View:     ctrl.view,
+		Open:     settings.pool.Open,
+		Name:     settings.process.Name,
+		Site:     settings.process.Site,
+		Seeds:    settings.process.Peers,
+		Self:     settings.self,
+		Interval: settings.process.MembershipRound,
 	})
 	return ctrl
 }
@@ -66,9 +66,9 @@
 // membership round, so that a live replica is as unlikely to be taken for dead by chance
 // at any length of the round.
 func rulesOf(settings controlSettings) reporter.Rules {
-	const silenceRounds, coolRounds = 8, 10
+	const silenceRounds, retryRounds = 8, 10
 	round := settings.process.MembershipRound
-	return reporter.Rules{Indirect: settings.self == nil, Silence: silenceRounds * round, Cool: coolRounds * round}
+	return reporter.Rules{Indirect: settings.self == nil, SilenceTimeout: silenceRounds * round, RetryAfter: retryRounds * round}
 }
 
 // countControlBytes returns a function that adds control traffic to the metrics.
--- a/internal/assembler/entry.go
+++ b/internal/assembler/entry.go
@@ -67,11 +67,11 @@
 		Pool:           entry.pool,
 		Config:         entry.watcher.Current,
 		Roster:         entry.view.Roster,
-		AdapterHolders: entry.view.Holders,
+		AdapterHolders: entry.view.AdapterRoster,
 		Locate:         entry.view.Locate,
 		FindClaim:      entry.claimed,
 		OnDigest:       entry.applyDigest,
-		OnUnreachable:  entry.view.Fail,
+		OnUnreachable:  entry.view.RecordDialFailure,
 		Record:         entry.record.Record,
 	})
 	return entry, entry.release, nil
--- a/internal/reporter/address.go
+++ b/internal/reporter/address.go
@@ -7,49 +7,49 @@
 	"github.com/trefoilseam/trefoilseam/internal/planner"
 )
 
-// Addresses returns where the agents that the view knows of are reached.
+// Addresses returns the addresses of all live agents.
 func (view *View) Addresses() []string {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	var addresses []string
 	for _, service := range slices.Sorted(maps.Keys(view.tables)) {
 		for _, row := range view.tables[service].Live() {
-			addresses = append(addresses, row.Reach())
+			addresses = append(addresses, row.DialAddress())
 		}
 	}
 	return addresses
 }
 
-// Locate returns the address of a replica that is known, also of one that
-// leaves: what is in flight there can still be followed.
+// Locate returns the address of a known replica, including one that is leaving,
+// so that requests in flight there can still be followed.
 func (view *View) Locate(instance string) (address string, known bool) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	for _, table := range view.tables {
-		if row := table.rows[instance]; row != nil && row.Reach() != "" {
-			return row.Reach(), true
+		if row := table.rows[instance]; row != nil && row.DialAddress() != "" {
+			return row.DialAddress(), true
 		}
 	}
 	return "", false
 }
 
-// Engines returns the agents of a service that are live.
+// Engines returns the live agents of a service.
 func (view *View) Engines(service string) []planner.Address {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	live := view.table(service).Live()
 	engines := make([]planner.Address, 0, len(live))
 	for _, row := range live {
-		engines = append(engines, planner.Address{Engine: row.Name, Address: row.Reach()})
+		engines = append(engines, planner.Address{Engine: row.Name, Address: row.DialAddress()})
 	}
 	return engines
 }
 
-// Room returns a live replica of a service with little load, other than the
-// one that asks: the lesser loaded of two at random (Mitzenmacher, "The Power of
-// Two Choices in Randomized Load Balancing", 2001). Rows are a second or more
-// old, so the least loaded of all would get every caller of a burst.
-func (view *View) Room(service, asker string) string {
+// Alternative returns a live replica of a service other than the asker: the less
+// loaded of two random ones (Mitzenmacher, "The Power of Two Choices in Randomized
+// Load Balancing", 2001). Rows are a second or more old, so always picking the
+// least loaded replica would send it every caller of a burst.
+func (view *View) Alternative(service, asker string) string {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	live := slices.DeleteFunc(view.table(service).Live(), func(row Row) bool { return row.Name == asker })
--- a/internal/reporter/status.go
+++ b/internal/reporter/status.go
@@ -7,7 +7,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// ReplicaStatus is what a process believes about one replica.
+// ReplicaStatus is one replica's state as known to a process.
 type ReplicaStatus struct {
 	Service     string          `json:"service"`
 	Name        string          `json:"name"`
@@ -24,7 +24,7 @@
 	Strikes     int             `json:"strikes"`
 }
 
-// Status returns what the view believes about every replica.
+// Status returns the known state of every replica.
 func (view *View) Status() []ReplicaStatus {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -33,9 +33,9 @@
 	for service, table := range view.tables {
 		for _, row := range table.Rows() {
 			out = append(out, ReplicaStatus{
-				Service: service, Name: row.Name, Site: row.Site, Address: row.Reach(), State: StateOf(row),
+				Service: service, Name: row.Name, Site: row.Site, Address: row.DialAddress(), State: StateOf(row),
 				Incarnation: row.Incarnation, Sequence: row.Sequence, Revision: row.Revision, Load: row.Load,
-				Weight: row.Weight(now), Age: now.Since(row.Said), Listed: row.Listed, Strikes: len(row.Strikes),
+				Weight: row.Weight(now), Age: now.Since(row.ReportedAt), Listed: row.Listed, Strikes: len(row.Strikes),
 			})
 		}
 	}
