--- a/internal/explainer/story.go
+++ b/internal/explainer/story.go
@@ -118,16 +118,16 @@
 	slices.SortFunc(line.Rest, func(a, b Field) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Story is what the logs say about a request.
-type Story struct {
+// Timeline is what the logs say about a request.
+type Timeline struct {
 	Lines []Line
 	// Skipped are lines that could not be read.
 	Skipped int
 }
 
 // Read returns the story of a request from logs.
-func Read(request string, logs ...io.Reader) (Story, error) {
-	var story Story
+func Read(request string, logs ...io.Reader) (Timeline, error) {
+	var story Timeline
 	var own, others []Line
 	for _, log := range logs {
 		lines := bufio.NewScanner(log)
@@ -179,7 +179,7 @@
 }
 
 // Write prints the story, a line for each step, with the time since the first.
-func (story Story) Write(out io.Writer) error {
+func (story Timeline) Write(out io.Writer) error {
 	for _, line := range story.Lines {
 		var fields strings.Builder
 		if line.Replica != "" {
