--- a/internal/explainer/story.go
+++ b/internal/explainer/story.go
@@ -34,8 +34,8 @@
 	Message string
 	// Request and Replica are what the line is about, or "".
 	Request, Replica string
-	// Rest are the other fields as they were written, in order of their names.
-	Rest []Field
+	// Fields are the other fields as they were written, in order of their names.
+	Fields []Field
 }
 
 // Field is one further field of a line.
@@ -82,7 +82,7 @@
 	}
 	for name, value := range fields {
 		if !slices.Contains(named, name) {
-			line.Rest = append(line.Rest, Field{Name: name, Value: strings.Trim(string(value), `"`)})
+			line.Fields = append(line.Fields, Field{Name: name, Value: strings.Trim(string(value), `"`)})
 		}
 	}
 	line.sort()
@@ -106,7 +106,7 @@
 			case name == "time":
 				line.At, _ = time.Parse(time.RFC3339, value)
 			case pairs.Value() != nil:
-				line.Rest = append(line.Rest, Field{Name: name, Value: value})
+				line.Fields = append(line.Fields, Field{Name: name, Value: value})
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 }
 
 func (line *Line) sort() {
-	slices.SortFunc(line.Rest, func(a, b Field) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(line.Fields, func(a, b Field) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // Timeline is what the logs say about a request.
@@ -185,7 +185,7 @@
 		if line.Replica != "" {
 			fields.WriteString(" replica=" + line.Replica)
 		}
-		for _, field := range line.Rest {
+		for _, field := range line.Fields {
 			fields.WriteString(" " + field.Name + "=" + field.Value)
 		}
 		mark := " "
