--- a/internal/explainer/story.go
+++ b/internal/explainer/story.go
@@ -14,8 +14,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrUnknown is returned when no line names the request.
-var ErrUnknown = eris.New("no line names the request")
+// ErrRequestNotFound is returned when no line names the request.
+var ErrRequestNotFound = eris.New("no line names the request")
 
 const (
 	// before and after bound which lines about a request's replicas belong to its
@@ -148,7 +148,7 @@
 		}
 	}
 	if len(own) == 0 {
-		return story, eris.Wrapf(ErrUnknown, "%s", request)
+		return story, eris.Wrapf(ErrRequestNotFound, "%s", request)
 	}
 	story.Lines = slices.Concat(own, around(own, others))
 	slices.SortStableFunc(story.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
--- a/internal/explainer/story_test.go
+++ b/internal/explainer/story_test.go
@@ -59,7 +59,7 @@
 	})
 	Convey("a request that nobody names", t, func() {
 		_, err := Read("r7", strings.NewReader(first))
-		So(eris.Is(err, ErrUnknown), ShouldBeTrue)
+		So(eris.Is(err, ErrRequestNotFound), ShouldBeTrue)
 	})
 }
 
