--- a/internal/loader/direct.go
+++ b/internal/loader/direct.go
@@ -115,7 +115,7 @@
 		check.address("metrics-listen", direct.MetricsListen)
 	}
 	check.level(direct.LogLevel)
-	if !direct.LogFormat.Known() {
+	if !direct.LogFormat.Valid() {
 		check.add("log-format", "write json or logfmt", "log-format is %q", string(direct.LogFormat))
 	}
 	if direct.Cold.Over != 0 && direct.Cold.Over < 1 {
--- a/internal/logger/format.go
+++ b/internal/logger/format.go
@@ -19,8 +19,8 @@
 // keeps its order in the log.
 const timestamps = "2006-01-02T15:04:05.000Z07:00"
 
-// Known reports whether a format is one of those above.
-func (format Format) Known() bool {
+// Valid reports whether a format is one of those above.
+func (format Format) Valid() bool {
 	return format == "" || format == JSON || format == Logfmt
 }
 
--- a/internal/logger/format_test.go
+++ b/internal/logger/format_test.go
@@ -27,7 +27,7 @@
 			log.SetOutput(&out)
 			log.SetFormatter(test.format.Formatter())
 			log.WithField("replica", "i-1").Info("replica listed")
-			So(test.format.Known(), ShouldEqual, test.known)
+			So(test.format.Valid(), ShouldEqual, test.known)
 			So(out.String(), ShouldContainSubstring, test.line)
 		})
 	}
