--- a/cmd/trefoilseam/audit.go
+++ b/cmd/trefoilseam/audit.go
@@ -23,11 +23,11 @@
 	errTampered = eris.New("the record is not as it was written")
 )
 
-// settle is how far before now a report ends by default: what a live process
-// has recorded since may still wait to be flushed.
-const settle = 30 * timekeeper.Second
+// recordFlushDelay is how long before now a report ends by default: later records of
+// live processes may not have been flushed yet.
+const recordFlushDelay = 30 * timekeeper.Second
 
-// auditFlags are the flags of the audit commands.
+// auditFlags holds the flags that all audit commands share.
 type auditFlags struct {
 	platform *string
 	asJSON   *bool
@@ -103,10 +103,10 @@
 	}
 }
 
-// auditRange reads the time range of a report.
+// auditRange parses the time range of a report.
 func auditRange(from, until string) (verifier.Settings, error) {
 	now := timekeeper.Wall().Now()
-	settings := verifier.Settings{From: now.Add(-24 * timekeeper.Hour), Until: now.Add(-settle)}
+	settings := verifier.Settings{From: now.Add(-24 * timekeeper.Hour), Until: now.Add(-recordFlushDelay)}
 	if err := readTime("from", from, &settings.From); err != nil {
 		return settings, err
 	}
@@ -123,15 +123,15 @@
 	if text == "" {
 		return nil
 	}
-	moment, err := time.Parse(time.RFC3339Nano, text)
+	parsed, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
 		return eris.Wrapf(errUsage, "-%s is %q; write a time such as 2026-01-31T06:00:00Z", name, text)
 	}
-	*out = timekeeper.FromTime(moment)
+	*out = timekeeper.FromTime(parsed)
 	return nil
 }
 
-// trail reads and verifies the whole record.
+// trail fetches and verifies the whole record.
 func (common auditFlags) trail(ctx context.Context) (verifier.Trail, error) {
 	if *common.platform == "" {
 		return verifier.Trail{}, eris.Wrap(errUsage, "-platform is missing")
--- a/cmd/trefoilseam/change.go
+++ b/cmd/trefoilseam/change.go
@@ -14,10 +14,10 @@
 	"github.com/trefoilseam/trefoilseam/internal/storekeeper"
 )
 
-// unset is the value of a revision flag that was not given.
+// unset is the default of revision flags, for a flag that was not given.
 const unset = -1
 
-// connect returns the platform, and a function that closes it.
+// connect returns a client of the platform, and a function that closes it.
 func connect(address string) (storekeeper.Platform, func(), error) {
 	if address == "" {
 		return storekeeper.Platform{}, nil, eris.Wrap(errUsage, "name the platform with -platform ADDRESS")
@@ -28,26 +28,26 @@
 
 func diffCommand() *ffcli.Command {
 	flags := configFlags("diff")
-	var now, old files
-	now.register(flags, "")
-	old.register(flags, "old-")
+	var newFiles, oldFiles files
+	newFiles.register(flags, "")
+	oldFiles.register(flags, "old-")
 	address := flags.String("platform", "", "address of the platform, to compare with what was accepted")
 	from := flags.Int64("from", unset, "accepted revision to compare with; the one in force when not given")
 	to := flags.Int64("to", unset, "accepted revision to compare, in place of files")
 	return subcommand(flags, "-base FILE ... [-old-base FILE ... | -platform ADDRESS [-from REV] [-to REV]]",
 		"show what differs by meaning", func(ctx context.Context) error {
 			platform, release, err := storekeeper.Platform{}, func() {}, error(nil)
-			if old.base == "" || *to != unset {
+			if oldFiles.base == "" || *to != unset {
 				if platform, release, err = connect(*address); err != nil {
 					return err
 				}
 			}
 			defer release()
-			before, err := side(ctx, old, platform, *from)
+			before, err := readBundle(ctx, oldFiles, platform, *from)
 			if err != nil {
 				return err
 			}
-			after, err := side(ctx, now, platform, *to)
+			after, err := readBundle(ctx, newFiles, platform, *to)
 			if err != nil {
 				return err
 			}
@@ -55,10 +55,11 @@
 		})
 }
 
-// side returns one side of a difference: files when they are named, else a revision.
-func side(ctx context.Context, named files, platform storekeeper.Platform, revision int64) (resolver.Bundle, error) {
-	if named.base != "" {
-		sources, err := named.checked()
+// readBundle returns one side of a diff: the files if a base file is given, else an
+// accepted revision.
+func readBundle(ctx context.Context, inputs files, platform storekeeper.Platform, revision int64) (resolver.Bundle, error) {
+	if inputs.base != "" {
+		sources, err := inputs.checked()
 		return sources.Bundle(), err
 	}
 	if revision == unset {
@@ -83,11 +84,11 @@
 	return nil
 }
 
-// applySettings are the flags of config apply.
+// applySettings holds the flags of config apply.
 type applySettings struct {
 	files
 	platform   string
-	edited     int64
+	editedFrom int64
 	rollbackTo int64
 	wait       bool
 	timeout    time.Duration
@@ -99,7 +100,7 @@
 	var apply applySettings
 	apply.register(flags, "")
 	flags.StringVar(&apply.platform, "platform", "", "address of the platform")
-	flags.Int64Var(&apply.edited, "edited-from", unset, "the revision that the files were edited from; 0 for the first")
+	flags.Int64Var(&apply.editedFrom, "edited-from", unset, "the revision that the files were edited from; 0 for the first")
 	flags.Int64Var(&apply.rollbackTo, "rollback-to", unset, "bring the content of this revision back, under a new revision")
 	flags.StringVar(&apply.proposal.ChangeID, "change-id", "", "name of the change; by default made from its content")
 	flags.StringVar(&apply.proposal.Operator, "operator", os.Getenv("USER"), "who makes the change")
@@ -120,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := recorded(ctx, platform, proposal)
+	result, err := proposeAndRecord(ctx, platform, proposal)
 	if err != nil {
 		return err
 	}
@@ -132,18 +133,19 @@
 	if !apply.wait {
 		return nil
 	}
-	return await(ctx, platform, result.Revision, apply.timeout)
+	return awaitRevision(ctx, platform, result.Revision, apply.timeout)
 }
 
-// propose returns the proposal that the flags ask for.
+// propose builds the proposal from the flags: files, or the content of an earlier
+// revision.
 func (apply *applySettings) propose(ctx context.Context, platform storekeeper.Platform) (publisher.Proposal, error) {
 	proposal := apply.proposal
 	if apply.rollbackTo == unset {
-		if apply.edited == unset {
+		if apply.editedFrom == unset {
 			return proposal, eris.Wrap(errUsage, "say with -edited-from REV which revision was edited; config status shows the one in force")
 		}
 		sources, err := apply.checked()
-		proposal.Bundle, proposal.Edited = sources.Bundle(), uint64(apply.edited)
+		proposal.Bundle, proposal.Edited = sources.Bundle(), uint64(apply.editedFrom)
 		return proposal, err
 	}
 	if apply.base != "" {
@@ -153,8 +155,8 @@
 	if err != nil {
 		return proposal, eris.Wrapf(err, "revision %d", apply.rollbackTo)
 	}
-	proposal.Bundle, proposal.RollbackTo, proposal.Edited = bundle, uint64(apply.rollbackTo), uint64(apply.edited)
-	if apply.edited == unset {
+	proposal.Bundle, proposal.RollbackTo, proposal.Edited = bundle, uint64(apply.rollbackTo), uint64(apply.editedFrom)
+	if apply.editedFrom == unset {
 		head, _, err := publisher.ReadHead(ctx, platform)
 		if err != nil {
 			return proposal, err
--- a/cmd/trefoilseam/config.go
+++ b/cmd/trefoilseam/config.go
@@ -14,7 +14,7 @@
 	"github.com/trefoilseam/trefoilseam/internal/resolver"
 )
 
-// files are the flags that name a base and its overlays.
+// files holds the flags that name a base file and its overlays.
 type files struct {
 	base     string
 	overlays []string
@@ -28,7 +28,7 @@
 	})
 }
 
-// read reads the files; what is wrong with their names is reported together.
+// read loads the files and reports the faults of all of them together.
 func (files *files) read() (resolver.Sources, error) {
 	if files.base == "" {
 		return resolver.Sources{}, eris.Wrap(errUsage, "name the base file with -base FILE")
@@ -42,10 +42,10 @@
 		return resolver.Source{File: file, Text: text}
 	}
 	sources := resolver.Sources{Base: load(files.base)}
-	for _, named := range files.overlays {
-		site, file, ok := strings.Cut(named, "=")
+	for _, overlay := range files.overlays {
+		site, file, ok := strings.Cut(overlay, "=")
 		if !ok {
-			file = named
+			file = overlay
 		}
 		source := load(file)
 		if !ok {
@@ -64,7 +64,7 @@
 	return sources, nil
 }
 
-// checked reads the files and returns every fault in them.
+// checked loads and validates the files, and returns every fault in them.
 func (files *files) checked() (resolver.Sources, error) {
 	sources, err := files.read()
 	if err != nil {
@@ -76,7 +76,7 @@
 	return sources, nil
 }
 
-// subcommand returns a command under config whose flags were registered.
+// subcommand returns a command below config; flags must be registered before.
 func subcommand(flags *flag.FlagSet, usage, help string, exec func(ctx context.Context) error) *ffcli.Command {
 	name := flags.Name()[strings.LastIndex(flags.Name(), " ")+1:]
 	return &ffcli.Command{
@@ -105,7 +105,7 @@
 		ShortHelp:  "check, accept and follow the configuration of the fleet",
 		FlagSet:    flag.NewFlagSet("trefoilseam config", flag.ContinueOnError),
 		Subcommands: []*ffcli.Command{
-			checkCommand(), settingsCommand(), renderCommand(), diffCommand(), applyCommand(), statusCommand(), historyCommand(),
+			checkCommand(), settingsCommand(), renderCommand(), diffCommand(), applyCommand(), configStatusCommand(), historyCommand(),
 		},
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) > 0 {
@@ -118,10 +118,10 @@
 
 func checkCommand() *ffcli.Command {
 	flags := configFlags("check")
-	var named files
-	named.register(flags, "")
+	var inputs files
+	inputs.register(flags, "")
 	return subcommand(flags, "-base FILE [-overlay SITE=FILE ...]", "name every fault of the files", func(context.Context) error {
-		sources, err := named.checked()
+		sources, err := inputs.checked()
 		if err != nil {
 			return err
 		}
@@ -132,12 +132,12 @@
 
 func renderCommand() *ffcli.Command {
 	flags := configFlags("render")
-	var named files
-	named.register(flags, "")
+	var inputs files
+	inputs.register(flags, "")
 	site := flags.String("site", "", "the site whose configuration is shown; empty shows the base")
 	return subcommand(flags, "-base FILE [-overlay SITE=FILE ...] -site SITE", "show what is in force at a site, and where each value is from",
 		func(context.Context) error {
-			sources, err := named.checked()
+			sources, err := inputs.checked()
 			if err != nil {
 				return err
 			}
--- a/cmd/trefoilseam/dev.go
+++ b/cmd/trefoilseam/dev.go
@@ -52,7 +52,7 @@
 	return runGroup(&group)
 }
 
-// describe prints where the site is reached and what to try.
+// describe prints the addresses of the site and calls to try.
 func describe(dev *assembler.Dev) {
 	out := os.Stdout
 	fmt.Fprintln(out, "platform  ", dev.Platform)
--- a/cmd/trefoilseam/dev_direct.go
+++ b/cmd/trefoilseam/dev_direct.go
@@ -13,7 +13,7 @@
 	"github.com/trefoilseam/trefoilseam/platform/emulator"
 )
 
-// What a small site of an entry without agents is called.
+// Settings of the development site for an entry without agents.
 const (
 	devHost       = "kitchen.example"
 	devKey        = "dev-key"
@@ -23,8 +23,7 @@
 	devStopDelay  = 100 * timekeeper.Millisecond
 )
 
-// runDevDirect runs a small site of an entry that calls replicas itself, with the
-// platform's emulator, in one process.
+// runDevDirect runs an entry without agents and the platform's emulator in one process.
 func runDevDirect(ctx context.Context, listen, level string) error {
 	log, err := newLog(level)
 	if err != nil {
@@ -41,8 +40,8 @@
 		Name: "entry-1", DataCentre: devDataCentre, Listen: listen, ReadyListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
 		MetricsListen: "127.0.0.1:0", Store: site.Address(), StopDelay: devStopDelay,
 	}.WithDefaults()
-	from := assembler.DirectEnvironment{Log: log, DroppedLines: func() int64 { return 0 }}
-	direct, release, err := assembler.NewDirect(ctx, settings, "", from)
+	env := assembler.DirectEnvironment{Log: log, DroppedLines: func() int64 { return 0 }}
+	direct, release, err := assembler.NewDirect(ctx, settings, "", env)
 	if err != nil {
 		return err
 	}
--- a/cmd/trefoilseam/direct.go
+++ b/cmd/trefoilseam/direct.go
@@ -16,32 +16,33 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// lastLines is how long a process that ends waits for its log to be read.
-const lastLines = 200 * timekeeper.Millisecond
+// logFlushTimeout bounds how long an exiting process waits until its queued log
+// lines are written.
+const logFlushTimeout = 200 * timekeeper.Millisecond
 
-// runDirect runs an entry that sends requests to replicas itself, until it is
-// told to stop.
+// runDirect runs an entry that sends requests to replicas without agents, until it
+// is stopped.
 func runDirect(ctx context.Context, file string) error {
 	if file == "" {
 		return eris.Wrap(errUsage, "name the settings: trefoilseam entry -direct -settings FILE")
 	}
-	// First of all: a hang-up that comes before it is asked for ends the process. An
-	// operator who changes settings while entries start would lose entries.
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
-	defer signal.Stop(hangUps)
+	// Registered first: a SIGHUP without a handler ends the process, so an operator who
+	// reloads settings while entries start would lose entries.
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	defer signal.Stop(reloadSignals)
 	settings, faults := loader.ReadDirect(file)
 	if len(faults) > 0 {
 		return faults
 	}
-	log, err := newLogIn(settings.LogFormat, settings.LogLevel)
+	log, err := newLogWithFormat(settings.LogFormat, settings.LogLevel)
 	if err != nil {
 		return err
 	}
 	dropped, flush := queueLog(log)
 	defer flush()
-	from := assembler.DirectEnvironment{Log: log, DroppedLines: dropped, ReloadSignals: hangUps}
-	direct, release, err := assembler.NewDirect(ctx, settings, file, from)
+	env := assembler.DirectEnvironment{Log: log, DroppedLines: dropped, ReloadSignals: reloadSignals}
+	direct, release, err := assembler.NewDirect(ctx, settings, file, env)
 	if err != nil {
 		return err
 	}
@@ -51,23 +52,23 @@
 	return runGroup(&group)
 }
 
-// queueLog sends the log to standard output through a queue that never blocks,
-// and returns how many lines were dropped, and a function that writes what waits.
+// queueLog sends log to standard output through a non-blocking queue. dropped returns
+// the number of dropped lines; flush writes the queued lines.
 func queueLog(log *logrus.Logger) (dropped func() int64, flush func()) {
-	lost := func(dropped int64) []byte { return linesDropped(log, dropped) }
-	queue, release := logger.NewQueue(os.Stdout, lost)
+	formatDropped := func(dropped int64) []byte { return formatDroppedLines(log, dropped) }
+	queue, release := logger.NewQueue(os.Stdout, formatDropped)
 	log.SetOutput(queue)
 	return queue.Dropped, func() {
 		giveUp := make(chan struct{})
-		fired, stop := timekeeper.Steady().After(lastLines)
+		fired, stop := timekeeper.Steady().After(logFlushTimeout)
 		defer stop()
 		go func() { <-fired; close(giveUp) }()
 		release(giveUp)
 	}
 }
 
-// linesDropped returns the line that tells of lines that were dropped.
-func linesDropped(log *logrus.Logger, dropped int64) []byte {
+// formatDroppedLines returns a log line that reports the number of dropped lines.
+func formatDroppedLines(log *logrus.Logger, dropped int64) []byte {
 	entry := log.WithField("dropped", dropped)
 	entry.Level, entry.Message, entry.Time = logrus.WarnLevel, "log lines dropped", timekeeper.Wall().Now().Time()
 	line, err := entry.Bytes()
--- a/cmd/trefoilseam/examples.go
+++ b/cmd/trefoilseam/examples.go
@@ -6,15 +6,15 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// example is how one command is called.
+// example is a sample call of one command.
 type example struct {
-	// command is its name behind those of the commands above it.
+	// command is the path of the command below the root, such as "audit verify".
 	command string
-	// line is the whole call.
+	// line is the complete command line.
 	line string
 }
 
-// examples stand in the help of each command that does something itself.
+// examples holds one call for the help of each command without subcommands.
 var examples = []example{
 	{"entry", "trefoilseam entry -direct -settings /etc/trefoilseam/entry.toml"},
 	{"agent", "trefoilseam agent -settings /etc/trefoilseam/agent.toml"},
@@ -36,24 +36,24 @@
 	{"version", "trefoilseam version"},
 }
 
-// withExamples adds to the help of each command below root how it is called.
+// withExamples adds the examples to the help of the commands below root.
 func withExamples(root *ffcli.Command) *ffcli.Command {
 	for _, example := range examples {
-		if command := find(root, strings.Fields(example.command)); command != nil {
+		if command := findCommand(root, strings.Fields(example.command)); command != nil {
 			command.LongHelp = strings.TrimLeft(command.LongHelp+"\n\nExample:\n\n  "+example.line, "\n")
 		}
 	}
 	return root
 }
 
-// find returns the command with a path below another one, or nil.
-func find(command *ffcli.Command, path []string) *ffcli.Command {
+// findCommand returns the command at path below command, or nil.
+func findCommand(command *ffcli.Command, path []string) *ffcli.Command {
 	if len(path) == 0 {
 		return command
 	}
-	for _, below := range command.Subcommands {
-		if below.Name == path[0] {
-			return find(below, path[1:])
+	for _, child := range command.Subcommands {
+		if child.Name == path[0] {
+			return findCommand(child, path[1:])
 		}
 	}
 	return nil
--- a/cmd/trefoilseam/examples_test.go
+++ b/cmd/trefoilseam/examples_test.go
@@ -8,25 +8,25 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// leaves returns the paths of the commands that do something themselves.
-func leaves(command *ffcli.Command, path []string) []string {
+// leafCommands returns the paths of the commands without subcommands.
+func leafCommands(command *ffcli.Command, path []string) []string {
 	if len(command.Subcommands) == 0 {
 		return []string{strings.Join(path, " ")}
 	}
 	var out []string
-	for _, below := range command.Subcommands {
-		out = append(out, leaves(below, append(path[:len(path):len(path)], below.Name))...)
+	for _, child := range command.Subcommands {
+		out = append(out, leafCommands(child, append(path[:len(path):len(path)], child.Name))...)
 	}
 	return out
 }
 
-func TestEachCommandShowsHowItIsCalled(t *testing.T) {
-	// An operator asks for the help of a command at night. It shows a call, and the
-	// call is one that the command takes.
-	for _, path := range leaves(rootCommand(), nil) {
+func TestEachCommandHasAnExampleThatParses(t *testing.T) {
+	// An operator copies the example from the help of a command. Guards against
+	// commands without an example, and examples with flags that the command rejects.
+	for _, path := range leafCommands(rootCommand(), nil) {
 		Convey(path, t, func() {
 			root := rootCommand()
-			command := find(root, strings.Fields(path))
+			command := findCommand(root, strings.Fields(path))
 			_, line, found := strings.Cut(command.LongHelp, "Example:\n\n  trefoilseam ")
 			So(found, ShouldBeTrue)
 			So(line, ShouldStartWith, path)
@@ -35,10 +35,10 @@
 	}
 }
 
-func TestEachExampleIsOfACommand(t *testing.T) {
+func TestEachExampleNamesACommand(t *testing.T) {
 	for _, example := range examples {
 		Convey(example.command, t, func() {
-			So(find(rootCommand(), strings.Fields(example.command)), ShouldNotBeNil)
+			So(findCommand(rootCommand(), strings.Fields(example.command)), ShouldNotBeNil)
 		})
 	}
 }
--- a/cmd/trefoilseam/experiment.go
+++ b/cmd/trefoilseam/experiment.go
@@ -16,8 +16,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// mostSeeds bounds the runs of one point; a run takes about a tenth of a second.
-const mostSeeds = 1000
+// maxSeeds bounds the runs per policy and load; a run takes about a tenth of a second.
+const maxSeeds = 1000
 
 func experimentCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("trefoilseam experiment", flag.ContinueOnError)
@@ -52,14 +52,14 @@
 	}
 }
 
-// siteSize is which site is played, and what of it is changed.
+// siteSize names the simulated site and overrides its sizes; zero keeps its default.
 type siteSize struct {
 	name             string
 	entries, engines int
 	digest           timekeeper.Span
 }
 
-// fill checks the size and sets the site of a sweep.
+// fill validates the size and sets the site of sweep.
 func (size siteSize) fill(sweep *simulator.Sweep) error {
 	switch size.name {
 	case "kitchen":
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// readSweep checks the flags and fills in loads and policies.
+// readSweep validates the flags and sets the loads and policies of sweep.
 func readSweep(sweep *simulator.Sweep, loads, policies string) error {
 	for _, text := range strings.Split(loads, ",") {
 		load, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
@@ -87,32 +87,32 @@
 		}
 		sweep.Loads = append(sweep.Loads, load)
 	}
-	chosen, err := readPolicies(policies)
+	selected, err := readPolicies(policies)
 	if err != nil {
 		return err
 	}
-	sweep.Policies = chosen
+	sweep.Policies = selected
 	switch {
-	case sweep.Seeds < 1 || sweep.Seeds > mostSeeds:
-		return eris.Wrapf(errUsage, "seeds is %d: write 1 to %d", sweep.Seeds, mostSeeds)
+	case sweep.Seeds < 1 || sweep.Seeds > maxSeeds:
+		return eris.Wrapf(errUsage, "seeds is %d: write 1 to %d", sweep.Seeds, maxSeeds)
 	case sweep.Hot < 0 || sweep.Hot > 1 || sweep.Slow < 1:
 		return eris.Wrap(errUsage, "hot is from 0 to 1, slow at least 1")
 	}
 	return nil
 }
 
-// readPolicies returns the policies that a text names; all when it is empty.
+// readPolicies parses a comma-separated list of policies; empty means all.
 func readPolicies(text string) ([]simulator.Policy, error) {
 	if text == "" {
 		return simulator.Policies(), nil
 	}
-	var chosen []simulator.Policy
+	var selected []simulator.Policy
 	for _, name := range strings.Split(text, ",") {
 		policy := simulator.Policy(strings.TrimSpace(name))
 		if !slices.Contains(simulator.Policies(), policy) {
 			return nil, eris.Wrapf(errUsage, "policy %q: one of %v", name, simulator.Policies())
 		}
-		chosen = append(chosen, policy)
+		selected = append(selected, policy)
 	}
-	return chosen, nil
+	return selected, nil
 }
--- a/cmd/trefoilseam/experiment_test.go
+++ b/cmd/trefoilseam/experiment_test.go
@@ -8,11 +8,11 @@
 	"github.com/trefoilseam/trefoilseam/internal/simulator"
 )
 
-func TestFlagsOfAnExperiment(t *testing.T) {
-	sound := simulator.Sweep{Site: simulator.Kitchen(), Seeds: 1, Slow: 1}
-	hot := sound
+func TestReadSweep(t *testing.T) {
+	valid := simulator.Sweep{Site: simulator.Kitchen(), Seeds: 1, Slow: 1}
+	hot := valid
 	hot.Hot = 2
-	none := sound
+	none := valid
 	none.Seeds = 0
 	tests := []struct {
 		name            string
@@ -20,13 +20,13 @@
 		loads, policies string
 		fault           string
 	}{
-		{"sound", sound, "0.5, 2", "fleet,random", ""},
-		{"all policies", sound, "1", "", ""},
-		{"a load that is none", sound, "1,x", "", `load "x"`},
-		{"a load of nothing", sound, "0", "", `load "0"`},
-		{"a policy that is unknown", sound, "1", "fleet,odd", `policy "odd"`},
-		{"no seeds", none, "1", "", "seeds is 0"},
-		{"more than all about one thing", hot, "1", "", "hot is"},
+		{"valid flags", valid, "0.5, 2", "fleet,random", ""},
+		{"all policies", valid, "1", "", ""},
+		{"a load that is not a number", valid, "1,x", "", `load "x"`},
+		{"a load of zero", valid, "0", "", `load "0"`},
+		{"an unknown policy", valid, "1", "fleet,odd", `policy "odd"`},
+		{"zero seeds", none, "1", "", "seeds is 0"},
+		{"a hot share above 1", hot, "1", "", "hot is"},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -42,18 +42,18 @@
 	}
 }
 
-func TestTheSizeOfAnExperiment(t *testing.T) {
+func TestSiteSizeFill(t *testing.T) {
 	tests := []struct {
 		name    string
 		size    siteSize
 		entries int
 		fault   string
 	}{
-		{"a kitchen", siteSize{name: "kitchen"}, 4, ""},
+		{"kitchen", siteSize{name: "kitchen"}, 4, ""},
 		{"halls", siteSize{name: "halls"}, 31, ""},
 		{"halls with fewer entries", siteSize{name: "halls", entries: 8}, 8, ""},
-		{"a site that is unknown", siteSize{name: "barn"}, 0, `site "barn"`},
-		{"less than no engine", siteSize{name: "halls", engines: -1}, 0, "at least 1"},
+		{"an unknown site", siteSize{name: "barn"}, 0, `site "barn"`},
+		{"a negative number of engines", siteSize{name: "halls", engines: -1}, 0, "at least 1"},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/cmd/trefoilseam/explain.go
+++ b/cmd/trefoilseam/explain.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// explain prints the story of a request from files, or from standard input.
+// explain prints the timeline of a request from the logs in files, or from standard
+// input.
 func explain(out io.Writer, request string, files []string) error {
 	logs := []io.Reader{os.Stdin}
 	if len(files) > 0 {
@@ -43,9 +44,9 @@
 		defer func() { _ = file.Close() }()
 		logs = append(logs, file)
 	}
-	story, err := explainer.Read(request, logs...)
+	timeline, err := explainer.Read(request, logs...)
 	if err != nil {
 		return err
 	}
-	return story.Write(out)
+	return timeline.Write(out)
 }
--- a/cmd/trefoilseam/main.go
+++ b/cmd/trefoilseam/main.go
@@ -1,5 +1,6 @@
-// Command trefoilseam is a router fleet for very many returning chats: entries
-// that callers reach, agents beside the upstreams, and the tools of operators.
+// Command trefoilseam runs the processes of a router fleet for returning LLM chats
+// (entries, which accept requests, and agents beside upstreams) and the tools of
+// its operators.
 package main
 
 import (
@@ -19,11 +20,11 @@
 // Exit codes.
 const (
 	exitFailed = 1
-	// exitUsage is for faults in flags, settings and configuration.
+	// exitUsage reports faults in flags, settings or configuration.
 	exitUsage = 2
 )
 
-// errUsage marks an error in how the command was called.
+// errUsage marks errors in the command line; they exit with exitUsage.
 var errUsage = eris.New("usage")
 
 func main() {
@@ -72,7 +73,7 @@
 			auditCommand(),
 			configCommand(),
 			strikesCommand(),
-			membersCommand(),
+			processStatusCommand(),
 			explainCommand(),
 			experimentCommand(),
 			versionCommand(),
--- a/cmd/trefoilseam/process.go
+++ b/cmd/trefoilseam/process.go
@@ -20,16 +20,16 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// envPrefix begins the environment variables that stand in for flags.
+// envPrefix is the prefix of environment variables that set flags.
 const envPrefix = "TREFOILSEAM"
 
-// newLog returns a log that writes one JSON object a line.
+// newLog returns a logger that writes one JSON object per line.
 func newLog(level string) (*logrus.Logger, error) {
-	return newLogIn(logger.JSON, level)
+	return newLogWithFormat(logger.JSON, level)
 }
 
-// newLogIn returns a log in a format.
-func newLogIn(format logger.Format, level string) (*logrus.Logger, error) {
+// newLogWithFormat returns a logger that writes lines in format.
+func newLogWithFormat(format logger.Format, level string) (*logrus.Logger, error) {
 	log := logrus.New()
 	log.SetFormatter(format.Formatter())
 	if level == "" {
@@ -43,7 +43,8 @@
 	return log, nil
 }
 
-// newEnvironment returns what a process gets from outside.
+// newEnvironment returns the clock, logger and platform client of a process, and a
+// function that closes the client.
 func newEnvironment(process loader.Process) (assembler.Environment, func(), error) {
 	log, err := newLog(process.LogLevel)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return assembler.Environment{Clock: timekeeper.SinceBoot(), Log: log, Platform: platform}, closePlatform, nil
 }
 
-// runGroup runs a group until an actor ends or the process is told to stop.
+// runGroup runs a group until an actor returns or SIGINT or SIGTERM arrives.
 func runGroup(group *run.Group) error {
 	group.Add(run.SignalHandler(context.Background(), os.Interrupt, syscall.SIGTERM))
 	err := group.Run()
@@ -63,82 +64,83 @@
 	return err
 }
 
-// kindOfProcess is what sets the command of one kind of process apart. S is its settings.
-type kindOfProcess[S any] struct {
+// processKind describes the command of one kind of process with settings of type S.
+type processKind[S any] struct {
 	name, help string
 	read       func(file string) (S, resolver.Faults)
 	common     func(settings S) loader.Process
-	// build returns the process and its clean-up.
-	build func(ctx context.Context, settings S, env assembler.Environment) (built, func(), error)
+	// build returns the process and a function that releases its resources.
+	build func(ctx context.Context, settings S, env assembler.Environment) (builtProcess, func(), error)
 }
 
-// built is a process that is ready to run.
-type built struct {
+// builtProcess is a process that is ready to run.
+type builtProcess struct {
 	addTo func(group *run.Group)
-	// cut tells, once the group has ended, what the stop cut off; nil means that
-	// the process has nothing to tell.
-	cut func() error
+	// drainError, called once the group has ended, reports requests that the stop
+	// aborted; it may be nil.
+	drainError func() error
 }
 
-// run runs the process. A group ends with the error of the actor that ended
-// first, which in a stop is the signal; what the stop cut off comes later.
-func (process built) run() error {
+// run runs the process. The group returns the error of the actor that ended first,
+// which during a stop is the signal handler, so drainError is read afterwards.
+func (process builtProcess) run() error {
 	var group run.Group
 	process.addTo(&group)
 	err := runGroup(&group)
-	if err == nil && process.cut != nil {
-		return process.cut()
+	if err == nil && process.drainError != nil {
+		return process.drainError()
 	}
 	return err
 }
 
-// entryCommand runs an entry, or, with -direct, one that needs no agents.
+// entryCommand returns the command that runs an entry; with -direct, the entry sends
+// requests to replicas without agents.
 func entryCommand() *ffcli.Command {
-	command := offeringEntryCommand()
+	command := entryWithAgentsCommand()
 	direct := command.FlagSet.Bool("direct", false, "send requests to replicas without agents, as the platform's store lists them")
-	offer := command.Exec
+	runWithAgents := command.Exec
 	command.Exec = func(ctx context.Context, args []string) error {
 		if *direct {
 			return runDirect(ctx, command.FlagSet.Lookup("settings").Value.String())
 		}
-		return offer(ctx, args)
+		return runWithAgents(ctx, args)
 	}
 	return command
 }
 
-func offeringEntryCommand() *ffcli.Command {
-	return processCommand(kindOfProcess[loader.Entry]{
+func entryWithAgentsCommand() *ffcli.Command {
+	return processCommand(processKind[loader.Entry]{
 		name:   "entry",
 		help:   "run an entry: the front that callers reach",
 		read:   loader.ReadEntry,
 		common: func(settings loader.Entry) loader.Process { return settings.Process },
-		build: func(ctx context.Context, settings loader.Entry, env assembler.Environment) (built, func(), error) {
+		build: func(ctx context.Context, settings loader.Entry, env assembler.Environment) (builtProcess, func(), error) {
 			entry, release, err := assembler.NewEntry(ctx, settings, env)
 			if err != nil {
-				return built{}, nil, err
+				return builtProcess{}, nil, err
 			}
-			return built{addTo: entry.AddTo}, release, nil
+			return builtProcess{addTo: entry.AddTo}, release, nil
 		},
 	})
 }
 
 func agentCommand() *ffcli.Command {
-	return processCommand(kindOfProcess[loader.Agent]{
+	return processCommand(processKind[loader.Agent]{
 		name:   "agent",
 		help:   "run an agent: the process beside one upstream",
 		read:   loader.ReadAgent,
 		common: func(settings loader.Agent) loader.Process { return settings.Process },
-		build: func(ctx context.Context, settings loader.Agent, env assembler.Environment) (built, func(), error) {
+		build: func(ctx context.Context, settings loader.Agent, env assembler.Environment) (builtProcess, func(), error) {
 			agent, release, err := assembler.NewAgent(ctx, settings, env)
 			if err != nil {
-				return built{}, nil, err
+				return builtProcess{}, nil, err
 			}
-			return built{addTo: agent.AddTo, cut: agent.DrainError}, release, nil
+			return builtProcess{addTo: agent.AddTo, drainError: agent.DrainError}, release, nil
 		},
 	})
 }
 
-func processCommand[S any](kind kindOfProcess[S]) *ffcli.Command {
+func processCommand[S any](kind processKind[S]) *ffcli.Command {
 	flags := flag.NewFlagSet("trefoilseam "+kind.name, flag.ContinueOnError)
 	file := flags.String("settings", "", "file with the settings of the process (TOML)")
 	return &ffcli.Command{
@@ -151,8 +153,8 @@
 	}
 }
 
-// run runs one process until it is told to stop.
-func (kind kindOfProcess[S]) run(ctx context.Context, file string) error {
+// run reads the settings, then builds and runs the process until it is stopped.
+func (kind processKind[S]) run(ctx context.Context, file string) error {
 	if file == "" {
 		return eris.Wrapf(errUsage, "name the settings: trefoilseam %s -settings FILE", kind.name)
 	}
--- a/cmd/trefoilseam/record.go
+++ b/cmd/trefoilseam/record.go
@@ -11,10 +11,10 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// recorded makes a proposal and writes what was accepted into the fleet's
-// record. Without it an auditor would see revisions come into force that nobody
-// accepted.
-func recorded(
+// proposeAndRecord submits a proposal and writes the accepted change to the fleet's
+// audit record. Without that entry, an audit would find revisions in force that nobody
+// had accepted.
+func proposeAndRecord(
 	ctx context.Context, platform storekeeper.Platform, proposal publisher.Proposal,
 ) (publisher.Result, error) {
 	log, err := newLog("warn")
--- a/cmd/trefoilseam/settings.go
+++ b/cmd/trefoilseam/settings.go
@@ -13,8 +13,8 @@
 	"github.com/trefoilseam/trefoilseam/internal/resolver"
 )
 
-// settingsCommand checks the settings of a process without starting it, and
-// shows them with what is left out filled in.
+// settingsCommand returns the command that validates the settings of a process
+// without starting it and prints them with defaults filled in.
 func settingsCommand() *ffcli.Command {
 	flags := configFlags("settings")
 	kind := flags.String("kind", "direct", "the process: direct, entry or agent")
--- a/cmd/trefoilseam/status.go
+++ b/cmd/trefoilseam/status.go
@@ -27,18 +27,19 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// statusTimeout bounds the reading of one status page.
+// statusTimeout bounds the request for one status page.
 const statusTimeout = 5 * time.Second
 
-// members is what a process, or the agents of a site, believe about the replicas.
-type members struct {
-	Name    string                   `json:"name"`
-	Site    string                   `json:"site"`
-	Control *budgeter.Status         `json:"control,omitempty"`
-	Members []reporter.ReplicaStatus `json:"members"`
+// statusReport holds the states of replicas as one process, or the agents of a site,
+// report them.
+type statusReport struct {
+	Name     string                   `json:"name"`
+	Site     string                   `json:"site"`
+	Control  *budgeter.Status         `json:"control,omitempty"`
+	Replicas []reporter.ReplicaStatus `json:"members"`
 }
 
-func membersCommand() *ffcli.Command {
+func processStatusCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("trefoilseam status", flag.ContinueOnError)
 	admin := flags.String("admin", "", "admin address of one process")
 	platform := flags.String("platform", "", "address of the platform: ask every agent on its list about itself")
@@ -50,86 +51,87 @@
 		FlagSet:    flags,
 		Options:    []ff.Option{ff.WithEnvVarPrefix(envPrefix)},
 		Exec: func(ctx context.Context, _ []string) error {
-			seen, err := see(ctx, *admin, *platform)
+			report, err := fetchStatus(ctx, *admin, *platform)
 			if err != nil {
 				return err
 			}
-			return show(os.Stdout, seen, *asJSON)
+			return writeStatus(os.Stdout, report, *asJSON)
 		},
 	}
 }
 
-func see(ctx context.Context, admin, platform string) (members, error) {
+func fetchStatus(ctx context.Context, admin, platform string) (statusReport, error) {
 	switch {
 	case admin != "" && platform == "":
-		return seeProcess(ctx, admin)
+		return fetchProcessStatus(ctx, admin)
 	case platform != "" && admin == "":
-		return seeSite(ctx, platform)
+		return fetchSiteStatus(ctx, platform)
 	}
-	return members{}, eris.Wrap(errUsage, "give either -admin or -platform")
+	return statusReport{}, eris.Wrap(errUsage, "give either -admin or -platform")
 }
 
-// seeProcess reads the status page of one process.
-func seeProcess(ctx context.Context, admin string) (members, error) {
-	var seen members
+// fetchProcessStatus fetches the status page of one process.
+func fetchProcessStatus(ctx context.Context, admin string) (statusReport, error) {
+	var report statusReport
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/status", nil)
 	if err != nil {
-		return seen, eris.Wrap(errUsage, err.Error())
+		return report, eris.Wrap(errUsage, err.Error())
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return seen, eris.Wrap(err, "status page")
+		return report, eris.Wrap(err, "status page")
 	}
 	defer func() { _ = response.Body.Close() }()
-	return seen, eris.Wrap(json.NewDecoder(response.Body).Decode(&seen), "status page")
+	return report, eris.Wrap(json.NewDecoder(response.Body).Decode(&report), "status page")
 }
 
-// seeSite asks each agent on the platform's list about itself. An agent that
-// doesn't answer is shown as silent: the list may be wrong, or the way cut.
-func seeSite(ctx context.Context, address string) (members, error) {
+// fetchSiteStatus fetches the digest of each agent on the platform's list. An agent
+// that doesn't answer is shown as silent: the list may be wrong, or the network cut.
+func fetchSiteStatus(ctx context.Context, address string) (statusReport, error) {
 	platform, release, err := connect(address)
 	if err != nil {
-		return members{}, err
+		return statusReport{}, err
 	}
 	defer release()
 	pool, closePool := dialer.NewPool(dialer.Settings{})
 	defer closePool()
 	listed, err := platform.Directory.List(ctx)
 	if err != nil {
-		return members{}, eris.Wrap(err, "instance list")
+		return statusReport{}, eris.Wrap(err, "instance list")
 	}
-	seen := members{Name: "platform", Members: make([]reporter.ReplicaStatus, len(listed))}
+	report := statusReport{Name: "platform", Replicas: make([]reporter.ReplicaStatus, len(listed))}
 	queue := make(chan int, len(listed))
 	for i := range listed {
 		queue <- i
 	}
 	close(queue)
 	var workers sync.WaitGroup
-	for range min(askWorkers, len(listed)) {
+	for range min(statusWorkers, len(listed)) {
 		workers.Go(func() {
 			for i := range queue {
-				seen.Members[i] = statusOf(ctx, pool, listed[i])
+				report.Replicas[i] = statusOf(ctx, pool, listed[i])
 			}
 		})
 	}
 	workers.Wait()
-	return seen, nil
+	return report, nil
 }
 
-// askWorkers bounds how many agents are asked at once. A fleet of 3,100 then
-// takes some hundred rounds, of which only those with a silent agent are long;
-// more at once would be a burst of dials from one machine.
-const askWorkers = 32
+// statusWorkers bounds concurrent digest requests. A fleet of 3,100 agents takes about
+// a hundred rounds, and only rounds with a silent agent are slow; more workers would
+// make a burst of dials from one machine.
+const statusWorkers = 32
 
-// statusOf asks the agent of an instance about itself.
+// statusOf returns the status of an instance, from the digest of its agent where it
+// answers.
 func statusOf(ctx context.Context, pool *dialer.Pool, instance storekeeper.Instance) reporter.ReplicaStatus {
 	status := reporter.ReplicaStatus{
 		Service: instance.Service, Name: instance.Name, Site: instance.Site, Address: instance.Address,
 		State: "silent", Listed: true, Weight: 1,
 	}
-	if digest, ok := itself(ctx, pool, instance.Address); ok {
+	if digest, ok := fetchDigest(ctx, pool, instance.Address); ok {
 		status.State = reporter.StateName(digest.GetState())
 		status.Incarnation, status.Sequence = digest.GetIncarnation(), digest.GetSequence()
 		status.Revision, status.Load = digest.GetRevision(), digest.GetLoad()
@@ -137,8 +139,8 @@
 	return status
 }
 
-// itself asks an agent what it says about itself.
-func itself(ctx context.Context, pool *dialer.Pool, address string) (*encoder.Digest, bool) {
+// fetchDigest fetches the digest of an agent about its own replica.
+func fetchDigest(ctx context.Context, pool *dialer.Pool, address string) (*encoder.Digest, bool) {
 	frame, err := publisher.Exchange(ctx, pool, address, &encoder.DigestAsk{Asker: "status"})
 	if err != nil || len(frame.GetDigests().GetDigests()) == 0 {
 		return nil, false
@@ -146,24 +148,24 @@
 	return frame.GetDigests().GetDigests()[0], true
 }
 
-func show(out io.Writer, seen members, asJSON bool) error {
-	slices.SortFunc(seen.Members, func(a, b reporter.ReplicaStatus) int {
+func writeStatus(out io.Writer, report statusReport, asJSON bool) error {
+	slices.SortFunc(report.Replicas, func(a, b reporter.ReplicaStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Name, b.Name))
 	})
 	if asJSON {
 		encode := json.NewEncoder(out)
 		encode.SetIndent("", "  ")
-		return encode.Encode(seen)
+		return encode.Encode(report)
 	}
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "SERVICE\tREPLICA\tSITE\tSTATE\tWEIGHT\tLOAD\tREVISION\tAGE\tLISTED\tADDRESS")
-	for _, one := range seen.Members {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.2f\t%d\t%d\t%s\t%t\t%s\n", one.Service, one.Name, one.Site, one.State,
-			one.Weight, one.Load, one.Revision, max(0, one.Age-one.Age%(100*timekeeper.Millisecond)), one.Listed, one.Address)
+	for _, replica := range report.Replicas {
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.2f\t%d\t%d\t%s\t%t\t%s\n", replica.Service, replica.Name, replica.Site, replica.State,
+			replica.Weight, replica.Load, replica.Revision, max(0, replica.Age-replica.Age%(100*timekeeper.Millisecond)), replica.Listed, replica.Address)
 	}
-	if seen.Control != nil {
-		_, _ = fmt.Fprintf(table, "control\t%d of %d bytes/s\t\t%s\n", seen.Control.PerSecond, seen.Control.Limit, seen.Control.Level)
-		for _, cause := range seen.Control.Causes {
+	if report.Control != nil {
+		_, _ = fmt.Fprintf(table, "control\t%d of %d bytes/s\t\t%s\n", report.Control.PerSecond, report.Control.Limit, report.Control.Level)
+		for _, cause := range report.Control.Causes {
 			_, _ = fmt.Fprintf(table, "\t%s\t\t%d bytes\n", cause.Cause, cause.Bytes)
 		}
 	}
--- a/cmd/trefoilseam/strikes.go
+++ b/cmd/trefoilseam/strikes.go
@@ -17,10 +17,11 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// strikesPage is how many strikes one read of the table returns.
+// strikesPage is the number of strikes per read of the table.
 const strikesPage = 256
 
-// strikesCommand is the operators' view of requests that crash upstreams.
+// strikesCommand returns the commands that list and lift strikes: verdicts on requests
+// that crash upstreams.
 func strikesCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "strikes",
--- a/cmd/trefoilseam/survey.go
+++ b/cmd/trefoilseam/survey.go
@@ -17,30 +17,30 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// await waits until every process that can be found has the revision, and
-// names those that have not when the time is up.
-func await(ctx context.Context, platform storekeeper.Platform, revision uint64, timeout time.Duration) error {
-	const pause = 250 * timekeeper.Millisecond
+// awaitRevision waits until every known process has the revision in force. After
+// timeout it prints the processes that lag.
+func awaitRevision(ctx context.Context, platform storekeeper.Platform, revision uint64, timeout time.Duration) error {
+	const pollInterval = 250 * timekeeper.Millisecond
 	pool, release := dialer.NewPool(dialer.Settings{})
 	defer release()
 	surveyor := publisher.Surveyor{Platform: platform, Pool: pool}
-	waiting, cancel := context.WithTimeout(ctx, timeout)
+	waitCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	clock := timekeeper.Wall()
 	var lagging []publisher.ProcessRevision
 	var failure error
 	for {
-		survey, err := surveyor.Survey(waiting)
+		survey, err := surveyor.Survey(waitCtx)
 		if err == nil {
 			lagging, failure = survey.Lagging(revision), nil
 			if len(lagging) == 0 {
 				fmt.Printf("in force: revision %d at %d processes\n", revision, len(survey.Processes))
 				return nil
 			}
-		} else if waiting.Err() == nil {
+		} else if waitCtx.Err() == nil {
 			failure = err
 		}
-		if clock.Sleep(waiting, pause) != nil {
+		if clock.Sleep(waitCtx, pollInterval) != nil {
 			break
 		}
 	}
@@ -48,12 +48,12 @@
 		return eris.Wrapf(failure, "revision %d is accepted, but the processes can't be listed", revision)
 	}
 	for _, process := range lagging {
-		fmt.Println(line(process, revision))
+		fmt.Println(revisionLine(process, revision))
 	}
 	return eris.Errorf("revision %d is accepted, and %d processes don't have it in force yet", revision, len(lagging))
 }
 
-func line(process publisher.ProcessRevision, head uint64) string {
+func revisionLine(process publisher.ProcessRevision, head uint64) string {
 	state := "in force"
 	if process.Revision < head {
 		state = "lags"
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("%s\t%s\t%d\t%s", process.Process, process.Site, process.Revision, state)
 }
 
-func statusCommand() *ffcli.Command {
+func configStatusCommand() *ffcli.Command {
 	flags := configFlags("status")
 	address := flags.String("platform", "", "address of the platform")
 	asJSON := flags.Bool("json", false, "print JSON")
@@ -87,7 +87,7 @@
 		rows := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 		fmt.Fprintln(rows, "PROCESS\tSITE\tREVISION\tSTATE")
 		for _, process := range survey.Processes {
-			fmt.Fprintln(rows, line(process, survey.Head.Revision))
+			fmt.Fprintln(rows, revisionLine(process, survey.Head.Revision))
 		}
 		return rows.Flush()
 	})
--- a/cmd/trefoilseam/version.go
+++ b/cmd/trefoilseam/version.go
@@ -10,7 +10,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// version is the release; a build sets it with -ldflags.
+// version is the release version; builds set it with -ldflags.
 var version = "0.1.0-dev"
 
 func versionCommand() *ffcli.Command {
