--- a/internal/explainer/timeline.go
+++ b/internal/explainer/timeline.go
@@ -14,16 +14,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrRequestNotFound is returned when no line names the request.
+// ErrRequestNotFound is returned when no log line names the request.
 var ErrRequestNotFound = eris.New("no line names the request")
 
 const (
-	// before and after bound which lines about a request's replicas belong to its
-	// story: beliefs that are older have changed since, or hold still.
-	before = 3 * time.Second
-	after  = time.Second
-	// longestLine bounds a line, in bytes.
-	longestLine = 1 << 20
+	// Lines about the replicas and processes of a request belong to its timeline from
+	// windowBefore its first line to windowAfter its last. Older states have changed
+	// since, or still hold.
+	windowBefore = 3 * time.Second
+	windowAfter  = time.Second
+	maxLineBytes = 1 << 20
 )
 
 // Line is one line of a log.
@@ -32,19 +32,19 @@
 	Process string
 	Level   string
 	Message string
-	// Request and Replica are what the line is about, or "".
+	// Request and Replica are the IDs that the line names, or "".
 	Request, Replica string
-	// Fields are the other fields as they were written, in order of their names.
+	// Fields are the other fields with their values as written, sorted by name.
 	Fields []Field
 }
 
-// Field is one further field of a line.
+// Field is a log field that Line has no member for.
 type Field struct {
 	Name, Value string
 }
 
-// header is the part of a line that has names of its own.
-type header struct {
+// lineHeader holds the log fields that Line has members for.
+type lineHeader struct {
 	At      time.Time `json:"time"`
 	Process string    `json:"process"`
 	Level   string    `json:"level"`
@@ -53,27 +53,27 @@
 	Replica string    `json:"replica"`
 }
 
-// named are the fields of a header.
-var named = []string{"time", "process", "level", "msg", "request-id", "replica"}
+// headerFields are the names of the fields in lineHeader.
+var headerFields = []string{"time", "process", "level", "msg", "request-id", "replica"}
 
-// parse reads one line; anything before the first brace is passed over, such as
-// what a collector of logs has put there.
+// parse reads one line of JSON or logfmt. Text before the first brace of a JSON line,
+// such as the prefix of a log collector, is skipped.
 func parse(text []byte) (Line, bool) {
-	if line, read := parseObject(text); read {
+	if line, ok := parseJSON(text); ok {
 		return line, true
 	}
-	return parsePairs(text)
+	return parseLogfmt(text)
 }
 
-// parseObject reads a line of JSON.
-func parseObject(text []byte) (Line, bool) {
-	begin := slices.Index(text, '{')
-	if begin < 0 {
+// parseJSON reads a line of JSON.
+func parseJSON(text []byte) (Line, bool) {
+	brace := slices.Index(text, '{')
+	if brace < 0 {
 		return Line{}, false
 	}
-	var head header
+	var head lineHeader
 	var fields map[string]json.RawMessage
-	if json.Unmarshal(text[begin:], &head) != nil || json.Unmarshal(text[begin:], &fields) != nil {
+	if json.Unmarshal(text[brace:], &head) != nil || json.Unmarshal(text[brace:], &fields) != nil {
 		return Line{}, false
 	}
 	line := Line{
@@ -81,7 +81,7 @@
 		Request: head.Request, Replica: head.Replica,
 	}
 	for name, value := range fields {
-		if !slices.Contains(named, name) {
+		if !slices.Contains(headerFields, name) {
 			line.Fields = append(line.Fields, Field{Name: name, Value: strings.Trim(string(value), `"`)})
 		}
 	}
@@ -89,8 +89,8 @@
 	return line, true
 }
 
-// parsePairs reads a line of logfmt. Words that are no pairs are passed over.
-func parsePairs(text []byte) (Line, bool) {
+// parseLogfmt reads a line of logfmt. Words that are not key=value pairs are skipped.
+func parseLogfmt(text []byte) (Line, bool) {
 	var line Line
 	targets := map[string]*string{
 		"process": &line.Process, "level": &line.Level, "msg": &line.Message, "request-id": &line.Request, "replica": &line.Replica,
@@ -99,9 +99,9 @@
 	for pairs.ScanRecord() {
 		for pairs.ScanKeyval() {
 			name, value := string(pairs.Key()), string(pairs.Value())
-			target, known := targets[name]
+			target, found := targets[name]
 			switch {
-			case known:
+			case found:
 				*target = value
 			case name == "time":
 				line.At, _ = time.Parse(time.RFC3339, value)
@@ -118,69 +118,71 @@
 	slices.SortFunc(line.Fields, func(a, b Field) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Timeline is what the logs say about a request.
+// Timeline holds the log lines about one request, its replicas and its processes, in
+// order of time.
 type Timeline struct {
 	Lines []Line
-	// Skipped are lines that could not be read.
+	// Skipped is the number of lines that could not be parsed.
 	Skipped int
 }
 
-// Read returns the story of a request from logs.
+// Read returns the timeline of a request from logs.
 func Read(request string, logs ...io.Reader) (Timeline, error) {
-	var story Timeline
-	var own, others []Line
+	var timeline Timeline
+	var requestLines, otherLines []Line
 	for _, log := range logs {
 		lines := bufio.NewScanner(log)
-		lines.Buffer(nil, longestLine)
+		lines.Buffer(nil, maxLineBytes)
 		for lines.Scan() {
-			line, read := parse(lines.Bytes())
+			line, ok := parse(lines.Bytes())
 			switch {
-			case !read:
-				story.Skipped++
+			case !ok:
+				timeline.Skipped++
 			case line.Request == request:
-				own = append(own, line)
+				requestLines = append(requestLines, line)
 			case line.Request == "":
-				others = append(others, line)
+				otherLines = append(otherLines, line)
 			}
 		}
 		if err := lines.Err(); err != nil {
-			return story, eris.Wrap(err, "log")
+			return timeline, eris.Wrap(err, "log")
 		}
 	}
-	if len(own) == 0 {
-		return story, eris.Wrapf(ErrRequestNotFound, "%s", request)
+	if len(requestLines) == 0 {
+		return timeline, eris.Wrapf(ErrRequestNotFound, "%s", request)
 	}
-	story.Lines = slices.Concat(own, around(own, others))
-	slices.SortStableFunc(story.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	return story, nil
+	timeline.Lines = slices.Concat(requestLines, relatedLines(requestLines, otherLines))
+	slices.SortStableFunc(timeline.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
+	return timeline, nil
 }
 
-// around returns the lines about the request's replicas and processes that fall
-// into its time.
-func around(own, others []Line) []Line {
-	replicas, processes := make([]string, 0, len(own)), make([]string, 0, len(own))
-	first, last := own[0].At, own[0].At
-	for _, line := range own {
+// relatedLines returns those of otherLines that are about the replicas and processes
+// of requestLines and fall within the window of the request.
+func relatedLines(requestLines, otherLines []Line) []Line {
+	replicas, processes := make([]string, 0, len(requestLines)), make([]string, 0, len(requestLines))
+	start, end := requestLines[0].At, requestLines[0].At
+	for _, line := range requestLines {
 		replicas = append(replicas, line.Replica)
 		processes = append(processes, line.Process)
-		if line.At.Before(first) {
-			first = line.At
+		if line.At.Before(start) {
+			start = line.At
 		}
-		if line.At.After(last) {
-			last = line.At
+		if line.At.After(end) {
+			end = line.At
 		}
 	}
-	return slices.DeleteFunc(others, func(line Line) bool {
-		timely := line.At.After(first.Add(-before)) && line.At.Before(last.Add(after))
+	return slices.DeleteFunc(otherLines, func(line Line) bool {
+		inWindow := line.At.After(start.Add(-windowBefore)) && line.At.Before(end.Add(windowAfter))
 		aboutReplica := line.Replica != "" && slices.Contains(replicas, line.Replica)
 		aboutProcess := line.Replica == "" && slices.Contains(processes, line.Process)
-		return !timely || (!aboutReplica && !aboutProcess)
+		return !inWindow || (!aboutReplica && !aboutProcess)
 	})
 }
 
-// Write prints the story, a line for each step, with the time since the first.
-func (story Timeline) Write(out io.Writer) error {
-	for _, line := range story.Lines {
+// Write prints the timeline, one line per log line, with the time since the first.
+// An asterisk marks lines that name the request.
+func (timeline Timeline) Write(out io.Writer) error {
+	for _, line := range timeline.Lines {
 		var fields strings.Builder
 		if line.Replica != "" {
 			fields.WriteString(" replica=" + line.Replica)
@@ -193,7 +195,7 @@
 			mark = "*"
 		}
 		_, err := fmt.Fprintf(out, "%8d ms %s %-22s %s%s\n",
-			line.At.Sub(story.Lines[0].At).Milliseconds(), mark, line.Process, line.Message, fields.String())
+			line.At.Sub(timeline.Lines[0].At).Milliseconds(), mark, line.Process, line.Message, fields.String())
 		if err != nil {
 			return err
 		}
--- a/internal/explainer/timeline_test.go
+++ b/internal/explainer/timeline_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-const first = `starting up
+const entry1Log = `starting up
 {"level":"info","msg":"replica listed","process":"entry-1","replica":"i-1","time":"2026-12-02T10:00:01.000Z","gone":false}
 {"level":"info","msg":"replica listed","process":"entry-1","replica":"i-9","time":"2026-12-02T10:00:03.000Z","gone":true}
 {"level":"info","msg":"request placed","process":"entry-1","replica":"i-1","request-id":"r1","held":2,"time":"2026-12-02T10:00:03.500Z"}
@@ -16,26 +16,26 @@
 {"level":"info","msg":"request answered","process":"entry-1","replica":"i-1","request-id":"r2","time":"2026-12-02T10:00:04.000Z"}
 `
 
-const second = `{"level":"warning","msg":"replica suspected","process":"entry-2","replica":"i-1","time":"2026-12-02T10:00:03.900Z","reason":"refused"}
+const entry2Log = `{"level":"warning","msg":"replica suspected","process":"entry-2","replica":"i-1","time":"2026-12-02T10:00:03.900Z","reason":"refused"}
 {"level":"warning","msg":"store lost","process":"entry-2","time":"2026-12-02T10:00:03.900Z"}
 {"level":"warning","msg":"replica suspected","process":"entry-2","replica":"i-1","time":"2026-12-02T10:00:30.000Z"}
 `
 
-// pairs is a log in logfmt, behind what a collector of logs puts before a line.
-const pairs = `starting up
+// logfmtLog is a log in logfmt with the prefix of a log collector on each line.
+const logfmtLog = `starting up
 node-7 | time="2026-12-02T10:00:03.500Z" level=info msg="request placed" held=2 process=entry-1 replica=i-1 request-id=r1
 node-7 | time="2026-12-02T10:00:04.000Z" level=warning msg="request failed" cause="read tcp {1}: reset" process=entry-1 replica=i-1 request-id=r1
 `
 
-func TestAStoryFromALogInLogfmt(t *testing.T) {
-	// One entry writes JSON and another logfmt, as after a change of its settings.
-	story, err := Read("r1", strings.NewReader(pairs), strings.NewReader(second))
+func TestTimelineOfMixedFormats(t *testing.T) {
+	// One entry writes logfmt and another JSON, as after a change of settings.
+	timeline, err := Read("r1", strings.NewReader(logfmtLog), strings.NewReader(entry2Log))
 	var out strings.Builder
-	writing := story.Write(&out)
-	Convey("lines of both are read", t, func() {
+	writeErr := timeline.Write(&out)
+	Convey("lines of both formats are read", t, func() {
 		So(err, ShouldBeNil)
-		So(writing, ShouldBeNil)
-		So(story.Skipped, ShouldEqual, 1)
+		So(writeErr, ShouldBeNil)
+		So(timeline.Skipped, ShouldEqual, 1)
 		So(out.String(), ShouldEqual, ""+
 			"       0 ms * entry-1                request placed replica=i-1 held=2\n"+
 			"     400 ms   entry-2                replica suspected replica=i-1 reason=refused\n"+
@@ -43,22 +43,22 @@
 	})
 }
 
-func TestAStoryFromSeveralLogs(t *testing.T) {
-	story, err := Read("r1", strings.NewReader(first), strings.NewReader(second))
+func TestTimelineOfSeveralLogs(t *testing.T) {
+	timeline, err := Read("r1", strings.NewReader(entry1Log), strings.NewReader(entry2Log))
 	var out strings.Builder
-	writing := story.Write(&out)
-	Convey("what was decided, and what was believed of its replica, in order", t, func() {
+	writeErr := timeline.Write(&out)
+	Convey("decisions about the request and states of its replica, in order of time", t, func() {
 		So(err, ShouldBeNil)
-		So(writing, ShouldBeNil)
-		So(story.Skipped, ShouldEqual, 1)
+		So(writeErr, ShouldBeNil)
+		So(timeline.Skipped, ShouldEqual, 1)
 		So(out.String(), ShouldEqual, ""+
 			"       0 ms   entry-1                replica listed replica=i-1 gone=false\n"+
 			"    2500 ms * entry-1                request placed replica=i-1 held=2\n"+
 			"    2900 ms   entry-2                replica suspected replica=i-1 reason=refused\n"+
 			"    3000 ms * entry-1                request failed replica=i-1 kind=upstream-broken\n")
 	})
-	Convey("a request that nobody names", t, func() {
-		_, err := Read("r7", strings.NewReader(first))
+	Convey("a request that no line names", t, func() {
+		_, err := Read("r7", strings.NewReader(entry1Log))
 		So(eris.Is(err, ErrRequestNotFound), ShouldBeTrue)
 	})
 }
