--- a/internal/logger/doc.go
+++ b/internal/logger/doc.go
@@ -1,6 +1,6 @@
-// Package logger writes structured logs without ever holding up who logs.
+// Package logger writes structured logs without blocking the callers that log.
 //
-// Lines go through a bounded queue to one goroutine that writes them. When the
-// reader of the output stalls, or lines come faster than it reads, lines are
-// dropped and counted, and the next line that gets through says how many.
+// Lines pass through a bounded queue to one goroutine that writes them. When the
+// reader of the output stalls or is slower than the callers, lines are dropped and
+// counted, and the number dropped is logged before the next line that is written.
 package logger
--- a/internal/logger/format.go
+++ b/internal/logger/format.go
@@ -4,30 +4,30 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Format is how lines are written.
+// Format is the encoding of log lines.
 type Format string
 
 // The formats. The zero value means JSON.
 const (
-	// JSON is one object a line.
+	// JSON writes one object per line.
 	JSON Format = "json"
-	// Logfmt is key=value pairs.
+	// Logfmt writes key=value pairs.
 	Logfmt Format = "logfmt"
 )
 
-// timestamps of lines have milliseconds: what a process decides in one of them
-// keeps its order in the log.
-const timestamps = "2006-01-02T15:04:05.000Z07:00"
+// timestampFormat is RFC 3339 with milliseconds. Lines of the same millisecond
+// keep the order in which they were logged.
+const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Valid reports whether a format is one of those above.
+// Valid reports whether format is empty or one of the constants above.
 func (format Format) Valid() bool {
 	return format == "" || format == JSON || format == Logfmt
 }
 
-// Formatter returns the formatter of a known format.
+// Formatter returns the formatter of a valid format.
 func (format Format) Formatter() logrus.Formatter {
 	if format == Logfmt {
-		return &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timestamps}
+		return &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timestampFormat}
 	}
-	return &logrus.JSONFormatter{TimestampFormat: timestamps}
+	return &logrus.JSONFormatter{TimestampFormat: timestampFormat}
 }
--- a/internal/logger/format_test.go
+++ b/internal/logger/format_test.go
@@ -12,7 +12,7 @@
 func TestFormats(t *testing.T) {
 	tests := []struct {
 		format Format
-		known  bool
+		valid  bool
 		line   string
 	}{
 		{"", true, `"msg":"replica listed"`},
@@ -27,19 +27,18 @@
 			log.SetOutput(&out)
 			log.SetFormatter(test.format.Formatter())
 			log.WithField("replica", "i-1").Info("replica listed")
-			So(test.format.Valid(), ShouldEqual, test.known)
+			So(test.format.Valid(), ShouldEqual, test.valid)
 			So(out.String(), ShouldContainSubstring, test.line)
 		})
 	}
 }
 
-// BenchmarkLine measures what a line with the fields of a placement costs the
-// request that it tells of.
+// BenchmarkLine measures the cost of logging a line with the fields of a placement.
 func BenchmarkLine(b *testing.B) {
 	for _, format := range []Format{JSON, Logfmt} {
 		b.Run(string(format), func(b *testing.B) {
 			log := logrus.New()
-			queue, release := NewQueue(io.Discard, lost)
+			queue, release := NewQueue(io.Discard, formatDropped)
 			defer release(nil)
 			log.SetOutput(queue)
 			log.SetFormatter(format.Formatter())
--- a/internal/logger/queue.go
+++ b/internal/logger/queue.go
@@ -6,47 +6,48 @@
 	"sync/atomic"
 )
 
-// room is how many lines wait at most. A line has about 300 bytes, so a stalled
-// reader costs 600 KB.
-const room = 2048
+// maxQueuedLines bounds the queue. A line has about 300 bytes, so a stalled reader
+// costs 600 KB.
+const maxQueuedLines = 2048
 
-// Queue is an io.Writer that never blocks.
+// Queue is an io.Writer of log lines that never blocks and drops lines when full.
 type Queue struct {
-	lines   chan []byte
-	dropped atomic.Int64
-	total   atomic.Int64
-	out     io.Writer
-	lost    func(dropped int64) []byte
-	done    chan struct{}
-	closing sync.Once
-	stop    chan struct{}
+	lines         chan []byte
+	unreported    atomic.Int64
+	droppedTotal  atomic.Int64
+	out           io.Writer
+	formatDropped func(unreported int64) []byte
+	done          chan struct{}
+	stopOnce      sync.Once
+	stop          chan struct{}
 }
 
-// NewQueue returns a queue before out, and a function that writes what waits
-// and ends it. lost returns the line that tells how many were dropped. A reader that stalls for good holds up that function only until
-// the giveUp channel is closed.
-func NewQueue(out io.Writer, lost func(dropped int64) []byte) (queue *Queue, release func(giveUp <-chan struct{})) {
+// NewQueue returns a queue that writes to out, and a function that writes the queued
+// lines and stops the queue. If the reader of out stalls, that function returns when
+// giveUp is closed. formatDropped returns the line that reports dropped lines, given
+// their number since the last report.
+func NewQueue(out io.Writer, formatDropped func(unreported int64) []byte) (queue *Queue, release func(giveUp <-chan struct{})) {
 	queue = &Queue{
-		lines: make(chan []byte, room), out: out, lost: lost, done: make(chan struct{}), stop: make(chan struct{}),
+		lines: make(chan []byte, maxQueuedLines), out: out, formatDropped: formatDropped, done: make(chan struct{}), stop: make(chan struct{}),
 	}
 	go queue.run()
 	return queue, queue.release
 }
 
-// Write queues one line. It reports success also when the line was dropped.
+// Write queues one line. It reports success even when it drops the line.
 func (queue *Queue) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
 	case queue.lines <- copied:
 	default:
-		queue.dropped.Add(1)
-		queue.total.Add(1)
+		queue.unreported.Add(1)
+		queue.droppedTotal.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped since the start.
-func (queue *Queue) Dropped() int64 { return queue.total.Load() }
+// Dropped returns the number of lines dropped since the start.
+func (queue *Queue) Dropped() int64 { return queue.droppedTotal.Load() }
 
 func (queue *Queue) run() {
 	defer close(queue.done)
@@ -62,8 +63,8 @@
 }
 
 func (queue *Queue) write(line []byte) {
-	if dropped := queue.dropped.Swap(0); dropped > 0 {
-		_, _ = queue.out.Write(queue.lost(dropped))
+	if unreported := queue.unreported.Swap(0); unreported > 0 {
+		_, _ = queue.out.Write(queue.formatDropped(unreported))
 	}
 	_, _ = queue.out.Write(line)
 }
@@ -80,7 +81,7 @@
 }
 
 func (queue *Queue) release(giveUp <-chan struct{}) {
-	queue.closing.Do(func() { close(queue.stop) })
+	queue.stopOnce.Do(func() { close(queue.stop) })
 	select {
 	case <-queue.done:
 	case <-giveUp:
--- a/internal/logger/queue_test.go
+++ b/internal/logger/queue_test.go
@@ -11,11 +11,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func lost(dropped int64) []byte { return fmt.Appendf(nil, "lost %d\n", dropped) }
+func formatDropped(dropped int64) []byte { return fmt.Appendf(nil, "lost %d\n", dropped) }
 
-// lostOf sums what the lines of an output tell of lost lines. A queue that begins
-// to write while lines are being dropped tells of them in more than one.
-func lostOf(output string) int64 {
+// countReported sums the dropped lines that an output reports. A queue that starts
+// writing while lines are being dropped reports them in several lines.
+func countReported(output string) int64 {
 	sum := int64(0)
 	for _, line := range strings.Split(output, "\n") {
 		if text, found := strings.CutPrefix(line, "lost "); found {
@@ -26,13 +26,13 @@
 	return sum
 }
 
-func TestAStalledReaderHoldsUpNobody(t *testing.T) {
-	// The reader of the output stops reading. Whoever logs goes on at once; lines
-	// beyond the queue are dropped and counted; and once the reader is back it is
-	// told how many it has missed.
+func TestStalledReaderDoesNotBlockWriters(t *testing.T) {
+	// The reader of the output stops reading. Writers must not block, lines beyond the
+	// queue are dropped and counted, and the output reports their number once it is read
+	// again.
 	reader, writer := io.Pipe()
-	queue, release := NewQueue(writer, lost)
-	const lines = 3 * room
+	queue, release := NewQueue(writer, formatDropped)
+	const lines = 3 * maxQueuedLines
 	for range lines {
 		_, err := queue.Write([]byte("{}\n"))
 		if err != nil {
@@ -40,7 +40,7 @@
 		}
 	}
 	Convey("lines are dropped and counted", t, func() {
-		So(queue.Dropped(), ShouldBeBetweenOrEqual, lines-room-1, lines-room)
+		So(queue.Dropped(), ShouldBeBetweenOrEqual, lines-maxQueuedLines-1, lines-maxQueuedLines)
 	})
 	var out bytes.Buffer
 	read := make(chan struct{})
@@ -48,16 +48,17 @@
 	release(nil)
 	_ = writer.Close()
 	<-read
-	Convey("the reader is told, and gets the rest", t, func() {
-		So(lostOf(out.String()), ShouldEqual, queue.Dropped())
+	Convey("the output reports the dropped lines and holds the others", t, func() {
+		So(countReported(out.String()), ShouldEqual, queue.Dropped())
 		So(strings.Count(out.String(), "{}"), ShouldEqual, lines-queue.Dropped())
 	})
 }
 
-func TestAReaderThatNeverComesBackIsGivenUp(*testing.T) {
-	// The process is told to stop while nobody reads its output: it ends all the same.
+func TestReleaseReturnsWhileReaderIsStalled(*testing.T) {
+	// The process stops while nothing reads its output. A release that waits for the
+	// reader would keep the process from exiting.
 	_, writer := io.Pipe()
-	queue, release := NewQueue(writer, lost)
+	queue, release := NewQueue(writer, formatDropped)
 	_, _ = queue.Write([]byte("{}\n"))
 	giveUp := make(chan struct{})
 	close(giveUp)
