--- a/internal/handler/doc.go
+++ b/internal/handler/doc.go
@@ -1,3 +1,3 @@
-// Package handler turns typed functions into HTTP handlers, so that status
-// pages and the stand-ins share one way of reading and writing JSON.
+// Package handler wraps typed functions as HTTP handlers, so that status pages and the
+// stand-ins of platform and engines decode and encode JSON alike.
 package handler
--- a/internal/handler/json.go
+++ b/internal/handler/json.go
@@ -8,16 +8,16 @@
 	"github.com/trefoilseam/trefoilseam/internal/classifier"
 )
 
-// bodyLimit bounds the JSON body of one request in bytes.
-const bodyLimit = 64 << 20
+// maxBodyBytes bounds the JSON body of a request.
+const maxBodyBytes = 64 << 20
 
-// JSON returns a handler that reads a JSON body into In, calls work and writes
-// its result as JSON. A failure is answered by the table of error kinds. A
-// request without a body leaves In at its zero value.
+// JSON returns a handler that decodes a JSON body into In, calls work and writes its
+// result as JSON. Errors become problem responses according to their kind in package
+// classifier. A request without a body leaves In at its zero value.
 func JSON[In, Out any](work func(r *http.Request, in In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
-		if err := read(r, &in); err != nil {
+		if err := decodeBody(r, &in); err != nil {
 			classifier.Write(w, classifier.New(classifier.BadRequest, err.Error()), "")
 			return
 		}
@@ -31,13 +31,13 @@
 	}
 }
 
-// Show returns a handler that writes what work returns as JSON.
+// Show returns a handler that writes the result of work as JSON.
 func Show[Out any](work func() Out) http.HandlerFunc {
 	return JSON(func(_ *http.Request, _ struct{}) (Out, error) { return work(), nil })
 }
 
-func read(r *http.Request, in any) error {
-	body, err := io.ReadAll(io.LimitReader(r.Body, bodyLimit))
+func decodeBody(r *http.Request, in any) error {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil || len(body) == 0 {
 		return err
 	}
--- a/internal/measurer/doc.go
+++ b/internal/measurer/doc.go
@@ -1,3 +1,2 @@
-// Package measurer sets up metrics: a tally scope and the page that a scraper
-// reads.
+// Package measurer sets up metrics: a tally scope and its Prometheus scrape page.
 package measurer
--- a/internal/measurer/scope.go
+++ b/internal/measurer/scope.go
@@ -12,14 +12,15 @@
 	promreporter "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportEvery is how often counts move from the scope to the scrape page.
-const reportEvery = 250 * time.Millisecond
+// reportInterval is the interval at which the scope reports its metrics to the scrape
+// page.
+const reportInterval = 250 * time.Millisecond
 
-// New returns a scope, the handler of its scrape page, and a function that
-// flushes and closes the scope.
+// New returns a scope whose metrics are tagged with process, the handler of its scrape
+// page, and a function that flushes and closes the scope.
 func New(process string, log logrus.FieldLogger) (tally.Scope, http.Handler, func()) {
 	registry := prometheus.NewRegistry()
-	// Processor time, memory and descriptors of the process, read when asked for.
+	// CPU time, memory and file descriptors of the process, read on each scrape.
 	registry.MustRegister(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), collectors.NewGoCollector())
 	reporter := promreporter.NewReporter(promreporter.Options{
 		Registerer: registry,
@@ -32,14 +33,15 @@
 		Prefix:         "trefoilseam",
 		Tags:           map[string]string{"process": process},
 		CachedReporter: reporter,
-		// Without these two the reporter panics on tally's own metric names.
+		// Without Separator and SanitizeOptions the reporter panics on tally's own metric
+		// names.
 		Separator:       promreporter.DefaultSeparator,
 		SanitizeOptions: &promreporter.DefaultSanitizerOpts,
-	}, reportEvery)
-	return scope, reporter.HTTPHandler(), func() { closeQuietly(closer, log) }
+	}, reportInterval)
+	return scope, reporter.HTTPHandler(), func() { closeAndLog(closer, log) }
 }
 
-func closeQuietly(closer io.Closer, log logrus.FieldLogger) {
+func closeAndLog(closer io.Closer, log logrus.FieldLogger) {
 	if err := closer.Close(); err != nil {
 		log.WithError(err).Warn("metrics not flushed")
 	}
