--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -15,44 +15,44 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Settings set up a caller.
+// Settings configures a Caller.
 type Settings struct {
-	// Entries are the base addresses to try in turn, such as
-	// "http://127.0.0.1:8080". There must be at least one.
+	// Entries are the base URLs of entries, such as "http://127.0.0.1:8080"; tries
+	// go through them in turn. At least one is required.
 	Entries []string
-	// Key is the team's key.
+	// Key is the team's API key.
 	Key string
-	// Tries is how often one call is sent at most; zero means 5.
+	// Tries is the maximum number of times that a call is sent; zero means 5.
 	Tries int
-	// Pause is the wait before a resend when the answer names none; zero means
-	// 200 milliseconds. It doubles with each resend.
+	// Pause is the backoff before the first resend, and doubles with each resend. A
+	// longer Retry-After takes its place. Zero means 200 milliseconds.
 	Pause timekeeper.Span
-	// Client sends the requests; nil means one without keep-alive, so that the
-	// transport never sends a request again by itself.
+	// Client sends the requests; nil means a client without keep-alive, so that the
+	// transport never resends a request by itself.
 	Client *http.Client
-	// Clock waits between tries; the zero value means the wall clock.
+	// Clock times the pauses between tries; the zero value means the wall clock.
 	Clock timekeeper.Clock
 }
 
-// Errors of a caller.
+// Errors that Send wraps.
 var (
-	// ErrUnknown says that the call may have run and no answer can be had.
+	// ErrUnknown means that the call may have run and its answer is not available.
 	ErrUnknown = eris.New("whether the call ran is not known")
-	// ErrNotRun says that the call was refused and did not run.
+	// ErrNotRun means that the call was refused and did not run.
 	ErrNotRun = eris.New("the call did not run")
 )
 
-const noEntries = "caller: at least one entry is needed"
+const noEntriesMessage = "caller: at least one entry is needed"
 
-// Caller makes calls for one team. Its methods may be used by many goroutines.
+// Caller makes calls for one team. Its methods are safe for concurrent use.
 type Caller struct {
 	settings Settings
 }
 
-// New returns a caller. It panics when the settings name no entry.
+// New returns a caller. It panics if settings.Entries is empty.
 func New(settings Settings) *Caller {
 	if len(settings.Entries) == 0 {
-		panic(noEntries)
+		panic(noEntriesMessage)
 	}
 	if settings.Tries == 0 {
 		settings.Tries = 5
@@ -76,23 +76,23 @@
 	Body   []byte
 	// Header is sent with every try; it may be nil.
 	Header http.Header
-	// Key is the Idempotency-Key; empty means a new one for a method that is
-	// not idempotent.
+	// Key is the Idempotency-Key. If it is empty, Send generates one for a method that
+	// is not idempotent.
 	Key string
 }
 
-// WithKey returns the call under an Idempotency-Key.
+// WithKey returns the call with key as its Idempotency-Key.
 func (call Call) WithKey(key string) Call {
 	call.Key = key
 	return call
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Key is the Idempotency-Key that the call was sent under.
+	// Key is the Idempotency-Key that the call was sent with.
 	Key string
 }
 
@@ -111,9 +111,9 @@
 	return problem.Title + " (" + problem.Type + ", ran: " + problem.Ran + ") " + problem.Detail
 }
 
-// Send makes a call and returns its whole answer. It resends under the same
-// key while that can help. The error is ErrNotRun or ErrUnknown, with the last
-// problem in its text.
+// Send makes a call and returns its complete answer. It resends the call with the same
+// key while a retry may succeed. The error wraps ErrNotRun or ErrUnknown and has the
+// last failure in its text.
 func (caller *Caller) Send(ctx context.Context, call Call) (Answer, error) {
 	if call.Key == "" && !idempotent(call.Method) {
 		call = call.WithKey(newKey())
@@ -121,11 +121,11 @@
 	return caller.send(ctx, call)
 }
 
-// send makes a call under the key that it has, if any.
+// send makes a call with call.Key, or without a key if that is empty.
 func (caller *Caller) send(ctx context.Context, call Call) (Answer, error) {
 	pause := caller.settings.Pause
-	// A call may have run as soon as one try ended without a word, whatever a
-	// later try says of itself.
+	// After one try without an answer the call may have run, even if a later try
+	// reports that it did not run.
 	mayHaveRun := false
 	var last error
 	for try := range caller.settings.Tries {
@@ -134,8 +134,8 @@
 			return answer, nil
 		}
 		last = outcome.err
-		mayHaveRun = mayHaveRun || outcome.ran
-		if !outcome.again || caller.wait(ctx, max(pause, outcome.wait)) != nil {
+		mayHaveRun = mayHaveRun || outcome.possiblyRan
+		if !outcome.retry || caller.wait(ctx, max(pause, outcome.wait)) != nil {
 			break
 		}
 		pause *= 2
@@ -146,23 +146,23 @@
 	return Answer{}, eris.Wrap(ErrNotRun, last.Error())
 }
 
-// outcome is how one try ended.
+// outcome is the result of one try.
 type outcome struct {
-	err   error
-	ran   bool
-	again bool
-	wait  timekeeper.Span
+	err         error
+	possiblyRan bool
+	retry       bool
+	wait        timekeeper.Span
 }
 
 func (caller *Caller) try(ctx context.Context, call Call, try int) (Answer, outcome) {
 	response, err := caller.do(ctx, call, try)
 	if err != nil {
-		return Answer{}, outcome{err: err, ran: true, again: ctx.Err() == nil}
+		return Answer{}, outcome{err: err, possiblyRan: true, retry: ctx.Err() == nil}
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Answer{}, outcome{err: err, ran: true, again: ctx.Err() == nil}
+		return Answer{}, outcome{err: err, possiblyRan: true, retry: ctx.Err() == nil}
 	}
 	if problem, ok := problemOf(response.Header, body); ok {
 		return Answer{}, outcomeOf(problem, response.Header)
@@ -170,17 +170,17 @@
 	return Answer{Status: response.StatusCode, Header: response.Header, Body: body, Key: call.Key}, outcome{}
 }
 
-// outcomeOf reads a refusal. A call with a key may always be sent again when
-// its fate is not known: the key sees to it that it runs once.
+// outcomeOf classifies a refusal. A call with a key may always be resent when its
+// outcome is unknown: the key makes it run at most once.
 func outcomeOf(problem Problem, header http.Header) outcome {
 	retryAfter := header.Get("Retry-After")
 	seconds, _ := strconv.Atoi(retryAfter)
-	ran := problem.Ran != "no"
+	possiblyRan := problem.Ran != "no"
 	return outcome{
-		err:   problem,
-		ran:   ran,
-		again: retryAfter != "" || ran,
-		wait:  timekeeper.Span(seconds) * timekeeper.Second,
+		err:         problem,
+		possiblyRan: possiblyRan,
+		retry:       retryAfter != "" || possiblyRan,
+		wait:        timekeeper.Span(seconds) * timekeeper.Second,
 	}
 }
 
--- a/pkg/caller/caller_test.go
+++ b/pkg/caller/caller_test.go
@@ -16,8 +16,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// atOnce is a clock whose waits are over at once.
-func atOnce() timekeeper.Clock {
+// instantClock returns a clock whose waits end at once.
+func instantClock() timekeeper.Clock {
 	manual := timekeeper.NewManual(0)
 	clock := manual.Clock()
 	clock.After = func(timekeeper.Span) (<-chan timekeeper.Instant, func()) {
@@ -44,15 +44,15 @@
 	}))
 	defer server.Close()
 
-	van := caller.New(caller.Settings{Entries: []string{server.URL}, Key: "team-key", Clock: atOnce()})
+	client := caller.New(caller.Settings{Entries: []string{server.URL}, Key: "team-key", Clock: instantClock()})
 	order := caller.Call{Method: http.MethodPost, Path: "/orders", Body: []byte(`{"meals":40}`)}
-	answer, err := van.Send(context.Background(), order.WithKey("lunch-1"))
+	answer, err := client.Send(context.Background(), order.WithKey("lunch-1"))
 	fmt.Println(string(answer.Body), err)
 	// Output: ordered under lunch-1 <nil>
 }
 
-// cutServer streams events 1 to 4 and cuts the connection after each second
-// one; Last-Event-ID says where to go on.
+// cutServer streams events 1 to 4 and cuts the connection after every second event.
+// It resumes after the event that Last-Event-ID names.
 func cutServer() *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next := 1
@@ -72,17 +72,16 @@
 	}))
 }
 
-func TestStreamGoesOnBehindTheLastEvent(t *testing.T) {
-	// The connection breaks after every second event.
-	// The caller comes back with the id of the last one that it has taken, and
-	// gets each event once, in order.
+func TestStreamResumesAfterTheLastEvent(t *testing.T) {
+	// The connection breaks after every second event. Guards against events that are
+	// lost or repeated when the caller resumes with the id of the last event.
 	server := cutServer()
 	defer server.Close()
-	van := caller.New(caller.Settings{Entries: []string{server.URL}, Clock: atOnce()})
-	Convey("each event comes once", t, func() {
+	client := caller.New(caller.Settings{Entries: []string{server.URL}, Clock: instantClock()})
+	Convey("each event is delivered once, in order", t, func() {
 		var got []string
 		call := caller.Call{Method: http.MethodPost, Path: "/v1/chat/completions"}
-		err := van.Stream(t.Context(), call, func(event caller.Event) error {
+		err := client.Stream(t.Context(), call, func(event caller.Event) error {
 			got = append(got, event.Data)
 			return nil
 		})
@@ -91,20 +90,20 @@
 	})
 }
 
-func TestSendTellsWhetherItRan(t *testing.T) {
+func TestSendReportsWhetherTheCallRan(t *testing.T) {
 	tests := []struct {
 		name   string
 		answer func(w http.ResponseWriter)
 		tries  int
 		want   error
 	}{
-		{"a refusal that no resend helps", func(w http.ResponseWriter) {
+		{"a refusal without Retry-After", func(w http.ResponseWriter) {
 			problem(w, http.StatusUnprocessableEntity, "no", "")
 		}, 1, caller.ErrNotRun},
-		{"a refusal that names a time", func(w http.ResponseWriter) {
+		{"a refusal with Retry-After", func(w http.ResponseWriter) {
 			problem(w, http.StatusServiceUnavailable, "no", "1")
 		}, 3, caller.ErrNotRun},
-		{"an outcome that is not known", func(w http.ResponseWriter) {
+		{"an unknown outcome", func(w http.ResponseWriter) {
 			problem(w, http.StatusBadGateway, "unknown", "")
 		}, 3, caller.ErrUnknown},
 		{"a connection that breaks", func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, 3, caller.ErrUnknown},
@@ -120,8 +119,8 @@
 				test.answer(w)
 			}))
 			defer server.Close()
-			van := caller.New(caller.Settings{Entries: []string{server.URL}, Tries: 3, Clock: atOnce()})
-			_, err := van.Send(t.Context(), caller.Call{Method: http.MethodPost, Path: "/orders"})
+			client := caller.New(caller.Settings{Entries: []string{server.URL}, Tries: 3, Clock: instantClock()})
+			_, err := client.Send(t.Context(), caller.Call{Method: http.MethodPost, Path: "/orders"})
 			So(eris.Is(err, test.want), ShouldBeTrue)
 			mu.Lock()
 			defer mu.Unlock()
--- a/pkg/caller/key_cache.go
+++ b/pkg/caller/key_cache.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// keysPath is where minted keys are got.
+	// keysPath is the path that mints keys.
 	keysPath = "/v1/keys"
-	// purseSize is how many keys a key cache gets at a time.
+	// keyCacheSize is the number of keys per request.
 	keyCacheSize = 16
-	// purseMargin is the time before their end from which keys are not given
-	// out any more, so that the resends of a call end before its key does.
+	// keyMargin is the remaining lifetime below which a key is not returned any more,
+	// so that the resends of a call end before its key expires.
 	keyMargin = 5 * timekeeper.Minute
 )
 
-// KeyCache holds minted keys in hand. Calls under a minted key need no store, so
-// they go on through an outage of it. A key names one agent: when that is
-// replaced before the key was used, a call under it can't run and ends with
-// ErrUnknown. A caller that knows that it never sent the key may take another.
+// KeyCache holds minted keys for later calls. Calls with a minted key need no store, so
+// they succeed during an outage of the store. A key names one agent: if that agent is
+// replaced before the key is used, a call with the key can't run and ends with
+// ErrUnknown. A caller that knows that it had not sent the key before may take another.
 type KeyCache struct {
 	caller  *Caller
 	service string
@@ -40,8 +40,8 @@
 	return &KeyCache{caller: caller, service: service}
 }
 
-// Take returns a key that has not been given out. An empty key cache, or one whose
-// keys are about to end, is filled first.
+// Take returns a key that it has not returned before. It first fetches new keys if the
+// cache is empty or its keys are about to expire.
 func (cache *KeyCache) Take(ctx context.Context) (string, error) {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
@@ -56,22 +56,22 @@
 	return key, nil
 }
 
-// Drop forgets the keys in hand. It is for a caller that got ErrUnknown for a
-// key's first use: the others name the same agent.
+// Drop discards the cached keys. Call it after ErrUnknown for the first use of a key:
+// the other keys name the same agent.
 func (cache *KeyCache) Drop() {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
 	cache.keys = nil
 }
 
-// fill gets new keys; the lock must be held.
+// fill fetches new keys; the caller must hold mu.
 func (cache *KeyCache) fill(ctx context.Context) error {
-	ask, err := json.Marshal(keyAsk{Service: cache.service, Count: keyCacheSize})
+	request, err := json.Marshal(keyRequest{Service: cache.service, Count: keyCacheSize})
 	if err != nil {
 		return eris.Wrap(err, "ask for keys")
 	}
-	// Asking for keys changes nothing, so it needs no key of its own.
-	answer, err := cache.caller.send(ctx, Call{Method: http.MethodPost, Path: keysPath, Body: ask})
+	// Minting keys changes no state, so this request needs no Idempotency-Key.
+	answer, err := cache.caller.send(ctx, Call{Method: http.MethodPost, Path: keysPath, Body: request})
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	return nil
 }
 
-type keyAsk struct {
+type keyRequest struct {
 	Service string `json:"service"`
 	Count   int    `json:"count"`
 }
--- a/pkg/caller/key_cache_test.go
+++ b/pkg/caller/key_cache_test.go
@@ -13,31 +13,31 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-func TestAKeyCacheGivesEachKeyOnce(t *testing.T) {
-	// A key that is given out twice would make the second order a replay of the
-	// first; one that is about to end could not be sent again.
+func TestKeyCacheReturnsEachKeyOnce(t *testing.T) {
+	// Guards against a key that is returned twice, which makes the second order a replay
+	// of the first, and a key that is about to expire, with which no call can be resent.
 	clock := timekeeper.NewManual(0)
-	lots := 0
+	batches := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		lots++
-		lot := strconv.Itoa(lots)
-		ends := clock.Now().Add(timekeeper.Hour).String()
-		_, _ = io.WriteString(w, `{"keys":["a`+lot+`","b`+lot+`"],"expires":"`+ends+`"}`)
+		batches++
+		batch := strconv.Itoa(batches)
+		expires := clock.Now().Add(timekeeper.Hour).String()
+		_, _ = io.WriteString(w, `{"keys":["a`+batch+`","b`+batch+`"],"expires":"`+expires+`"}`)
 	}))
 	defer server.Close()
-	van := caller.New(caller.Settings{Entries: []string{server.URL}, Clock: clock.Clock()})
-	cache := van.KeyCache("orders")
+	client := caller.New(caller.Settings{Entries: []string{server.URL}, Clock: clock.Clock()})
+	cache := client.KeyCache("orders")
 	tests := []struct {
 		name  string
 		after timekeeper.Span
 		drop  bool
 		want  string
 	}{
-		{"the first", 0, false, "a1"},
-		{"the second", 0, false, "b1"},
-		{"a new lot", 0, false, "a2"},
-		{"an old lot", 56 * timekeeper.Minute, false, "a3"},
-		{"a lot whose agent is gone", 0, true, "a4"},
+		{"the first key", 0, false, "a1"},
+		{"the second key", 0, false, "b1"},
+		{"a new batch", 0, false, "a2"},
+		{"a batch that is about to expire", 56 * timekeeper.Minute, false, "a3"},
+		{"a batch whose agent was removed", 0, true, "a4"},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/pkg/caller/stream.go
+++ b/pkg/caller/stream.go
@@ -18,42 +18,42 @@
 	Data string
 }
 
-// doneData is the data of the event that ends a whole stream.
+// doneData is the data of the event that ends a complete stream.
 const doneData = "[DONE]"
 
-// ErrCut says that a stream ended before its terminal and could not be resumed.
+// ErrCut means that a stream ended before its terminal event and could not be resumed.
 var ErrCut = eris.New("the stream was cut")
 
-// Stream makes a call whose answer is a stream and hands each event to take,
-// in order, each once. When the connection breaks it resumes behind the last
-// event that take has had. It returns nil only when the stream's terminal
-// came; an error of take ends the stream and is returned.
+// Stream makes a call whose answer is an event stream and passes each event to take
+// once, in order. When the connection breaks, it resumes after the last event that was
+// passed to take. It returns nil only after the terminal event; an error of take ends
+// the stream and is returned.
 func (caller *Caller) Stream(ctx context.Context, call Call, take func(event Event) error) error {
 	var last progress
 	var failed error
 	pause := caller.settings.Pause
-	for try, idle := 0, 0; idle < caller.settings.Tries; try++ {
+	for try, failures := 0, 0; failures < caller.settings.Tries; try++ {
 		before := last.events
-		whole, err := caller.follow(ctx, call, try, &last, take)
-		if whole {
+		complete, err := caller.readConnection(ctx, call, try, &last, take)
+		if complete {
 			return nil
 		}
-		var stop stopped
-		if eris.As(err, &stop) {
-			return stop.err
+		var permanent permanentError
+		if eris.As(err, &permanent) {
+			return permanent.err
 		}
 		failed = err
-		idle++
+		failures++
 		if last.events > before {
-			idle, pause = 0, caller.settings.Pause
+			failures, pause = 0, caller.settings.Pause
 		}
 		if last.events > 0 && last.id == "" {
-			// Without an id there is no way back to the place behind it.
+			// Without an id the stream can't be resumed after its last event.
 			break
 		}
-		var refused refusedFor
-		_ = eris.As(err, &refused)
-		if caller.wait(ctx, max(pause, refused.wait)) != nil {
+		var refusal retryableRefusal
+		_ = eris.As(err, &refusal)
+		if caller.wait(ctx, max(pause, refusal.wait)) != nil {
 			break
 		}
 		pause *= 2
@@ -61,30 +61,31 @@
 	return eris.Wrap(ErrCut, failed.Error())
 }
 
-// progress is how far a stream has come.
+// progress is the position in a stream: the last event id and the number of events.
 type progress struct {
 	id     string
 	events int
 }
 
-// stopped is an error after which the stream is not tried again.
-type stopped struct {
+// permanentError wraps an error after which the stream is not retried.
+type permanentError struct {
 	err error
 }
 
-// Error returns the text of the error inside.
-func (stop stopped) Error() string {
-	return stop.err.Error()
+// Error returns the text of the wrapped error.
+func (permanent permanentError) Error() string {
+	return permanent.err.Error()
 }
 
-// refusedFor is a refusal that names a time to come back.
-type refusedFor struct {
+// retryableRefusal is a refusal with a Retry-After.
+type retryableRefusal struct {
 	Problem
 	wait timekeeper.Span
 }
 
-// follow reads one connection's part of the stream.
-func (caller *Caller) follow(
+// readConnection reads events from one connection. It returns true after the terminal
+// event.
+func (caller *Caller) readConnection(
 	ctx context.Context, call Call, try int, last *progress, take func(event Event) error,
 ) (bool, error) {
 	if last.id != "" {
@@ -96,7 +97,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return false, refusal(response)
+		return false, readRefusal(response)
 	}
 	events := bufio.NewReader(response.Body)
 	for {
@@ -108,7 +109,7 @@
 			return true, nil
 		}
 		if err := take(event); err != nil {
-			return false, stopped{err}
+			return false, permanentError{err}
 		}
 		last.events++
 		if event.ID != "" {
@@ -127,8 +128,8 @@
 	return call
 }
 
-// refusal reads a refusal; one that no resend can help is stopped.
-func refusal(response *http.Response) error {
+// readRefusal reads a refusal; it is a permanentError unless it has a Retry-After.
+func readRefusal(response *http.Response) error {
 	const limit = 64 << 10
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit))
 	if err != nil {
@@ -136,17 +137,17 @@
 	}
 	problem, ok := problemOf(response.Header, body)
 	if !ok {
-		return stopped{eris.Errorf("status %d", response.StatusCode)}
+		return permanentError{eris.Errorf("status %d", response.StatusCode)}
 	}
 	outcome := outcomeOf(problem, response.Header)
 	if outcome.wait == 0 {
-		return stopped{problem}
+		return permanentError{problem}
 	}
-	return refusedFor{Problem: problem, wait: outcome.wait}
+	return retryableRefusal{Problem: problem, wait: outcome.wait}
 }
 
-// readEvent reads one event. It returns io.ErrUnexpectedEOF when the stream
-// ends, since a whole stream ends with its terminal.
+// readEvent reads one event. It returns io.ErrUnexpectedEOF at the end of the stream,
+// since the caller stops reading a complete stream at its terminal event.
 func readEvent(in *bufio.Reader) (Event, error) {
 	var event Event
 	for {
--- a/pkg/caller/stream_fuzz_test.go
+++ b/pkg/caller/stream_fuzz_test.go
@@ -9,10 +9,10 @@
 	"testing/iotest"
 )
 
-// FuzzReadEvent holds the reader of events against any stream: it ends with an
-// error, reads the same from parts of one byte as from the whole, and an event
-// that it returns is read the same again when it is written out. Any text comes
-// back as the data of an event that was written with it, line by line.
+// FuzzReadEvent checks readEvent on arbitrary streams. Reading ends with
+// io.ErrUnexpectedEOF and gives the same events byte by byte as in one piece. Events
+// that are written out again read the same, and any text written as the data lines of
+// an event reads back unchanged.
 func FuzzReadEvent(f *testing.F) {
 	for _, seed := range []string{
 		"", "data: a\n\n", "id: 9\ndata: a\ndata: b\n\n", "data: a\r\n\r\n", "data:a\n\ndata", ": note\n\nid: x\n\ndata: [DONE]\n\n",
@@ -22,16 +22,16 @@
 	}
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		whole := eventsOf(t, bytes.NewReader(stream))
-		parts := eventsOf(t, iotest.OneByteReader(bytes.NewReader(stream)))
-		same(t, parts, whole)
+		bytewise := eventsOf(t, iotest.OneByteReader(bytes.NewReader(stream)))
+		requireSameEvents(t, bytewise, whole)
 		var written strings.Builder
 		for _, event := range whole {
 			written.WriteString("id: " + event.ID + "\ndata: " + strings.ReplaceAll(event.Data, "\n", "\ndata: ") + "\n\n")
 		}
-		same(t, eventsOf(t, strings.NewReader(written.String())), whole)
+		requireSameEvents(t, eventsOf(t, strings.NewReader(written.String())), whole)
 		text := "x" + strings.ReplaceAll(string(stream), "\r", "")
 		lines := "id: 1\ndata: " + strings.ReplaceAll(text, "\n", "\ndata: ") + "\n\n"
-		same(t, eventsOf(t, strings.NewReader(lines)), []Event{{ID: "1", Data: text}})
+		requireSameEvents(t, eventsOf(t, strings.NewReader(lines)), []Event{{ID: "1", Data: text}})
 	})
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-func same(t *testing.T, got, want []Event) {
+func requireSameEvents(t *testing.T, got, want []Event) {
 	t.Helper()
 	if len(got) != len(want) {
 		t.Fatalf("%d events, want %d: %q, %q", len(got), len(want), got, want)
