--- a/pkg/timekeeper/boot.go
+++ b/pkg/timekeeper/boot.go
@@ -1,30 +1,31 @@
 package timekeeper
 
-// SinceBoot returns a clock that begins at the time of day and then goes on evenly, also
-// while the machine is suspended. It does not follow when the time of day is set.
+// SinceBoot returns a clock that starts at the wall time and then advances monotonically,
+// also while the machine is suspended. It ignores later changes of the wall time.
 //
-// The failure: the time of day jumps by seconds or minutes, ahead or back, or a machine
-// is suspended. The symptom, by the time of day: a lease that has two holders, a live
-// peer that is held dead, a deadline that is over before it began, or waited for until
-// the clock has caught up. By a clock that stands still while the machine is suspended,
-// as the runtime's own does: a holder that wakes and takes its lease for valid.
+// It guards against wall time that jumps by seconds or minutes, forward or back, and
+// against suspension of the machine. With the wall clock, a jump gives a lease two
+// holders, marks a live peer as dead, and ends a deadline before it began or delays it
+// until the clock has caught up. With a clock that stops during suspension, as the
+// monotonic clock of the Go runtime does, a lease holder that resumes takes its expired
+// lease for valid.
 //
-// Timers of this clock still run on the runtime's: one that is due in a suspension fires
-// late, and whoever it wakes must ask Now. Where the system can't tell the time since it
-// started, the clock is that of Steady.
+// Timers of this clock use the runtime's timers: one that is due during suspension fires
+// late, and the code that it wakes must call Now. Where the system can't report the time
+// since boot, SinceBoot returns the clock of Steady.
 func SinceBoot() Clock {
-	first, known := bootTime()
-	if !known {
+	atStart, ok := bootTime()
+	if !ok {
 		return Steady()
 	}
-	return evenly(wallNow(), func() Span {
-		passed, _ := bootTime()
-		return passed - first
+	return clockFrom(wallNow(), func() Span {
+		elapsed, _ := bootTime()
+		return elapsed - atStart
 	})
 }
 
-// evenly returns a clock that begins at an instant and adds what has passed since.
-func evenly(begin Instant, passed func() Span) Clock {
-	now := func() Instant { return begin.Add(passed()) }
-	return Clock{Now: now, After: func(span Span) (<-chan Instant, func()) { return afterOn(now, span) }}
+// clockFrom returns a clock that starts at start and advances by elapsed.
+func clockFrom(start Instant, elapsed func() Span) Clock {
+	now := func() Instant { return start.Add(elapsed()) }
+	return Clock{Now: now, After: func(span Span) (<-chan Instant, func()) { return timerOn(now, span) }}
 }
--- a/pkg/timekeeper/boot_linux.go
+++ b/pkg/timekeeper/boot_linux.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootTime returns the time since the machine started, suspended time included, and
-// whether the system can tell.
+// bootTime returns the time since boot, including suspended time, and whether the system
+// reports it.
 func bootTime() (Span, bool) {
-	var passed unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &passed); err != nil {
+	var sinceBoot unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &sinceBoot); err != nil {
 		return 0, false
 	}
-	return Span(time.Duration(passed.Nano()) / time.Millisecond), true
+	return Span(time.Duration(sinceBoot.Nano()) / time.Millisecond), true
 }
--- a/pkg/timekeeper/boot_other.go
+++ b/pkg/timekeeper/boot_other.go
@@ -2,5 +2,5 @@
 
 package timekeeper
 
-// bootTime returns that the system can't tell the time since the machine started.
+// bootTime returns false: the time since boot is not available on this system.
 func bootTime() (Span, bool) { return 0, false }
--- a/pkg/timekeeper/boot_test.go
+++ b/pkg/timekeeper/boot_test.go
@@ -6,29 +6,30 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestAClockThatGoesOnWhileTheMachineIsSuspended(t *testing.T) {
-	// A machine is suspended for a minute. What a process holds for ten seconds is over
-	// when it wakes; a clock that stood still would let it go on as the holder.
-	const begin = Instant(Hour)
-	passed := Span(0)
-	clock := evenly(begin, func() Span { return passed })
+func TestClockAdvancesDuringSuspension(t *testing.T) {
+	// A machine is suspended for a minute. A lease of ten seconds must have expired when
+	// it resumes; with a clock that stops during suspension the process would go on as
+	// the holder.
+	const start = Instant(Hour)
+	elapsed := Span(0)
+	clock := clockFrom(start, func() Span { return elapsed })
 	tests := []struct {
-		name   string
-		passed Span
-		held   bool
-	}{{"at first", 0, true}, {"nine seconds later", 9 * Second, true}, {"after a minute asleep", 69 * Second, false}}
+		name    string
+		elapsed Span
+		held    bool
+	}{{"at the start", 0, true}, {"nine seconds later", 9 * Second, true}, {"after a minute of suspension", 69 * Second, false}}
 	until := clock.Now().Add(10 * Second)
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			passed = test.passed
-			So(clock.Now(), ShouldEqual, begin.Add(test.passed))
+			elapsed = test.elapsed
+			So(clock.Now(), ShouldEqual, start.Add(test.elapsed))
 			So(clock.Now().Before(until), ShouldEqual, test.held)
 		})
 	}
 }
 
-func TestAClockBeginsAtTheTimeOfDay(t *testing.T) {
-	Convey("and never goes back", t, func() {
+func TestSinceBootStartsAtWallTime(t *testing.T) {
+	Convey("it starts at the wall time and never goes backwards", t, func() {
 		before := wallNow()
 		clock := SinceBoot()
 		last := clock.Now()
--- a/pkg/timekeeper/instant.go
+++ b/pkg/timekeeper/instant.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Instant is a point in time in milliseconds since the Unix epoch.
+// Instant is a point in time, in milliseconds since the Unix epoch.
 type Instant int64
 
-// Span is a length of time in milliseconds. Negative spans are allowed.
+// Span is a duration in milliseconds. It may be negative.
 type Span int64
 
 // Common spans.
@@ -19,7 +19,7 @@
 	Hour             = 60 * Minute
 )
 
-// Add returns the instant that lies span after at.
+// Add returns the instant span after at.
 func (at Instant) Add(span Span) Instant {
 	return at + Instant(span)
 }
@@ -29,7 +29,7 @@
 	return Span(at - earlier)
 }
 
-// Before reports whether at lies strictly before other.
+// Before reports whether at is strictly before other.
 func (at Instant) Before(other Instant) bool {
 	return at < other
 }
@@ -44,7 +44,7 @@
 	return at.Time().Format("2006-01-02T15:04:05.000Z07:00")
 }
 
-// FromTime returns the instant of a time.Time, truncated to milliseconds.
+// FromTime returns moment as an Instant, truncated to milliseconds.
 func FromTime(moment time.Time) Instant {
 	return Instant(moment.UnixMilli())
 }
@@ -54,18 +54,18 @@
 	return time.Duration(span) * time.Millisecond
 }
 
-// String returns span in the notation of time.Duration, such as "1.5s".
+// String formats span as a time.Duration does, such as "1.5s".
 func (span Span) String() string {
 	return span.Duration().String()
 }
 
-// MarshalText writes span in the notation of time.Duration.
+// MarshalText formats span as a time.Duration does.
 func (span Span) MarshalText() ([]byte, error) {
 	return []byte(span.String()), nil
 }
 
-// UnmarshalText reads a span such as "250ms" or "2m". It returns an error when
-// the text is not a duration or is not a whole number of milliseconds.
+// UnmarshalText parses a span such as "250ms" or "2m". It returns an error if text is
+// not a duration or not a whole number of milliseconds.
 func (span *Span) UnmarshalText(text []byte) error {
 	duration, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/pkg/timekeeper/manual.go
+++ b/pkg/timekeeper/manual.go
@@ -2,55 +2,55 @@
 
 import "sync"
 
-// Manual is a clock for tests: it stands still until Advance moves it.
-// Its methods may be called from several goroutines.
+// Manual is a clock for tests that advances only when Advance is called. Its methods
+// are safe for concurrent use.
 type Manual struct {
-	mu      sync.Mutex
-	now     Instant
-	waiting map[int]waiter
-	next    int
+	mu     sync.Mutex
+	now    Instant
+	timers map[int]manualTimer
+	nextID int
 }
 
-type waiter struct {
+type manualTimer struct {
 	due   Instant
 	fired chan Instant
 }
 
-// NewManual returns a manual clock that shows start.
+// NewManual returns a manual clock set to start.
 func NewManual(start Instant) *Manual {
-	return &Manual{now: start, waiting: map[int]waiter{}}
+	return &Manual{now: start, timers: map[int]manualTimer{}}
 }
 
-// Clock returns a Clock that reads the manual clock.
+// Clock returns a Clock that uses the manual clock.
 func (manual *Manual) Clock() Clock {
 	return Clock{Now: manual.Now, After: manual.after}
 }
 
-// Now returns the instant that the clock shows.
+// Now returns the current instant of the manual clock.
 func (manual *Manual) Now() Instant {
 	manual.mu.Lock()
 	defer manual.mu.Unlock()
 	return manual.now
 }
 
-// Advance moves the clock forward by span and fires every timer that is due.
-// Advance panics when span is negative.
+// Advance moves the clock forward by span and fires every timer that is due. It panics
+// if span is negative.
 func (manual *Manual) Advance(span Span) {
 	if span < 0 {
-		panic(badAdvance)
+		panic(negativeAdvance)
 	}
 	manual.mu.Lock()
 	defer manual.mu.Unlock()
 	manual.now = manual.now.Add(span)
-	for id, wait := range manual.waiting {
-		if wait.due <= manual.now {
-			wait.fired <- manual.now
-			delete(manual.waiting, id)
+	for id, timer := range manual.timers {
+		if timer.due <= manual.now {
+			timer.fired <- manual.now
+			delete(manual.timers, id)
 		}
 	}
 }
 
-const badAdvance = "timekeeper: a clock can't be moved back"
+const negativeAdvance = "timekeeper: a clock can't be moved back"
 
 func (manual *Manual) after(span Span) (fired <-chan Instant, release func()) {
 	manual.mu.Lock()
@@ -60,14 +60,14 @@
 		out <- manual.now
 		return out, func() {}
 	}
-	id := manual.next
-	manual.next++
-	manual.waiting[id] = waiter{due: manual.now.Add(span), fired: out}
-	return out, func() { manual.forget(id) }
+	id := manual.nextID
+	manual.nextID++
+	manual.timers[id] = manualTimer{due: manual.now.Add(span), fired: out}
+	return out, func() { manual.removeTimer(id) }
 }
 
-func (manual *Manual) forget(id int) {
+func (manual *Manual) removeTimer(id int) {
 	manual.mu.Lock()
 	defer manual.mu.Unlock()
-	delete(manual.waiting, id)
+	delete(manual.timers, id)
 }
