--- a/cmd/trefoilseam/process.go
+++ b/cmd/trefoilseam/process.go
@@ -76,8 +76,8 @@
 // builtProcess is a process that is ready to run.
 type builtProcess struct {
 	addTo func(group *run.Group)
-	// drainError, called once the group has ended, reports requests that the stop
-	// aborted; it may be nil.
+	// drainError, called once the group has ended, reports the calls that the stop
+	// cut off; it may be nil.
 	drainError func() error
 }
 
