--- a/cmd/trefoilseam/change.go
+++ b/cmd/trefoilseam/change.go
@@ -14,7 +14,7 @@
 	"github.com/trefoilseam/trefoilseam/internal/storekeeper"
 )
 
-// unset is the default of revision flags, for a flag that was not given.
+// unset is the default of revision flags.
 const unset = -1
 
 // connect returns a client of the platform, and a function that closes it.
@@ -55,8 +55,8 @@
 		})
 }
 
-// readBundle returns one side of a diff: the files if a base file is given, else an
-// accepted revision.
+// readBundle returns one side of a diff: the files if a base file is given, else the
+// accepted revision; unset means the revision in force.
 func readBundle(ctx context.Context, inputs files, platform storekeeper.Platform, revision int64) (resolver.Bundle, error) {
 	if inputs.base != "" {
 		sources, err := inputs.checked()
--- a/cmd/trefoilseam/config.go
+++ b/cmd/trefoilseam/config.go
@@ -28,7 +28,8 @@
 	})
 }
 
-// read loads the files and reports the faults of all of them together.
+// read loads the files. It reports all unreadable files and all overlays without a site
+// together.
 func (files *files) read() (resolver.Sources, error) {
 	if files.base == "" {
 		return resolver.Sources{}, eris.Wrap(errUsage, "name the base file with -base FILE")
@@ -76,7 +77,7 @@
 	return sources, nil
 }
 
-// subcommand returns a command below config; flags must be registered before.
+// subcommand returns a command below config; flags names it and holds its flags.
 func subcommand(flags *flag.FlagSet, usage, help string, exec func(ctx context.Context) error) *ffcli.Command {
 	name := flags.Name()[strings.LastIndex(flags.Name(), " ")+1:]
 	return &ffcli.Command{
--- a/cmd/trefoilseam/direct.go
+++ b/cmd/trefoilseam/direct.go
@@ -20,8 +20,8 @@
 // lines are written.
 const logFlushTimeout = 200 * timekeeper.Millisecond
 
-// runDirect runs an entry that sends requests to replicas without agents, until it
-// is stopped.
+// runDirect runs an entry that sends requests directly to replicas, not through agents,
+// until it is stopped.
 func runDirect(ctx context.Context, file string) error {
 	if file == "" {
 		return eris.Wrap(errUsage, "name the settings: trefoilseam entry -direct -settings FILE")
@@ -53,7 +53,8 @@
 }
 
 // queueLog sends log to standard output through a non-blocking queue. dropped returns
-// the number of dropped lines; flush writes the queued lines.
+// the number of dropped lines; flush writes the queued lines and stops the queue, and
+// gives up after logFlushTimeout.
 func queueLog(log *logrus.Logger) (dropped func() int64, flush func()) {
 	formatDropped := func(dropped int64) []byte { return formatDroppedLines(log, dropped) }
 	queue, release := logger.NewQueue(os.Stdout, formatDropped)
--- a/cmd/trefoilseam/experiment.go
+++ b/cmd/trefoilseam/experiment.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// siteSize names the simulated site and overrides its sizes; zero keeps its default.
+// siteSize selects the simulated site and overrides its numbers of entries and engines
+// and its digest interval; a zero field keeps the value of the site.
 type siteSize struct {
 	name             string
 	entries, engines int
--- a/cmd/trefoilseam/main.go
+++ b/cmd/trefoilseam/main.go
@@ -73,7 +73,7 @@
 			auditCommand(),
 			configCommand(),
 			strikesCommand(),
-			processStatusCommand(),
+			statusCommand(),
 			explainCommand(),
 			experimentCommand(),
 			versionCommand(),
--- a/cmd/trefoilseam/process.go
+++ b/cmd/trefoilseam/process.go
@@ -76,13 +76,14 @@
 // builtProcess is a process that is ready to run.
 type builtProcess struct {
 	addTo func(group *run.Group)
-	// drainError, called once the group has ended, reports the calls that the stop
-	// cut off; it may be nil.
+	// drainError reports the calls that the stop cut off. It is called after the group
+	// has ended; a nil drainError means that the process has nothing to report.
 	drainError func() error
 }
 
-// run runs the process. The group returns the error of the actor that ended first,
-// which during a stop is the signal handler, so drainError is read afterwards.
+// run runs the process. The group returns only the error of the actor that ended first.
+// During a stop that actor is the signal handler, so run calls drainError after the group
+// has ended.
 func (process builtProcess) run() error {
 	var group run.Group
 	process.addTo(&group)
@@ -94,7 +95,7 @@
 }
 
 // entryCommand returns the command that runs an entry; with -direct, the entry sends
-// requests to replicas without agents.
+// requests directly to replicas, not through agents.
 func entryCommand() *ffcli.Command {
 	command := entryWithAgentsCommand()
 	direct := command.FlagSet.Bool("direct", false, "send requests to replicas without agents, as the platform's store lists them")
--- a/cmd/trefoilseam/record.go
+++ b/cmd/trefoilseam/record.go
@@ -12,8 +12,8 @@
 )
 
 // proposeAndRecord submits a proposal and writes the accepted change to the fleet's
-// audit record. Without it, an audit would find revisions in force that were never
-// accepted.
+// audit record. Without this record, an audit would find revisions in force that were
+// never accepted.
 func proposeAndRecord(
 	ctx context.Context, platform storekeeper.Platform, proposal publisher.Proposal,
 ) (publisher.Result, error) {
--- a/cmd/trefoilseam/status.go
+++ b/cmd/trefoilseam/status.go
@@ -39,7 +39,7 @@
 	Replicas []reporter.ReplicaStatus `json:"members"`
 }
 
-func processStatusCommand() *ffcli.Command {
+func statusCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("trefoilseam status", flag.ContinueOnError)
 	admin := flags.String("admin", "", "admin address of one process")
 	platform := flags.String("platform", "", "address of the platform: ask every agent on its list about itself")
@@ -124,8 +124,8 @@
 // make a burst of dials from one machine.
 const statusWorkers = 32
 
-// statusOf returns the status of an instance, from the digest of its agent where it
-// answers.
+// statusOf returns the status of an instance from the digest of its agent, or the state
+// silent if the agent doesn't answer.
 func statusOf(ctx context.Context, pool *dialer.Pool, instance storekeeper.Instance) reporter.ReplicaStatus {
 	status := reporter.ReplicaStatus{
 		Service: instance.Service, Name: instance.Name, Site: instance.Site, Address: instance.Address,
--- a/cmd/trefoilseam/strikes.go
+++ b/cmd/trefoilseam/strikes.go
@@ -17,11 +17,11 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// strikesPage is the number of strikes per read of the table.
+// strikesPage is the maximum number of strikes per read of the table.
 const strikesPage = 256
 
-// strikesCommand returns the commands that list and lift strikes: verdicts on requests
-// that crash upstreams.
+// strikesCommand returns the commands that list and lift the strikes of requests that
+// were in flight when an upstream crashed.
 func strikesCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "strikes",
--- a/cmd/trefoilseam/survey.go
+++ b/cmd/trefoilseam/survey.go
@@ -17,8 +17,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// awaitRevision waits until every known process has the revision in force. After
-// timeout it prints the processes that lag.
+// awaitRevision waits until every process that the survey finds has the revision in
+// force. After timeout it prints the processes that lag and returns an error.
 func awaitRevision(ctx context.Context, platform storekeeper.Platform, revision uint64, timeout time.Duration) error {
 	const pollInterval = 250 * timekeeper.Millisecond
 	pool, release := dialer.NewPool(dialer.Settings{})
