--- a/internal/explainer/timeline.go
+++ b/internal/explainer/timeline.go
@@ -18,9 +18,9 @@
 var ErrRequestNotFound = eris.New("no line names the request")
 
 const (
-	// Lines about the replicas and processes of a request belong to its timeline from
-	// windowBefore its first line to windowAfter its last. Older states have changed
-	// since, or still hold.
+	// windowBefore and windowAfter extend the time from the first to the last line of a
+	// request. Lines about its replicas and processes belong to its timeline only within
+	// that time: a state that was logged earlier has changed since, or still holds.
 	windowBefore = 3 * time.Second
 	windowAfter  = time.Second
 	maxLineBytes = 1 << 20
@@ -38,12 +38,12 @@
 	Fields []Field
 }
 
-// Field is a log field that Line has no member for.
+// Field is a further log field, as name and value.
 type Field struct {
 	Name, Value string
 }
 
-// lineHeader holds the log fields that Line has members for.
+// lineHeader holds the log fields that have their own fields in Line.
 type lineHeader struct {
 	At      time.Time `json:"time"`
 	Process string    `json:"process"`
--- a/internal/logger/format_test.go
+++ b/internal/logger/format_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// BenchmarkLine measures the cost of logging a line with the fields of a placement.
+// BenchmarkLine measures what a request pays for a log line with the fields of a placement.
 func BenchmarkLine(b *testing.B) {
 	for _, format := range []Format{JSON, Logfmt} {
 		b.Run(string(format), func(b *testing.B) {
