--- a/pkg/timekeeper/boot.go
+++ b/pkg/timekeeper/boot.go
@@ -24,7 +24,7 @@
 	})
 }
 
-// clockFrom returns a clock that starts at start and advances by elapsed.
+// clockFrom returns a clock that shows start plus elapsed().
 func clockFrom(start Instant, elapsed func() Span) Clock {
 	now := func() Instant { return start.Add(elapsed()) }
 	return Clock{Now: now, After: func(span Span) (<-chan Instant, func()) { return timerOn(now, span) }}
--- a/pkg/timekeeper/clock.go
+++ b/pkg/timekeeper/clock.go
@@ -15,7 +15,7 @@
 	After func(span Span) (<-chan Instant, func())
 }
 
-// Wall returns a clock of the wall time. It follows when the wall time is set.
+// Wall returns the wall clock. It jumps when the system time is set.
 func Wall() Clock {
 	return Clock{Now: wallNow, After: wallAfter}
 }
--- a/pkg/timekeeper/doc.go
+++ b/pkg/timekeeper/doc.go
@@ -1,4 +1,4 @@
-// Package timekeeper provides the only time types and clocks that trefoilseam uses.
+// Package timekeeper provides the time types and clocks of trefoilseam.
 //
 // Every Instant and every Span is a whole number of milliseconds, so a field of either
 // type needs no unit in its name. A Clock is a concrete value with function fields:
