--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -30,11 +30,12 @@
 	// Client sends the requests; nil means a client without keep-alive, so that the
 	// transport never resends a request by itself.
 	Client *http.Client
-	// Clock times the pauses between tries; the zero value means the wall clock.
+	// Clock times the pauses between tries and the expiry of cached keys; the zero value
+	// means the wall clock.
 	Clock timekeeper.Clock
 }
 
-// Errors that Send wraps.
+// Errors that Send and KeyCache.Take wrap.
 var (
 	// ErrUnknown means that the call may have run and its answer is not available.
 	ErrUnknown = eris.New("whether the call ran is not known")
@@ -124,8 +125,8 @@
 // send makes a call with call.Key, or without a key if that is empty.
 func (caller *Caller) send(ctx context.Context, call Call) (Answer, error) {
 	pause := caller.settings.Pause
-	// After one try without an answer the call may have run, even if a later try
-	// reports that it did not run.
+	// After one try whose outcome is unknown, the call may have run: a later refusal says
+	// only that the later try did not run.
 	mayHaveRun := false
 	var last error
 	for try := range caller.settings.Tries {
@@ -134,7 +135,7 @@
 			return answer, nil
 		}
 		last = outcome.err
-		mayHaveRun = mayHaveRun || outcome.possiblyRan
+		mayHaveRun = mayHaveRun || outcome.mayHaveRun
 		if !outcome.retry || caller.wait(ctx, max(pause, outcome.wait)) != nil {
 			break
 		}
@@ -148,21 +149,21 @@
 
 // outcome is the result of one try.
 type outcome struct {
-	err         error
-	possiblyRan bool
-	retry       bool
-	wait        timekeeper.Span
+	err        error
+	mayHaveRun bool
+	retry      bool
+	wait       timekeeper.Span
 }
 
 func (caller *Caller) try(ctx context.Context, call Call, try int) (Answer, outcome) {
 	response, err := caller.do(ctx, call, try)
 	if err != nil {
-		return Answer{}, outcome{err: err, possiblyRan: true, retry: ctx.Err() == nil}
+		return Answer{}, outcome{err: err, mayHaveRun: true, retry: ctx.Err() == nil}
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Answer{}, outcome{err: err, possiblyRan: true, retry: ctx.Err() == nil}
+		return Answer{}, outcome{err: err, mayHaveRun: true, retry: ctx.Err() == nil}
 	}
 	if problem, ok := problemOf(response.Header, body); ok {
 		return Answer{}, outcomeOf(problem, response.Header)
@@ -175,12 +176,12 @@
 func outcomeOf(problem Problem, header http.Header) outcome {
 	retryAfter := header.Get("Retry-After")
 	seconds, _ := strconv.Atoi(retryAfter)
-	possiblyRan := problem.Ran != "no"
+	mayHaveRun := problem.Ran != "no"
 	return outcome{
-		err:         problem,
-		possiblyRan: possiblyRan,
-		retry:       retryAfter != "" || possiblyRan,
-		wait:        timekeeper.Span(seconds) * timekeeper.Second,
+		err:        problem,
+		mayHaveRun: mayHaveRun,
+		retry:      retryAfter != "" || mayHaveRun,
+		wait:       timekeeper.Span(seconds) * timekeeper.Second,
 	}
 }
 
--- a/pkg/caller/caller_test.go
+++ b/pkg/caller/caller_test.go
@@ -16,8 +16,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// instantClock returns a clock whose waits end at once.
-func instantClock() timekeeper.Clock {
+// noWaitClock returns a clock whose timers fire at once.
+func noWaitClock() timekeeper.Clock {
 	manual := timekeeper.NewManual(0)
 	clock := manual.Clock()
 	clock.After = func(timekeeper.Span) (<-chan timekeeper.Instant, func()) {
@@ -44,7 +44,7 @@
 	}))
 	defer server.Close()
 
-	client := caller.New(caller.Settings{Entries: []string{server.URL}, Key: "team-key", Clock: instantClock()})
+	client := caller.New(caller.Settings{Entries: []string{server.URL}, Key: "team-key", Clock: noWaitClock()})
 	order := caller.Call{Method: http.MethodPost, Path: "/orders", Body: []byte(`{"meals":40}`)}
 	answer, err := client.Send(context.Background(), order.WithKey("lunch-1"))
 	fmt.Println(string(answer.Body), err)
@@ -77,7 +77,7 @@
 	// lost or repeated when the caller resumes with the id of the last event.
 	server := cutServer()
 	defer server.Close()
-	client := caller.New(caller.Settings{Entries: []string{server.URL}, Clock: instantClock()})
+	client := caller.New(caller.Settings{Entries: []string{server.URL}, Clock: noWaitClock()})
 	Convey("each event is delivered once, in order", t, func() {
 		var got []string
 		call := caller.Call{Method: http.MethodPost, Path: "/v1/chat/completions"}
@@ -119,7 +119,7 @@
 				test.answer(w)
 			}))
 			defer server.Close()
-			client := caller.New(caller.Settings{Entries: []string{server.URL}, Tries: 3, Clock: instantClock()})
+			client := caller.New(caller.Settings{Entries: []string{server.URL}, Tries: 3, Clock: noWaitClock()})
 			_, err := client.Send(t.Context(), caller.Call{Method: http.MethodPost, Path: "/orders"})
 			So(eris.Is(err, test.want), ShouldBeTrue)
 			mu.Lock()
--- a/pkg/caller/key_cache.go
+++ b/pkg/caller/key_cache.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// keysPath is the path that mints keys.
+	// keysPath is the path of requests for minted keys.
 	keysPath = "/v1/keys"
 	// keyCacheSize is the number of keys per request.
 	keyCacheSize = 16
@@ -23,9 +23,9 @@
 )
 
 // KeyCache holds minted keys for later calls. Calls with a minted key need no store, so
-// they succeed during an outage of the store. A key names one agent: if that agent is
+// an outage of the store doesn't stop them. A key names one agent: if that agent is
 // replaced before the key is used, a call with the key can't run and ends with
-// ErrUnknown. A caller that knows that it had not sent the key before may take another.
+// ErrUnknown. A caller that knows that it never sent the key before may take another.
 type KeyCache struct {
 	caller  *Caller
 	service string
@@ -64,7 +64,7 @@
 	cache.keys = nil
 }
 
-// fill fetches new keys; the caller must hold mu.
+// fill fetches new keys; mu must be held.
 func (cache *KeyCache) fill(ctx context.Context) error {
 	request, err := json.Marshal(keyRequest{Service: cache.service, Count: keyCacheSize})
 	if err != nil {
--- a/pkg/caller/key_cache_test.go
+++ b/pkg/caller/key_cache_test.go
@@ -37,7 +37,7 @@
 		{"the second key", 0, false, "b1"},
 		{"a new batch", 0, false, "a2"},
 		{"a batch that is about to expire", 56 * timekeeper.Minute, false, "a3"},
-		{"a batch whose agent was removed", 0, true, "a4"},
+		{"a batch after Drop", 0, true, "a4"},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
--- a/pkg/caller/stream.go
+++ b/pkg/caller/stream.go
@@ -24,15 +24,15 @@
 // ErrCut means that a stream ended before its terminal event and could not be resumed.
 var ErrCut = eris.New("the stream was cut")
 
-// Stream makes a call whose answer is an event stream and passes each event to take
-// once, in order. When the connection breaks, it resumes after the last event that was
-// passed to take. It returns nil only after the terminal event; an error of take ends
-// the stream and is returned.
+// Stream makes a call whose answer is an event stream and passes its events to take in
+// order, each once if every event has an id. When the connection breaks, it resumes after
+// the last event with an id; it can't resume if events came and none had an id. It returns
+// nil only after the terminal event; an error of take ends the stream and is returned.
 func (caller *Caller) Stream(ctx context.Context, call Call, take func(event Event) error) error {
 	var last progress
 	var failed error
 	pause := caller.settings.Pause
-	for try, failures := 0, 0; failures < caller.settings.Tries; try++ {
+	for try, triesWithoutEvent := 0, 0; triesWithoutEvent < caller.settings.Tries; try++ {
 		before := last.events
 		complete, err := caller.readConnection(ctx, call, try, &last, take)
 		if complete {
@@ -43,9 +43,9 @@
 			return permanent.err
 		}
 		failed = err
-		failures++
+		triesWithoutEvent++
 		if last.events > before {
-			failures, pause = 0, caller.settings.Pause
+			triesWithoutEvent, pause = 0, caller.settings.Pause
 		}
 		if last.events > 0 && last.id == "" {
 			// Without an id the stream can't be resumed after its last event.
@@ -77,14 +77,14 @@
 	return permanent.err.Error()
 }
 
-// retryableRefusal is a refusal with a Retry-After.
+// retryableRefusal is a refusal whose Retry-After is a number of seconds other than 0.
 type retryableRefusal struct {
 	Problem
 	wait timekeeper.Span
 }
 
-// readConnection reads events from one connection. It returns true after the terminal
-// event.
+// readConnection sends the call once, resumed after last.id if that is set, and passes
+// the events of the connection to take. It returns true after the terminal event.
 func (caller *Caller) readConnection(
 	ctx context.Context, call Call, try int, last *progress, take func(event Event) error,
 ) (bool, error) {
@@ -128,7 +128,9 @@
 	return call
 }
 
-// readRefusal reads a refusal; it is a permanentError unless it has a Retry-After.
+// readRefusal returns the error of a refusal: a retryableRefusal if the body is a Problem
+// and Retry-After is a number of seconds other than 0, else a permanentError. An error
+// while reading the body is returned as it is.
 func readRefusal(response *http.Response) error {
 	const limit = 64 << 10
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit))
@@ -146,8 +148,9 @@
 	return retryableRefusal{Problem: problem, wait: outcome.wait}
 }
 
-// readEvent reads one event. It returns io.ErrUnexpectedEOF at the end of the stream,
-// since the caller stops reading a complete stream at its terminal event.
+// readEvent reads one event. It returns io.ErrUnexpectedEOF when the stream ends or
+// breaks: readConnection stops at the terminal event, so it never reads a complete stream
+// to its end.
 func readEvent(in *bufio.Reader) (Event, error) {
 	var event Event
 	for {
