--- a/cmd/trefoilseam/strikes.go
+++ b/cmd/trefoilseam/strikes.go
@@ -17,10 +17,11 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// strikesPage is how many strikes one read of the table returns.
+// strikesPage is the maximum number of strikes per read of the table.
 const strikesPage = 256
 
-// strikesCommand is the operators' view of requests that crash upstreams.
+// strikesCommand returns the commands that list and lift the strikes of requests that
+// were in flight when an upstream crashed.
 func strikesCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "strikes",
