--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -11,11 +11,11 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// LongestPoll bounds limits.poll-every. A change that comes just after a look
+// MaxPollInterval bounds limits.poll-every. A change that comes just after a look
 // waits for the poll with a fifth of jitter, and three calls to the store, the
 // old look's among them: 7.2 s and, with a store that takes 1.5 s for each,
 // 4.5 s. That is under the bound of 13 s also when no peer carries the news.
-const LongestPoll = 6 * timekeeper.Second
+const MaxPollInterval = 6 * timekeeper.Second
 
 // checker collects the faults between the values of one site.
 type checker struct {
@@ -181,8 +181,8 @@
 
 func (check *checker) limits(config Config) {
 	limits := config.Limits
-	if limits.PollEvery < 0 || limits.PollEvery > LongestPoll {
-		check.add(Path{"limits", "poll-every"}, "write at most "+LongestPoll.String(), "limits.poll-every is %s", limits.PollEvery)
+	if limits.PollEvery < 0 || limits.PollEvery > MaxPollInterval {
+		check.add(Path{"limits", "poll-every"}, "write at most "+MaxPollInterval.String(), "limits.poll-every is %s", limits.PollEvery)
 	}
 	for _, number := range []setting{
 		{"order-lease", int64(limits.OrderLease)}, {"store-reads", int64(limits.StoreReads)}, {"store-writes", int64(limits.StoreWrites)},
