--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -192,7 +192,7 @@
 
 // draw returns the wait that a rule gives for a random draw.
 func (watcher *Watcher) draw(rule func(standing Standing, every timekeeper.Span, draw float64) timekeeper.Span) timekeeper.Span {
-	every := watcher.Current().Limits.WithDefaults().PollEvery
+	every := watcher.Current().Limits.WithDefaults().PollInterval
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	return rule(watcher.standing, every, watcher.draws.Float64())
--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -181,8 +181,8 @@
 
 func (check *checker) limits(config Config) {
 	limits := config.Limits
-	if limits.PollEvery < 0 || limits.PollEvery > MaxPollInterval {
-		check.add(Path{"limits", "poll-every"}, "write at most "+MaxPollInterval.String(), "limits.poll-every is %s", limits.PollEvery)
+	if limits.PollInterval < 0 || limits.PollInterval > MaxPollInterval {
+		check.add(Path{"limits", "poll-every"}, "write at most "+MaxPollInterval.String(), "limits.poll-every is %s", limits.PollInterval)
 	}
 	for _, number := range []setting{
 		{"order-lease", int64(limits.OrderLease)}, {"store-reads", int64(limits.StoreReads)}, {"store-writes", int64(limits.StoreWrites)},
--- a/internal/resolver/site.go
+++ b/internal/resolver/site.go
@@ -45,8 +45,8 @@
 
 // Limits bound what each process spends on the platform's store.
 type Limits struct {
-	// PollEvery is the mean time between two looks at the head; zero means 2 seconds.
-	PollEvery timekeeper.Span `toml:"poll-every"`
+	// PollInterval is the mean time between two looks at the head; zero means 2 seconds.
+	PollInterval timekeeper.Span `toml:"poll-every"`
 	// OrderLease is how long a planner holds its lease; zero means 30 seconds.
 	OrderLease timekeeper.Span `toml:"order-lease"`
 	// StoreReads is how many reads a second a process makes at most; zero means 20.
@@ -65,7 +65,7 @@
 
 // WithDefaults returns the limits with every zero replaced by its default.
 func (limits Limits) WithDefaults() Limits {
-	limits.PollEvery = cmp.Or(limits.PollEvery, DefaultPollEvery)
+	limits.PollInterval = cmp.Or(limits.PollInterval, DefaultPollEvery)
 	limits.OrderLease = cmp.Or(limits.OrderLease, DefaultOrderLease)
 	limits.StoreReads = cmp.Or(limits.StoreReads, DefaultStoreReads)
 	limits.StoreWrites = cmp.Or(limits.StoreWrites, DefaultStoreWrites)
