--- a/internal/resolver/site.go
+++ b/internal/resolver/site.go
@@ -57,7 +57,7 @@
 
 // Defaults of the limits.
 const (
-	DefaultPollEvery   = 2 * timekeeper.Second
+	DefaultPollInterval   = 2 * timekeeper.Second
 	DefaultOrderLease  = 30 * timekeeper.Second
 	DefaultStoreReads  = 20
 	DefaultStoreWrites = 50
@@ -65,7 +65,7 @@
 
 // WithDefaults returns the limits with every zero replaced by its default.
 func (limits Limits) WithDefaults() Limits {
-	limits.PollInterval = cmp.Or(limits.PollInterval, DefaultPollEvery)
+	limits.PollInterval = cmp.Or(limits.PollInterval, DefaultPollInterval)
 	limits.OrderLease = cmp.Or(limits.OrderLease, DefaultOrderLease)
 	limits.StoreReads = cmp.Or(limits.StoreReads, DefaultStoreReads)
 	limits.StoreWrites = cmp.Or(limits.StoreWrites, DefaultStoreWrites)
