--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -112,7 +112,7 @@
 		{"first-byte", int64(service.FirstByte)},
 		{"longest-order", int64(service.LongestOrder)},
 		{"free-calls", int64(service.FreeCalls)},
-		{"oldest-mean", int64(service.OldestMean)},
+		{"oldest-mean", int64(service.MaxMeanAge)},
 		{"ageing", int64(service.Ageing)},
 		{"cache-tokens", service.CacheTokens},
 		{"urgent-slots", int64(valueOf(service.UrgentSlots))},
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -64,9 +64,9 @@
 	// FreeCalls is how many calls a replica takes whatever the load factor
 	// says; zero means none.
 	FreeCalls int `toml:"free-calls"`
-	// OldestMean is the age past which the service's mean load sets no bound;
+	// MaxMeanAge is the age past which the service's mean load sets no bound;
 	// zero means 5 seconds.
-	OldestMean timekeeper.Span `toml:"oldest-mean"`
+	MaxMeanAge timekeeper.Span `toml:"oldest-mean"`
 	// Ageing is the wait that lifts a call by one urgency; zero means half a second.
 	Ageing timekeeper.Span `toml:"ageing"`
 	// UnknownHold is how long a slot stays taken after a cancelled call whose
@@ -172,7 +172,7 @@
 	service.LongestCall = cmp.Or(service.LongestCall, DefaultLongestCall)
 	service.LongestDrain = cmp.Or(service.LongestDrain, service.LongestCall)
 	service.FirstByte = cmp.Or(service.FirstByte, DefaultFirstByte)
-	service.OldestMean = cmp.Or(service.OldestMean, DefaultOldestMean)
+	service.MaxMeanAge = cmp.Or(service.MaxMeanAge, DefaultOldestMean)
 	service.Ageing = cmp.Or(service.Ageing, DefaultAgeing)
 	service.UrgentSlots = cmp.Or(service.UrgentSlots, new(service.Slots/slotsPerUrgent))
 	service.UnknownHold = cmp.Or(service.UnknownHold, new(DefaultUnknownHold))
--- a/internal/runner/slot.go
+++ b/internal/runner/slot.go
@@ -25,7 +25,7 @@
 		UrgentSlots: *service.UrgentSlots,
 		LoadFactor:  service.LoadFactor,
 		FreeCalls:   service.FreeCalls,
-		MaxMeanAge:  service.OldestMean,
+		MaxMeanAge:  service.MaxMeanAge,
 		Ageing:      service.Ageing,
 		Backoff:     admitter.Backoff{Draw: draw},
 	}
