--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -142,7 +142,7 @@
 	DefaultMaxBody     = 1 << 20
 	DefaultLongestCall = 10 * timekeeper.Minute
 	DefaultFirstByte   = 30 * timekeeper.Second
-	DefaultOldestMean  = 5 * timekeeper.Second
+	DefaultMaxMeanAge  = 5 * timekeeper.Second
 	DefaultAgeing      = timekeeper.Second / 2
 	DefaultUnknownHold = timekeeper.Second
 	DefaultSettleTime  = 10 * timekeeper.Minute
@@ -172,7 +172,7 @@
 	service.LongestCall = cmp.Or(service.LongestCall, DefaultLongestCall)
 	service.LongestDrain = cmp.Or(service.LongestDrain, service.LongestCall)
 	service.FirstByte = cmp.Or(service.FirstByte, DefaultFirstByte)
-	service.MaxMeanAge = cmp.Or(service.MaxMeanAge, DefaultOldestMean)
+	service.MaxMeanAge = cmp.Or(service.MaxMeanAge, DefaultMaxMeanAge)
 	service.Ageing = cmp.Or(service.Ageing, DefaultAgeing)
 	service.UrgentSlots = cmp.Or(service.UrgentSlots, new(service.Slots/slotsPerUrgent))
 	service.UnknownHold = cmp.Or(service.UnknownHold, new(DefaultUnknownHold))
