--- a/internal/assembler/planners.go
+++ b/internal/assembler/planners.go
@@ -32,7 +32,7 @@
 	startMissing := func(ctx context.Context) {
 		config := planners.entry.watcher.Current()
 		for _, name := range config.ServiceNames() {
-			if !started[name] && config.Services[name].Ordered() {
+			if !started[name] && config.Services[name].ReceivesOrders() {
 				started[name] = true
 				running.Go(func() { planners.planner(name).Run(ctx) })
 			}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -84,7 +84,7 @@
 		LongestOrder: service.LongestOrder,
 		EnginesCheck: service.ChecksOrders,
 	}
-	return terms, service, ok && service.Ordered()
+	return terms, service, ok && service.ReceivesOrders()
 }
 
 // Step looks at the lease once, orders what is due, and returns the time to
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -118,8 +118,8 @@
 	LoadsPerMinute int `toml:"loads-a-minute"`
 }
 
-// Ordered reports whether the service's engines are given orders.
-func (service Service) Ordered() bool {
+// ReceivesOrders reports whether the service's engines are given orders.
+func (service Service) ReceivesOrders() bool {
 	return len(service.Adapters) > 0 || service.Role != "" || service.Version != ""
 }
 
