--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -102,7 +102,7 @@
 	}
 	made.service = route.Service
 	made.settings, _ = config.Service(route.Service)
-	made.idempotent = route.Repeatable(r.Method)
+	made.idempotent = route.IsIdempotent(r.Method)
 	if !made.idempotent && route.RequireKey && made.key == "" {
 		return call{}, classifier.New(classifier.KeyRequired, "")
 	}
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -223,8 +223,8 @@
 	return ok && (rest == "" || rest[0] == '/')
 }
 
-// Repeatable reports whether a call with the method may run twice.
-func (route Route) Repeatable(method string) bool {
+// IsIdempotent reports whether a call with the method may run twice.
+func (route Route) IsIdempotent(method string) bool {
 	if len(route.Idempotent) == 0 {
 		return method == "GET" || method == "HEAD" || method == "OPTIONS"
 	}
