--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -25,7 +25,7 @@
 	entry.logPlacement(call, route.Ranked())
 	entry.budgets.earn(call.service)
 	attempts := attempts{last: classifier.New(classifier.NoUpstream, call.service)}
-	deadline := entry.settings.Clock.Now().Add(call.settings.FirstByte)
+	deadline := entry.settings.Clock.Now().Add(call.settings.FirstByteTimeout)
 	for i := uint32(0); ; i++ {
 		call.left = deadline.Since(entry.settings.Clock.Now())
 		stop, ok := route.Next()
--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -109,7 +109,7 @@
 		{"max-body", service.MaxBody},
 		{"longest-call", int64(service.LongestCall)},
 		{"longest-drain", int64(service.LongestDrain)},
-		{"first-byte", int64(service.FirstByte)},
+		{"first-byte", int64(service.FirstByteTimeout)},
 		{"longest-order", int64(service.LongestOrder)},
 		{"free-calls", int64(service.FreeCalls)},
 		{"oldest-mean", int64(service.MaxMeanAge)},
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -93,8 +93,8 @@
 	LongestCall timekeeper.Span `toml:"longest-call"`
 	// LongestDrain is how long a stop waits for calls in flight; zero means LongestCall.
 	LongestDrain timekeeper.Span `toml:"longest-drain"`
-	// FirstByte is how long a caller waits for the first byte; zero means 30 seconds.
-	FirstByte timekeeper.Span `toml:"first-byte"`
+	// FirstByteTimeout is how long a caller waits for the first byte; zero means 30 seconds.
+	FirstByteTimeout timekeeper.Span `toml:"first-byte"`
 	// ResumeGrace is how long a stream whose caller is gone runs on, so that the
 	// caller can resume it; zero means 5 seconds.
 	ResumeGrace timekeeper.Span `toml:"resume-grace"`
@@ -171,7 +171,7 @@
 	service.MaxBody = cmp.Or(service.MaxBody, DefaultMaxBody)
 	service.LongestCall = cmp.Or(service.LongestCall, DefaultLongestCall)
 	service.LongestDrain = cmp.Or(service.LongestDrain, service.LongestCall)
-	service.FirstByte = cmp.Or(service.FirstByte, DefaultFirstByte)
+	service.FirstByteTimeout = cmp.Or(service.FirstByteTimeout, DefaultFirstByte)
 	service.MaxMeanAge = cmp.Or(service.MaxMeanAge, DefaultMaxMeanAge)
 	service.Ageing = cmp.Or(service.Ageing, DefaultAgeing)
 	service.UrgentSlots = cmp.Or(service.UrgentSlots, new(service.Slots/slotsPerUrgent))
