--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -141,7 +141,7 @@
 	DefaultQueueLength = 64
 	DefaultMaxBody     = 1 << 20
 	DefaultLongestCall = 10 * timekeeper.Minute
-	DefaultFirstByte   = 30 * timekeeper.Second
+	DefaultFirstByteTimeout   = 30 * timekeeper.Second
 	DefaultMaxMeanAge  = 5 * timekeeper.Second
 	DefaultAgeing      = timekeeper.Second / 2
 	DefaultUnknownHold = timekeeper.Second
@@ -171,7 +171,7 @@
 	service.MaxBody = cmp.Or(service.MaxBody, DefaultMaxBody)
 	service.LongestCall = cmp.Or(service.LongestCall, DefaultLongestCall)
 	service.LongestDrain = cmp.Or(service.LongestDrain, service.LongestCall)
-	service.FirstByteTimeout = cmp.Or(service.FirstByteTimeout, DefaultFirstByte)
+	service.FirstByteTimeout = cmp.Or(service.FirstByteTimeout, DefaultFirstByteTimeout)
 	service.MaxMeanAge = cmp.Or(service.MaxMeanAge, DefaultMaxMeanAge)
 	service.Ageing = cmp.Or(service.Ageing, DefaultAgeing)
 	service.UrgentSlots = cmp.Or(service.UrgentSlots, new(service.Slots/slotsPerUrgent))
