--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -121,7 +121,7 @@
 		return nil, nil, err
 	}
 	direct.fleet = balancer.Guard(balancer.New(balancer.Settings{
-		DataCentre: settings.DataCentre, Seed: newIncarnation(), LoadFactor: settings.Bound, MovePrice: settings.MovePrice,
+		DataCentre: settings.DataCentre, Seed: newIncarnation(), LoadFactor: settings.LoadFactor, MovePrice: settings.MovePrice,
 		ColdRateFactor: settings.Cold.Over, ColdSlack: settings.Cold.Slack,
 	}))
 	direct.pool, release = connector.NewPool(connector.Settings{
--- a/internal/loader/direct.go
+++ b/internal/loader/direct.go
@@ -40,9 +40,9 @@
 	// StopGrace is how long the platform waits before it kills a stopping
 	// process; zero means 8 s.
 	StopGrace timekeeper.Span `toml:"stop-grace"`
-	// Bound is how many times the mean of its service a replica may hold; zero
+	// LoadFactor is how many times the mean of its service a replica may hold; zero
 	// means 2.
-	Bound float64 `toml:"bound"`
+	LoadFactor float64 `toml:"bound"`
 	// MovePrice is how many prompt tokens that engines read cost the operators as
 	// much as a gigabyte that they hand each other; zero means 2,300.
 	MovePrice float64 `toml:"move-price"`
@@ -87,7 +87,7 @@
 func (direct Direct) WithDefaults() Direct {
 	direct.StopDelay = cmp.Or(direct.StopDelay, defaultStopDelay)
 	direct.StopGrace = cmp.Or(direct.StopGrace, defaultStopGrace)
-	direct.Bound = cmp.Or(direct.Bound, defaultBound)
+	direct.LoadFactor = cmp.Or(direct.LoadFactor, defaultBound)
 	direct.MovePrice = cmp.Or(direct.MovePrice, defaultMovePrice)
 	direct.Retry.Window = cmp.Or(direct.Retry.Window, defaultRetryWindow)
 	direct.Retry.Ratio = cmp.Or(direct.Retry.Ratio, defaultRetryRatio)
@@ -125,7 +125,7 @@
 		key   string
 		value float64
 	}{
-		{"stop-delay", float64(direct.StopDelay)}, {"stop-grace", float64(direct.StopGrace)}, {"bound", direct.Bound}, {"move-price", direct.MovePrice},
+		{"stop-delay", float64(direct.StopDelay)}, {"stop-grace", float64(direct.StopGrace)}, {"bound", direct.LoadFactor}, {"move-price", direct.MovePrice},
 		{"retry.window", float64(direct.Retry.Window)}, {"retry.ratio", direct.Retry.Ratio},
 		{"retry.extra", direct.Retry.Extra}, {"memory-megabytes", float64(direct.Memory)},
 		{"descriptors", float64(direct.Descriptors)}, {"cold.over", direct.Cold.Over}, {"cold.slack", direct.Cold.Slack},
--- a/internal/loader/direct_test.go
+++ b/internal/loader/direct_test.go
@@ -60,7 +60,7 @@
 			if len(test.want) == 0 {
 				So(direct.Retry.Window, ShouldEqual, 10*timekeeper.Second)
 				So(direct.Retry.Ratio, ShouldEqual, 0.2)
-				So(direct.Bound, ShouldEqual, 2)
+				So(direct.LoadFactor, ShouldEqual, 2)
 				So(direct.Cold.Over, ShouldBeBetweenOrEqual, 1, 1.5)
 				So(direct.StopDelay, ShouldEqual, defaultStopDelay)
 			}
