--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -146,7 +146,7 @@
 func (direct *Direct) Address() string { return addressOf(direct.listeners.frontend) }
 
 func limitMemory(settings loader.Direct) {
-	megabytes := settings.Memory
+	megabytes := settings.MemoryMegabytes
 	if megabytes == 0 {
 		megabytes = defaultMegabytes
 	}
@@ -165,7 +165,7 @@
 }
 
 func (direct *Direct) frontendSettings() relayer.Settings {
-	megabytes := direct.settings.Memory
+	megabytes := direct.settings.MemoryMegabytes
 	if megabytes == 0 {
 		megabytes = defaultMegabytes
 	}
--- a/internal/loader/direct.go
+++ b/internal/loader/direct.go
@@ -30,8 +30,8 @@
 	LogLevel string `toml:"log-level"`
 	// LogFormat is how lines are written; empty means JSON.
 	LogFormat logger.Format `toml:"log-format"`
-	// Memory is the process's limit in megabytes; zero means none.
-	Memory int `toml:"memory-megabytes"`
+	// MemoryMegabytes is the process's limit in megabytes; zero means none.
+	MemoryMegabytes int `toml:"memory-megabytes"`
 	// Descriptors is how many descriptors the process may have; zero means 1,024.
 	Descriptors int `toml:"descriptors"`
 	// StopDelay is how long a stopping entry says "not ready" and still takes
@@ -127,7 +127,7 @@
 	}{
 		{"stop-delay", float64(direct.StopDelay)}, {"stop-grace", float64(direct.StopGrace)}, {"bound", direct.LoadFactor}, {"move-price", direct.MovePrice},
 		{"retry.window", float64(direct.Retry.Window)}, {"retry.ratio", direct.Retry.Ratio},
-		{"retry.extra", direct.Retry.Extra}, {"memory-megabytes", float64(direct.Memory)},
+		{"retry.extra", direct.Retry.Extra}, {"memory-megabytes", float64(direct.MemoryMegabytes)},
 		{"descriptors", float64(direct.Descriptors)}, {"cold.over", direct.Cold.Over}, {"cold.slack", direct.Cold.Slack},
 	}
 	for _, number := range numbers {
