--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -122,7 +122,7 @@
 	}
 	direct.fleet = balancer.Guard(balancer.New(balancer.Settings{
 		DataCentre: settings.DataCentre, Seed: newIncarnation(), LoadFactor: settings.LoadFactor, MovePrice: settings.MovePrice,
-		ColdRateFactor: settings.Cold.Over, ColdSlack: settings.Cold.Slack,
+		ColdRateFactor: settings.Cold.RateFactor, ColdSlack: settings.Cold.Slack,
 	}))
 	direct.pool, release = connector.NewPool(connector.Settings{
 		Clock: direct.clock, Opened: func() { direct.scope.Counter("connections-opened").Inc(1) },
--- a/internal/loader/direct.go
+++ b/internal/loader/direct.go
@@ -55,8 +55,8 @@
 // Cold is how many requests a second the fleet as a whole may send to a replica that has
 // just started: the rate that its service tolerates, times Over, and Slack more.
 type Cold struct {
-	// Over is at least 1; zero means 1.
-	Over  float64 `toml:"over"`
+	// RateFactor is at least 1; zero means 1.
+	RateFactor  float64 `toml:"over"`
 	Slack float64 `toml:"slack"`
 }
 
@@ -92,7 +92,7 @@
 	direct.Retry.Window = cmp.Or(direct.Retry.Window, defaultRetryWindow)
 	direct.Retry.Ratio = cmp.Or(direct.Retry.Ratio, defaultRetryRatio)
 	direct.Retry.Extra = cmp.Or(direct.Retry.Extra, defaultRetryExtra)
-	direct.Cold.Over = cmp.Or(direct.Cold.Over, defaultColdOver)
+	direct.Cold.RateFactor = cmp.Or(direct.Cold.RateFactor, defaultColdOver)
 	return direct
 }
 
@@ -118,8 +118,8 @@
 	if !direct.LogFormat.Known() {
 		check.add("log-format", "write json or logfmt", "log-format is %q", string(direct.LogFormat))
 	}
-	if direct.Cold.Over != 0 && direct.Cold.Over < 1 {
-		check.add("cold.over", "write 1 or more or leave it out", "cold.over is %v, under the rate that a service tolerates", direct.Cold.Over)
+	if direct.Cold.RateFactor != 0 && direct.Cold.RateFactor < 1 {
+		check.add("cold.over", "write 1 or more or leave it out", "cold.over is %v, under the rate that a service tolerates", direct.Cold.RateFactor)
 	}
 	numbers := []struct {
 		key   string
@@ -128,7 +128,7 @@
 		{"stop-delay", float64(direct.StopDelay)}, {"stop-grace", float64(direct.StopGrace)}, {"bound", direct.LoadFactor}, {"move-price", direct.MovePrice},
 		{"retry.window", float64(direct.Retry.Window)}, {"retry.ratio", direct.Retry.Ratio},
 		{"retry.extra", direct.Retry.Extra}, {"memory-megabytes", float64(direct.MemoryMegabytes)},
-		{"descriptors", float64(direct.Descriptors)}, {"cold.over", direct.Cold.Over}, {"cold.slack", direct.Cold.Slack},
+		{"descriptors", float64(direct.Descriptors)}, {"cold.over", direct.Cold.RateFactor}, {"cold.slack", direct.Cold.Slack},
 	}
 	for _, number := range numbers {
 		if number.value < 0 {
--- a/internal/loader/direct_test.go
+++ b/internal/loader/direct_test.go
@@ -61,7 +61,7 @@
 				So(direct.Retry.Window, ShouldEqual, 10*timekeeper.Second)
 				So(direct.Retry.Ratio, ShouldEqual, 0.2)
 				So(direct.LoadFactor, ShouldEqual, 2)
-				So(direct.Cold.Over, ShouldBeBetweenOrEqual, 1, 1.5)
+				So(direct.Cold.RateFactor, ShouldBeBetweenOrEqual, 1, 1.5)
 				So(direct.StopDelay, ShouldEqual, defaultStopDelay)
 			}
 		})
