--- a/internal/assembler/control.go
+++ b/internal/assembler/control.go
@@ -57,7 +57,7 @@
 		Site:  settings.process.Site,
 		Seeds: settings.process.Peers,
 		Self:  settings.self,
-		Every: settings.process.MembershipRound,
+		Every: settings.process.MembershipInterval,
 	})
 	return ctrl
 }
@@ -66,7 +66,7 @@
 // membership round, so that a false alarm is as unlikely at any length of the round.
 func rulesOf(settings controlSettings) reporter.Rules {
 	const silenceRounds, coolRounds = 8, 10
-	round := settings.process.MembershipRound
+	round := settings.process.MembershipInterval
 	return reporter.Rules{Indirect: settings.self == nil, Silence: silenceRounds * round, Cool: coolRounds * round}
 }
 
--- a/internal/loader/process.go
+++ b/internal/loader/process.go
@@ -23,9 +23,9 @@
 	// Peers are addresses of agents that are asked for the configuration, and
 	// for who is live, when the platform doesn't answer at the start of the process.
 	Peers []string `toml:"peers"`
-	// MembershipRound is the time between two rounds in which the process hears
+	// MembershipInterval is the time between two rounds in which the process hears
 	// of others; zero means one second. How long silence is borne follows it.
-	MembershipRound timekeeper.Span `toml:"membership-round"`
+	MembershipInterval timekeeper.Span `toml:"membership-round"`
 	// LogLevel is a level of logrus; empty means "info".
 	LogLevel string `toml:"log-level"`
 }
