--- a/internal/assembler/watch.go
+++ b/internal/assembler/watch.go
@@ -42,7 +42,7 @@
 	return storekeeper.NewMeter(storekeeper.MeterSettings{
 		Clock: env.Clock,
 		Seed:  newIncarnation(),
-		Count: func(cause storekeeper.Cause, use storekeeper.Use) {
+		Count: func(cause storekeeper.Cause, use storekeeper.Outcome) {
 			scope.Tagged(map[string]string{labelCause: string(cause), "use": string(use)}).Counter("store-calls").Inc(1)
 		},
 		Rates: func() storekeeper.Rates {
--- a/internal/storekeeper/meter.go
+++ b/internal/storekeeper/meter.go
@@ -23,19 +23,19 @@
 	Failed int `json:"failed"`
 }
 
-// Use is what became of a call, as the metrics name it.
-type Use string
+// Outcome is what became of a call, as the metrics name it.
+type Outcome string
 
 // The uses. A call that failed was counted as read or written before.
 const (
-	Read    Use = "read"
-	Written Use = "written"
-	Refused Use = "refused"
-	Failed  Use = "failed"
+	Read    Outcome = "read"
+	Written Outcome = "written"
+	Refused Outcome = "refused"
+	Failed  Outcome = "failed"
 )
 
 // with returns the tally with one more use.
-func (tally Tally) with(use Use) Tally {
+func (tally Tally) with(use Outcome) Tally {
 	switch use {
 	case Read:
 		tally.Reads++
@@ -56,7 +56,7 @@
 	// Rates returns the bounds of each cause; nil means none.
 	Rates func() Rates
 	// Count takes each use for the metrics; nil means it is dropped.
-	Count func(cause Cause, use Use)
+	Count func(cause Cause, use Outcome)
 }
 
 // Meter stands between a process and its platform. It counts every read and
@@ -78,7 +78,7 @@
 		settings.Rates = func() Rates { return Rates{Reads: unbounded, Writes: unbounded} }
 	}
 	if settings.Count == nil {
-		settings.Count = func(Cause, Use) {}
+		settings.Count = func(Cause, Outcome) {}
 	}
 	return &Meter{
 		settings: settings,
@@ -184,7 +184,7 @@
 }
 
 // count notes one use; the lock must be held.
-func (meter *Meter) count(cause Cause, use Use) {
+func (meter *Meter) count(cause Cause, use Outcome) {
 	meter.tallies[cause] = meter.tallies[cause].with(use)
 	meter.settings.Count(cause, use)
 }
--- a/internal/storekeeper/meter_test.go
+++ b/internal/storekeeper/meter_test.go
@@ -36,7 +36,7 @@
 	counted := map[Cause]Tally{}
 	meter := NewMeter(MeterSettings{
 		Clock: clock.Clock(), Rates: func() Rates { return Rates{Reads: 3, Writes: 2} },
-		Count: func(cause Cause, use Use) { counted[cause] = counted[cause].with(use) },
+		Count: func(cause Cause, use Outcome) { counted[cause] = counted[cause].with(use) },
 	})
 	platform := meter.Wrap(stub(func() error { sent++; return failure }))
 	ctx := context.Background()
