--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -129,7 +129,7 @@
 		return false
 	}
 	answers := !fleet.down && !fleet.cut[i]
-	proc.budget = proc.budget.Settle(answers, fleet.draws.Float64(), fleet.now)
+	proc.budget = proc.budget.Record(answers, fleet.draws.Float64(), fleet.now)
 	if answers {
 		fleet.reads++
 	}
--- a/internal/storekeeper/budget.go
+++ b/internal/storekeeper/budget.go
@@ -94,13 +94,13 @@
 	return budget, budget.reads <= rates.Reads
 }
 
-// Settle takes in how a call ended: whether the store answered. draw is from
+// Record takes in how a call ended: whether the store answered. draw is from
 // [0, 1).
 //
 // The harm: a store that is slow holds each caller for the whole timeout, and
 // a store that comes back is met by all who waited. After a few failures in a
 // row calls end at once, until a pause with jitter is over.
-func (budget Budget) Settle(answered bool, draw float64, now timekeeper.Instant) Budget {
+func (budget Budget) Record(answered bool, draw float64, now timekeeper.Instant) Budget {
 	if answered {
 		budget.failures, budget.until = 0, 0
 		return budget
--- a/internal/storekeeper/meter.go
+++ b/internal/storekeeper/meter.go
@@ -198,6 +198,6 @@
 		meter.count(cause, Failed)
 	}
 	if cause.background() {
-		meter.budgets[cause] = meter.budgets[cause].Settle(answered, meter.draws.Float64(), now)
+		meter.budgets[cause] = meter.budgets[cause].Record(answered, meter.draws.Float64(), now)
 	}
 }
