--- a/internal/resolver/bundle.go
+++ b/internal/resolver/bundle.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Bundle is everything that operators accept together: the base file and the
-// overlay of each site, as text.
+// Bundle is the unit of configuration that operators accept: the texts of the
+// base file and of the overlay of each site.
 type Bundle struct {
 	Base     string            `json:"base"`
 	Overlays map[string]string `json:"overlays,omitempty"`
 }
 
-// Sources returns the files of the bundle under the names "base" and the site's.
+// Sources returns the texts of the bundle as files named "base" and "overlay SITE".
 func (bundle Bundle) Sources() Sources {
 	sources := Sources{Base: Source{File: "base", Text: []byte(bundle.Base)}}
 	for _, site := range slices.Sorted(maps.Keys(bundle.Overlays)) {
@@ -22,7 +22,7 @@
 	return sources
 }
 
-// Bundle returns the texts of the sources without their files' names.
+// Bundle returns the texts of the sources without the names of their files.
 func (sources Sources) Bundle() Bundle {
 	bundle := Bundle{Base: string(sources.Base.Text)}
 	for _, overlay := range sources.Overlays {
--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -11,13 +11,14 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// MaxPollInterval bounds limits.poll-every. A change that comes just after a look
-// waits for the poll with a fifth of jitter, and three calls to the store, the
-// old look's among them: 7.2 s and, with a store that takes 1.5 s for each,
-// 4.5 s. That is under the bound of 13 s also when no peer carries the news.
+// MaxPollInterval is the upper limit of limits.poll-every. A change that is
+// accepted just after a poll waits for the next one, up to 7.2 s with the jitter
+// of a fifth, and for three calls to the store, those of the earlier poll among
+// them: 4.5 s if the store takes 1.5 s for each. The sum is within the bound of
+// 13 s even if no peer sends the update.
 const MaxPollInterval = 6 * timekeeper.Second
 
-// checker collects the faults between the values of one site.
+// checker collects the faults in the configuration of one site.
 type checker struct {
 	doc    Document
 	faults Faults
@@ -27,8 +28,9 @@
 	check.faults = append(check.faults, check.doc.originOf(path).fault(fmt.Sprintf(reason, parts...), remedy))
 }
 
-// check returns what is wrong between the values of a configuration.
-func (config Config) check(doc Document) Faults {
+// validate returns the faults in the values of a configuration whose types are
+// right, such as numbers out of range and references to what doesn't exist.
+func (config Config) validate(doc Document) Faults {
 	check := &checker{doc: doc}
 	check.teams(config)
 	for _, name := range config.ServiceNames() {
@@ -43,7 +45,7 @@
 
 func (check *checker) teams(config Config) {
 	owners := map[string]string{}
-	for _, name := range check.doc.inOrder(teamsKey, slices.Sorted(maps.Keys(config.Teams))) {
+	for _, name := range check.doc.sortByPosition(teamsKey, slices.Sorted(maps.Keys(config.Teams))) {
 		team := config.Teams[name]
 		path := Path{teamsKey, name, "key-hashes"}
 		if team.Weight < 0 {
@@ -61,7 +63,7 @@
 func (check *checker) keyHash(path Path, team, hash string, owners map[string]string) {
 	const remedy = `write 64 digits of hexadecimal in lower case, as "printf %s KEY | sha256sum" prints them`
 	sum, err := hex.DecodeString(hash)
-	// Keys are looked up by their hash in lower case.
+	// Hashes are compared as text, in lower case, when a key is looked up.
 	if err != nil || len(sum) != 32 || hash != strings.ToLower(hash) {
 		check.add(path, remedy, "team %s has the key hash %q, which is no SHA-256", team, hash)
 		return
@@ -86,24 +88,24 @@
 	if service.LoadFactor != 0 && service.LoadFactor < 1 {
 		check.add(path.child("load-factor"), "write 1 or more", "service %s has the load factor %g", name, service.LoadFactor)
 	}
-	for _, number := range service.numbers() {
+	for _, number := range service.numericSettings() {
 		if number.value < 0 {
 			check.add(path.child(number.key), "write a positive number, or leave it out", "%s of service %s is negative", number.key, name)
 		}
 	}
-	if whole := service.WithDefaults(); *whole.UrgentSlots >= whole.Slots && whole.Slots > 0 {
-		check.add(path.child("urgent-slots"), "leave a slot for other work", "service %s keeps all %d slots for urgent work", name, whole.Slots)
+	if effective := service.WithDefaults(); *effective.UrgentSlots >= effective.Slots && effective.Slots > 0 {
+		check.add(path.child("urgent-slots"), "leave a slot for other work", "service %s keeps all %d slots for urgent work", name, effective.Slots)
 	}
 }
 
-// setting is a key with its value as a number.
-type setting struct {
+// numericSetting is a key and its value as a number.
+type numericSetting struct {
 	key   string
 	value int64
 }
 
-func (service Service) numbers() []setting {
-	return []setting{
+func (service Service) numericSettings() []numericSetting {
+	return []numericSetting{
 		{"slots", int64(service.Slots)},
 		{"queue-length", int64(service.QueueLength)},
 		{"max-body", service.MaxBody},
@@ -124,7 +126,7 @@
 	}
 }
 
-// valueOf returns what an optional setting holds, and zero when it is absent.
+// valueOf returns the value of an optional setting, or zero if it is absent.
 func valueOf[T any](setting *T) T {
 	var zero T
 	if setting == nil {
@@ -135,7 +137,7 @@
 
 func (check *checker) models(config Config) {
 	owners := map[string]string{}
-	for _, name := range check.doc.inOrder("services", config.ServiceNames()) {
+	for _, name := range check.doc.sortByPosition("services", config.ServiceNames()) {
 		for _, model := range config.Services[name].Models {
 			if owner, taken := owners[model]; taken {
 				path := Path{"services", name, "models"}
@@ -157,7 +159,7 @@
 			check.add(path.child("service"), remedy, "the route %s leads to service %q, which is not there", route.Path, route.Service)
 		}
 		for _, method := range route.Idempotent {
-			if !slices.Contains(methods[:], method) {
+			if !slices.Contains(knownMethods[:], method) {
 				remedy := "write methods such as GET in capitals"
 				check.add(path.child("idempotent-methods"), remedy, "the route %s has the unknown method %q", route.Path, method)
 			}
@@ -165,7 +167,7 @@
 	}
 }
 
-var methods = [...]string{
+var knownMethods = [...]string{
 	http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPost,
 	http.MethodPut, http.MethodPatch, http.MethodDelete,
 }
@@ -184,7 +186,7 @@
 	if limits.PollInterval < 0 || limits.PollInterval > MaxPollInterval {
 		check.add(Path{"limits", "poll-every"}, "write at most "+MaxPollInterval.String(), "limits.poll-every is %s", limits.PollInterval)
 	}
-	for _, number := range []setting{
+	for _, number := range []numericSetting{
 		{"order-lease", int64(limits.OrderLease)}, {"store-reads", int64(limits.StoreReads)}, {"store-writes", int64(limits.StoreWrites)},
 	} {
 		if number.value < 0 {
--- a/internal/resolver/check_test.go
+++ b/internal/resolver/check_test.go
@@ -12,7 +12,7 @@
 	hashB = "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
 )
 
-const goodBase = `# the fleet
+const validBase = `# the fleet
 [sites.bole]
 region = "addis"
 [sites.kality]
@@ -43,14 +43,14 @@
 	return sources
 }
 
-func TestCheckNamesEveryFault(t *testing.T) {
+func TestCheckReportsEveryFault(t *testing.T) {
 	tests := []struct {
 		name    string
 		sources Sources
 		want    []string
 	}{
-		{"a good base and overlay", sourcesOf(goodBase, "bole", "[services.planner]\nslots = 4\n"), nil},
-		{"all at once, each at its line", sourcesOf(goodBase + `
+		{"a valid base and overlay", sourcesOf(validBase, "bole", "[services.planner]\nslots = 4\n"), nil},
+		{"many faults, each reported at its line", sourcesOf(validBase + `
 [teams.vans]
 key-hashes = ["` + hashA + `", "xyz"]
 wieght = 3
@@ -87,15 +87,15 @@
 			"base.toml:40: there is no promise \"fast\"",
 			"base.toml:42: limits.poll-every is 20s",
 		}},
-		{"a key in capitals", sourcesOf(goodBase + "[teams.x]\nWeight = 2\nkey-hashes = [\"" + hashB + "\"]\n"),
+		{"a key in capitals", sourcesOf(validBase + "[teams.x]\nWeight = 2\nkey-hashes = [\"" + hashB + "\"]\n"),
 			[]string{"base.toml:22: unknown key teams.x.Weight"}},
-		{"a route twice", sourcesOf(goodBase + "[[routes]]\npath = \"/orders\"\nservice = \"orders\"\n"),
+		{"a duplicate route", sourcesOf(validBase + "[[routes]]\npath = \"/orders\"\nservice = \"orders\"\n"),
 			[]string{"base.toml:21: the route /orders is there twice, first at line 18"}},
-		{"a route without a path", sourcesOf(goodBase + "[[routes]]\nservice = \"orders\"\n"),
+		{"a route without a path", sourcesOf(validBase + "[[routes]]\nservice = \"orders\"\n"),
 			[]string{"base.toml:21: the route has no path"}},
 		{"bad syntax", sourcesOf("[teams.x]\nweight == 2\n"), []string{"base.toml:2:"}},
-		{"a table twice", sourcesOf("[teams.x]\n[teams.x]\n"), []string{"base.toml:2:"}},
-		{"overlays", sourcesOf(goodBase, "oslo", "site = \"olso\"\n", "bole", `
+		{"a duplicate table", sourcesOf("[teams.x]\n[teams.x]\n"), []string{"base.toml:2:"}},
+		{"faults in overlays", sourcesOf(validBase, "oslo", "site = \"olso\"\n", "bole", `
 [services.planner]
 models = ["other"]
 [sites.merkato]
@@ -128,9 +128,9 @@
 	}
 }
 
-func TestRenderShowsEachOrigin(t *testing.T) {
-	Convey("an overlay's value carries the overlay's line", t, func() {
-		sources := sourcesOf(goodBase, "bole", "site = \"bole\"\n[services.planner]\nslots = 4\n[teams.vans]\nkey-hashes = [\""+hashB+"\"]\n")
+func TestRenderShowsOrigins(t *testing.T) {
+	Convey("a value of an overlay is shown with the overlay's file and line", t, func() {
+		sources := sourcesOf(validBase, "bole", "site = \"bole\"\n[services.planner]\nslots = 4\n[teams.vans]\nkey-hashes = [\""+hashB+"\"]\n")
 		So(sources.Check(), ShouldBeEmpty)
 		bole, faults := sources.Resolve("bole")
 		So(faults, ShouldBeEmpty)
@@ -145,22 +145,22 @@
 	})
 }
 
-func TestDiffIsByMeaning(t *testing.T) {
-	before := sourcesOf(goodBase, "bole", "[services.planner]\nslots = 4\n").Bundle()
-	moved := strings.Replace(goodBase, "slots = 8", "# eight\n  slots   = 0x8", 1)
+func TestDiffComparesValues(t *testing.T) {
+	before := sourcesOf(validBase, "bole", "[services.planner]\nslots = 4\n").Bundle()
+	moved := strings.Replace(validBase, "slots = 8", "# eight\n  slots   = 0x8", 1)
 	tests := []struct {
 		name  string
 		after Bundle
 		want  []string
 	}{
-		{"comments and blanks don't count", Bundle{Base: "# other\n\n" + goodBase, Overlays: before.Overlays}, nil},
-		{"a change for all, another for one site", sourcesOf(
-			strings.Replace(goodBase, "/orders", "/order", 1), "bole", "[services.planner]\nslots = 5\n").Bundle(), []string{
+		{"comments and blank lines are ignored", Bundle{Base: "# other\n\n" + validBase, Overlays: before.Overlays}, nil},
+		{"a change of the base and one of a site", sourcesOf(
+			strings.Replace(validBase, "/orders", "/order", 1), "bole", "[services.planner]\nslots = 5\n").Bundle(), []string{
 			`+ routes."/order" = {}`, `+ routes."/order".path = "/order"`, `+ routes."/order".service = "orders"`,
 			`- routes."/orders" = {}`, `- routes."/orders".path = "/orders"`, `- routes."/orders".service = "orders"`,
 			`~ bole: services.planner.slots = 4 -> 5`,
 		}},
-		{"a number written another way", Bundle{Base: moved, Overlays: before.Overlays}, nil},
+		{"the same number in hexadecimal", Bundle{Base: moved, Overlays: before.Overlays}, nil},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -178,12 +178,12 @@
 	}
 }
 
-// FuzzCheck holds the reader against any text: it never panics, names no fault
-// without a remedy, and what it finds sound resolves to the same configuration
-// again after it is rendered.
+// FuzzCheck checks arbitrary texts of a base and an overlay: Check must not panic,
+// every fault must have a remedy, and a configuration without faults must resolve,
+// and have the same values after it is rendered and read again.
 func FuzzCheck(f *testing.F) {
 	for _, seed := range []string{
-		goodBase, "", "routes = [{path = \"/a\", service = \"b\"}]", "[routes.x]\n", "[[routes]]\n[routes.deep]\n", "routes = 3",
+		validBase, "", "routes = [{path = \"/a\", service = \"b\"}]", "[routes.x]\n", "[[routes]]\n[routes.deep]\n", "routes = 3",
 		"[teams.\"a.b\"]\nkey-hashes = []", "teams.x.weight = 1e3", "[services.x]\nkind = '''plain'''\n", "a = \"\\u007f\"", "[[teams]]\n[[teams]]\n",
 		"[[services.x]]\n", "[limits]\npoll-every = 1979-05-27\n", "[services.\"\"]\nkind = \"plain\"\nadapters = [[1], {a = 2}]",
 	} {
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -9,12 +9,12 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// ServiceKind tells how the calls of a service are treated.
+// ServiceKind selects how the calls of a service are handled.
 type ServiceKind string
 
 // The kinds of service.
 const (
-	// KindModel is a pool of model engines: streamed answers, chats, tokens.
+	// KindModel is a pool of model engines, with streamed answers, chats and tokens.
 	KindModel ServiceKind = "model"
 	// KindPlain is any other HTTP service.
 	KindPlain ServiceKind = "plain"
@@ -22,23 +22,23 @@
 
 // Config is the configuration in force at one site.
 type Config struct {
-	// Revision is the revision under which the configuration was accepted.
+	// Revision is the number under which the configuration was accepted.
 	Revision uint64 `toml:"-"`
-	// Teams by name.
+	// Teams holds the teams by name.
 	Teams map[string]Team `toml:"teams"`
-	// Services by name.
+	// Services holds the services by name.
 	Services map[string]Service `toml:"services"`
-	// Routes in order; the longest matching path wins.
+	// Routes are in the order of the file; the longest matching path wins.
 	Routes []Route `toml:"routes"`
 	// Sites are the data centres of the fleet by name.
 	Sites map[string]Site `toml:"sites"`
-	// Promises say which promises apply.
+	// Promises selects the promises that apply.
 	Promises Promises `toml:"promises"`
-	// Limits bound what the fleet spends on the platform.
+	// Limits bound the load that the fleet puts on the platform.
 	Limits Limits `toml:"limits"`
 }
 
-// Team is a group of callers that share keys and a weight.
+// Team is a customer: callers that share keys and a weight.
 type Team struct {
 	// KeyHashes are the SHA-256 sums, in hexadecimal, of the team's bearer keys.
 	KeyHashes []string `toml:"key-hashes"`
@@ -49,115 +49,119 @@
 // Service is a set of replicas that answer the same calls.
 type Service struct {
 	Kind ServiceKind `toml:"kind"`
-	// Models are the model names that the service answers to.
+	// Models are the names of the models that the service serves.
 	Models []string `toml:"models"`
-	// LoadFactor is c: no replica carries more than c times the mean load,
+	// LoadFactor bounds a replica's load to this multiple of the mean load,
 	// rounded up. Zero means 1.25.
 	LoadFactor float64 `toml:"load-factor"`
-	// Slots is how many calls a replica runs at once; zero means 8.
+	// Slots is how many calls run on a replica at once; zero means 8.
 	Slots int `toml:"slots"`
-	// QueueLength is how many calls wait at a replica at most; zero means 64.
+	// QueueLength is the maximum number of calls that wait at a replica; zero means 64.
 	QueueLength int `toml:"queue-length"`
-	// UrgentSlots is how many of the slots only urgency 0 may use; absent means
-	// one of eight.
+	// UrgentSlots is how many of the slots are reserved for calls of urgency 0;
+	// absent means one of eight.
 	UrgentSlots *int `toml:"urgent-slots"`
-	// FreeCalls is how many calls a replica takes whatever the load factor
-	// says; zero means none.
+	// FreeCalls is how many calls a replica accepts regardless of LoadFactor;
+	// zero means none.
 	FreeCalls int `toml:"free-calls"`
-	// MaxMeanAge is the age past which the service's mean load sets no bound;
-	// zero means 5 seconds.
+	// MaxMeanAge is the age above which the service's mean load is ignored and
+	// sets no bound; zero means 5 seconds.
 	MaxMeanAge timekeeper.Span `toml:"oldest-mean"`
-	// Ageing is the wait that lifts a call by one urgency; zero means half a second.
+	// Ageing is the wait that raises a call by one urgency; zero means half a second.
 	Ageing timekeeper.Span `toml:"ageing"`
-	// UnknownHold is how long a slot stays taken after a cancelled call whose
-	// end the upstream did not confirm; absent means one second.
+	// UnknownHold is how long a slot stays occupied after a call is cancelled, since
+	// the upstream doesn't confirm that the call has ended; absent means one second.
 	UnknownHold *timekeeper.Span `toml:"unknown-hold"`
-	// CacheTokens is the memory of an engine's prefix cache in tokens; zero
-	// means unknown.
+	// CacheTokens is the size of an engine's prefix cache; zero means unknown.
 	CacheTokens int64 `toml:"cache-tokens"`
-	// SettleTime is how long after its start a replica sends chats that it
-	// doesn't know to where they last ran; absent means ten minutes.
+	// SettleTime is how long after its start a replica redirects chats that it
+	// doesn't know to the replica that was their home before; absent means ten minutes.
 	SettleTime *timekeeper.Span `toml:"settle-time"`
-	// CachePath is where engines export and import the prefix of a chat; empty
-	// means that they can't.
+	// CachePath is the engines' URL path for export and import of a chat's prefix;
+	// empty means that they don't support it.
 	CachePath string `toml:"cache-path"`
-	// LongestFetch is how long a call waits at most for its prefix to come from
-	// another replica; zero means half a second.
+	// LongestFetch is the timeout for fetching a call's prefix from another
+	// replica; zero means half a second.
 	LongestFetch timekeeper.Span `toml:"longest-fetch"`
-	// HandOverBytes is how many bytes of prefixes a replica that leaves hands to
-	// others at most; zero means 1 GiB.
+	// HandOverBytes is the maximum size of the prefixes that a leaving replica
+	// hands over to other replicas; zero means 1 GiB.
 	HandOverBytes int64 `toml:"hand-over-bytes"`
-	// MaxBody is the longest request body in bytes; zero means 1 MiB.
+	// MaxBody is the maximum size of a request body in bytes; zero means 1 MiB.
 	MaxBody int64 `toml:"max-body"`
-	// LongestCall is how long a call may run; zero means ten minutes.
+	// LongestCall is the timeout of a call; zero means ten minutes.
 	LongestCall timekeeper.Span `toml:"longest-call"`
-	// LongestDrain is how long a stop waits for calls in flight; zero means LongestCall.
+	// LongestDrain is how long a stopping process waits for calls in flight; zero means
+	// LongestCall.
 	LongestDrain timekeeper.Span `toml:"longest-drain"`
-	// FirstByteTimeout is how long a caller waits for the first byte; zero means 30 seconds.
+	// FirstByteTimeout is how long a caller waits for the first byte of the answer;
+	// zero means 30 seconds.
 	FirstByteTimeout timekeeper.Span `toml:"first-byte"`
-	// ResumeGrace is how long a stream whose caller is gone runs on, so that the
-	// caller can resume it; zero means 5 seconds.
+	// ResumeGrace is how long a stream continues after its caller disconnects, so
+	// that the caller can resume it; zero means 5 seconds.
 	ResumeGrace timekeeper.Span `toml:"resume-grace"`
-	// ChatField is the JSON field that names the chat when no header does.
+	// ChatField is the JSON field of a request that names the chat if no header does.
 	ChatField string `toml:"chat-field"`
-	// CachedHeader is the upstream's header with the prompt tokens found cached.
+	// CachedHeader is the upstream's response header with the number of prompt
+	// tokens found in its cache.
 	CachedHeader string `toml:"cached-header"`
-	// ChecksOrders says that the engines refuse an order with an old fencing number.
+	// ChecksOrders is true if the engines refuse orders with an outdated fencing number.
 	ChecksOrders bool `toml:"checks-orders"`
-	// Adapters are the adapters that orders may load on the engines.
+	// Adapters are the adapters that orders may load onto the engines.
 	Adapters []string `toml:"adapters"`
-	// Role is what the engines are ordered to do, such as "prefill"; empty
-	// leaves them as they are.
+	// Role is the role that orders assign to the engines, such as "prefill"; empty
+	// leaves their roles unchanged.
 	Role string `toml:"role"`
-	// Version is the version of the weights that the engines are ordered to run;
-	// empty leaves them as they are.
+	// Version is the version of the weights that orders assign to the engines;
+	// empty leaves their versions unchanged.
 	Version string `toml:"version"`
-	// LongestOrder is how long an engine takes for an order; zero means 30 seconds.
+	// LongestOrder is the timeout of an order at an engine; zero means 30 seconds.
 	LongestOrder timekeeper.Span `toml:"longest-order"`
-	// LoadsPerMinute is the service's share of the weight store's rate; zero means 6.
+	// LoadsPerMinute is the service's share of the weight store's total rate of
+	// loads; zero means 6.
 	LoadsPerMinute int `toml:"loads-a-minute"`
 }
 
-// ReceivesOrders reports whether the service's engines are given orders.
+// ReceivesOrders reports whether a planner sends orders to the service's engines.
 func (service Service) ReceivesOrders() bool {
 	return len(service.Adapters) > 0 || service.Role != "" || service.Version != ""
 }
 
-// Route leads the calls under a path to a service.
+// Route maps the calls under a path to a service.
 type Route struct {
-	// Path is a prefix that ends at a segment's end.
+	// Path is a path prefix; it matches whole segments only.
 	Path    string `toml:"path"`
 	Service string `toml:"service"`
-	// Idempotent are the methods that may run twice; empty means GET, HEAD and OPTIONS.
+	// Idempotent lists the methods whose calls may run twice; empty means GET, HEAD
+	// and OPTIONS.
 	Idempotent []string `toml:"idempotent-methods"`
-	// RequireKey refuses a non-idempotent call without an Idempotency-Key.
+	// RequireKey makes entries refuse a non-idempotent call without an Idempotency-Key.
 	RequireKey bool `toml:"require-key"`
 }
 
 // Defaults of a service's settings.
 const (
-	DefaultLoadFactor  = 1.25
-	DefaultSlots       = 8
-	DefaultQueueLength = 64
-	DefaultMaxBody     = 1 << 20
-	DefaultLongestCall = 10 * timekeeper.Minute
-	DefaultFirstByteTimeout   = 30 * timekeeper.Second
-	DefaultMaxMeanAge  = 5 * timekeeper.Second
-	DefaultAgeing      = timekeeper.Second / 2
-	DefaultUnknownHold = timekeeper.Second
-	DefaultSettleTime  = 10 * timekeeper.Minute
+	DefaultLoadFactor       = 1.25
+	DefaultSlots            = 8
+	DefaultQueueLength      = 64
+	DefaultMaxBody          = 1 << 20
+	DefaultLongestCall      = 10 * timekeeper.Minute
+	DefaultFirstByteTimeout = 30 * timekeeper.Second
+	DefaultMaxMeanAge       = 5 * timekeeper.Second
+	DefaultAgeing           = timekeeper.Second / 2
+	DefaultUnknownHold      = timekeeper.Second
+	DefaultSettleTime       = 10 * timekeeper.Minute
 
 	DefaultLongestFetch  = timekeeper.Second / 2
 	DefaultHandOverBytes = 1 << 30
-	// slotsPerUrgent is how many slots there are to each one kept for urgent work.
-	slotsPerUrgent     = 8
+	// slotsPerUrgentSlot is the number of slots of which one is reserved for urgent calls.
+	slotsPerUrgentSlot = 8
 	DefaultResumeGrace = 5 * timekeeper.Second
 
 	DefaultLongestOrder   = 30 * timekeeper.Second
 	DefaultLoadsPerMinute = 6
 )
 
-// WithRevision returns the configuration under a revision.
+// WithRevision returns the configuration with its revision set.
 func (config Config) WithRevision(revision uint64) Config {
 	config.Revision = revision
 	return config
@@ -174,7 +178,7 @@
 	service.FirstByteTimeout = cmp.Or(service.FirstByteTimeout, DefaultFirstByteTimeout)
 	service.MaxMeanAge = cmp.Or(service.MaxMeanAge, DefaultMaxMeanAge)
 	service.Ageing = cmp.Or(service.Ageing, DefaultAgeing)
-	service.UrgentSlots = cmp.Or(service.UrgentSlots, new(service.Slots/slotsPerUrgent))
+	service.UrgentSlots = cmp.Or(service.UrgentSlots, new(service.Slots/slotsPerUrgentSlot))
 	service.UnknownHold = cmp.Or(service.UnknownHold, new(DefaultUnknownHold))
 	service.SettleTime = cmp.Or(service.SettleTime, new(DefaultSettleTime))
 	service.LongestFetch = cmp.Or(service.LongestFetch, DefaultLongestFetch)
@@ -185,18 +189,18 @@
 	return service
 }
 
-// Service returns the named service with defaults filled in.
+// Service returns the named service with its defaults filled in.
 func (config Config) Service(name string) (Service, bool) {
 	service, ok := config.Services[name]
 	return service.WithDefaults(), ok
 }
 
-// ServiceNames returns the names of all services in order.
+// ServiceNames returns the names of all services, sorted.
 func (config Config) ServiceNames() []string {
 	return slices.Sorted(maps.Keys(config.Services))
 }
 
-// ServiceOfModel returns the name of the service that answers to a model.
+// ServiceOfModel returns the name of the service that serves a model.
 func (config Config) ServiceOfModel(model string) (string, bool) {
 	for _, name := range config.ServiceNames() {
 		if slices.Contains(config.Services[name].Models, model) {
@@ -206,24 +210,24 @@
 	return "", false
 }
 
-// RouteOf returns the route with the longest path that path lies under.
+// RouteOf returns the route with the longest path that matches path.
 func (config Config) RouteOf(path string) (Route, bool) {
 	var best Route
 	found := false
 	for _, route := range config.Routes {
-		if route.covers(path) && len(route.Path) >= len(best.Path) {
+		if route.matches(path) && len(route.Path) >= len(best.Path) {
 			best, found = route, true
 		}
 	}
 	return best, found
 }
 
-func (route Route) covers(path string) bool {
+func (route Route) matches(path string) bool {
 	rest, ok := strings.CutPrefix(path, strings.TrimSuffix(route.Path, "/"))
 	return ok && (rest == "" || rest[0] == '/')
 }
 
-// IsIdempotent reports whether a call with the method may run twice.
+// IsIdempotent reports whether a call with the method may run twice on the route.
 func (route Route) IsIdempotent(method string) bool {
 	if len(route.Idempotent) == 0 {
 		return method == "GET" || method == "HEAD" || method == "OPTIONS"
--- a/internal/resolver/diff.go
+++ b/internal/resolver/diff.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Difference is one value that differs between two configurations. Before or
-// After is empty when the value is added or removed.
+// Difference is one value that differs between two configurations. Before is
+// empty if the value was added, and After if it was removed.
 type Difference struct {
 	Site   string `json:"site"`
 	Path   string `json:"path"`
@@ -15,36 +15,37 @@
 	After  string `json:"after,omitempty"`
 }
 
-// String returns the difference as a line that starts with +, - or ~.
+// String returns the difference as a line that starts with + (added), - (removed)
+// or ~ (changed).
 func (diff Difference) String() string {
-	at := diff.Path
+	location := diff.Path
 	if diff.Site != "" {
-		at = diff.Site + ": " + at
+		location = diff.Site + ": " + location
 	}
 	switch {
 	case diff.Before == "":
-		return "+ " + at + " = " + diff.After
+		return "+ " + location + " = " + diff.After
 	case diff.After == "":
-		return "- " + at + " = " + diff.Before
+		return "- " + location + " = " + diff.Before
 	}
-	return "~ " + at + " = " + diff.Before + " -> " + diff.After
+	return "~ " + location + " = " + diff.Before + " -> " + diff.After
 }
 
-// Diff returns what differs by meaning between two bundles: first under the
-// base alone, then at each site where that is not the same. Layout, comments,
-// the order of tables and which of the files holds a value don't count.
+// Diff returns the differences between the values of two bundles: first those of
+// the base files, then for each site those that are not among them. It ignores
+// layout, comments, the order of tables and which file holds a value.
 func Diff(before, after Bundle) ([]Difference, error) {
-	common, err := diffAt("", before, after)
+	common, err := diffSite("", before, after)
 	if err != nil {
 		return nil, err
 	}
 	out := slices.Clone(common)
 	for _, site := range sitesOf(before, after) {
-		there, err := diffAt(site, before, after)
+		siteDiffs, err := diffSite(site, before, after)
 		if err != nil {
 			return nil, err
 		}
-		for _, diff := range there {
+		for _, diff := range siteDiffs {
 			diff.Site = ""
 			if !slices.Contains(common, diff) {
 				diff.Site = site
@@ -65,31 +66,31 @@
 	return slices.Sorted(maps.Keys(sites))
 }
 
-func diffAt(site string, before, after Bundle) ([]Difference, error) {
+func diffSite(site string, before, after Bundle) ([]Difference, error) {
 	old, faults := before.Sources().Resolve(site)
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	now, faults := after.Sources().Resolve(site)
+	current, faults := after.Sources().Resolve(site)
 	if len(faults) > 0 {
 		return nil, faults
 	}
 	var out []Difference
 	for _, value := range old.Document.values {
-		if next, ok := now.Document.find(value.Path); !ok || next.Text != value.Text {
-			out = append(out, Difference{Site: site, Path: value.Path.String(), Before: shown(value), After: shown(next)})
+		if newValue, ok := current.Document.find(value.Path); !ok || newValue.Text != value.Text {
+			out = append(out, Difference{Site: site, Path: value.Path.String(), Before: displayText(value), After: displayText(newValue)})
 		}
 	}
-	for _, value := range now.Document.values {
+	for _, value := range current.Document.values {
 		if _, ok := old.Document.find(value.Path); !ok {
-			out = append(out, Difference{Site: site, Path: value.Path.String(), After: shown(value)})
+			out = append(out, Difference{Site: site, Path: value.Path.String(), After: displayText(value)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Difference) int { return strings.Compare(a.Path, b.Path) })
 	return out, nil
 }
 
-func shown(value Value) string {
+func displayText(value Value) string {
 	if len(value.Path) > 0 && value.Text == "" {
 		return "{}"
 	}
--- a/internal/resolver/document.go
+++ b/internal/resolver/document.go
@@ -14,17 +14,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// routesKey is the one list of tables; its members are told apart by pathKey.
+// routesKey is the only list of tables; pathKey identifies its members.
 const (
 	routesKey = "routes"
 	pathKey   = "path"
 )
 
-// teamsKey is the table of the teams, of which there are thousands.
+// teamsKey is the table of the teams; it has thousands of members.
 const teamsKey = "teams"
 
-// Path leads to a value, such as services, planner, slots. The members of the
-// list of routes are named by their path.
+// Path is the sequence of keys that lead to a value, such as services, planner,
+// slots. The key of a member of the list of routes is the route's path.
 type Path []string
 
 var bareKey = regexp.MustCompile(`^[A-Za-z0-9_-]+$`)
@@ -45,12 +45,12 @@
 	return append(append(Path{}, path...), parts...)
 }
 
-// parent returns the table that a value stands in.
+// parent returns the path of the table that holds the value.
 func (path Path) parent() Path {
 	return path[:len(path)-1]
 }
 
-// Origin is the place where a value was written.
+// Origin is the file and line where a value is written.
 type Origin struct {
 	File string
 	Line int
@@ -61,15 +61,15 @@
 	return origin.File + ":" + strconv.Itoa(origin.Line)
 }
 
-// Value is one value of a file. A table has no text.
+// Value is one value of a file. Tables are values too, with an empty Text.
 type Value struct {
 	Path   Path
 	Text   string
 	Origin Origin
 }
 
-// Document is a file as a list of values, each with its origin. It is an
-// immutable value.
+// Document holds the values of a file, each with its origin. It is an immutable
+// value.
 type Document struct {
 	values []Value
 	index  map[string]int
@@ -84,7 +84,8 @@
 	return doc.values[i], true
 }
 
-// originOf returns where a path, or the nearest table around it, was written.
+// originOf returns the origin of a path, or of the innermost table around it that
+// is written.
 func (doc Document) originOf(path Path) Origin {
 	for ; len(path) > 0; path = path.parent() {
 		if value, ok := doc.find(path); ok {
@@ -94,9 +95,9 @@
 	return Origin{}
 }
 
-// inOrder returns the names in the order in which table first has them, so that
-// of two that clash the later one is named.
-func (doc Document) inOrder(table string, names []string) []string {
+// sortByPosition returns the names in the order in which they first occur in the
+// table, so that a conflict between two is reported at the later one.
+func (doc Document) sortByPosition(table string, names []string) []string {
 	sorted := slices.Clone(names)
 	slices.SortStableFunc(sorted, func(a, b string) int {
 		return doc.index[Path{table, a}.String()] - doc.index[Path{table, b}.String()]
@@ -104,8 +105,8 @@
 	return sorted
 }
 
-// set adds a value or replaces the one at its path. It is for documents that
-// are being made.
+// set adds a value or replaces the one at its path. Only code that builds a new
+// document may call it.
 func (doc *Document) set(value Value) {
 	key := value.Path.String()
 	if i, ok := doc.index[key]; ok {
@@ -120,115 +121,116 @@
 	return Document{index: map[string]int{}}
 }
 
-// reader turns a file into a Document.
-type reader struct {
-	file   string
-	text   []byte
-	parser unstable.Parser
-	offset int
-	line   int
-	table  Path
-	routes int
-	values []Value
+// documentReader reads a file into a Document.
+type documentReader struct {
+	file       string
+	text       []byte
+	parser     unstable.Parser
+	offset     int
+	line       int
+	table      Path
+	routeCount int
+	values     []Value
 }
 
-// Read returns the values of a file, and its faults: bad syntax, and keys that
-// are there twice.
+// Read returns the values of a file and its faults: bad syntax, duplicate keys,
+// and routes without a path.
 func Read(source Source) (Document, Faults) {
-	// The whole decoder knows rules that the bare parser doesn't check, such as
-	// a table that is defined twice.
-	var whole any
-	if faults := faultsOf(source.File, toml.Unmarshal(source.Text, &whole)); len(faults) > 0 {
+	// The decoder enforces rules that the parser alone doesn't, such as the one
+	// against a table that is defined twice.
+	var decoded any
+	if faults := decodeFaults(source.File, toml.Unmarshal(source.Text, &decoded)); len(faults) > 0 {
 		return newDocument(), withRemedy(faults, "mend the syntax; the lines after it are not checked yet")
 	}
-	read := &reader{file: source.File, text: source.Text, line: 1}
-	read.parser.Reset(source.Text)
-	for read.parser.NextExpression() {
-		read.expression(read.parser.Expression())
+	reader := &documentReader{file: source.File, text: source.Text, line: 1}
+	reader.parser.Reset(source.Text)
+	for reader.parser.NextExpression() {
+		reader.expression(reader.parser.Expression())
 	}
-	if err := read.parser.Error(); err != nil {
+	if err := reader.parser.Error(); err != nil {
 		return newDocument(), Faults{{File: source.File, Reason: err.Error(), Remedy: "mend the syntax"}}
 	}
-	return read.finish()
+	return reader.finish()
 }
 
-func (read *reader) expression(node *unstable.Node) {
+func (reader *documentReader) expression(node *unstable.Node) {
 	switch node.Kind {
 	case unstable.Table:
-		path, line := read.key(node.Key())
-		read.table = path
-		if path[0] == routesKey && read.routes > 0 {
-			read.table = append(Path{routesKey, strconv.Itoa(read.routes)}, path[1:]...)
+		path, line := reader.key(node.Key())
+		reader.table = path
+		if path[0] == routesKey && reader.routeCount > 0 {
+			reader.table = append(Path{routesKey, strconv.Itoa(reader.routeCount)}, path[1:]...)
 		}
-		read.add(read.table, "", line)
+		reader.add(reader.table, "", line)
 	case unstable.ArrayTable:
-		path, line := read.key(node.Key())
-		read.table = path
+		path, line := reader.key(node.Key())
+		reader.table = path
 		if len(path) == 1 && path[0] == routesKey {
-			read.table = read.nextRoute()
+			reader.table = reader.nextRoute()
 		}
-		read.add(read.table, "", line)
+		reader.add(reader.table, "", line)
 	case unstable.KeyValue:
-		read.pair(read.table, node)
+		reader.pair(reader.table, node)
 	}
 }
 
-func (read *reader) nextRoute() Path {
-	read.routes++
-	return Path{routesKey, strconv.Itoa(read.routes)}
+func (reader *documentReader) nextRoute() Path {
+	reader.routeCount++
+	return Path{routesKey, strconv.Itoa(reader.routeCount)}
 }
 
-func (read *reader) pair(table Path, node *unstable.Node) {
-	key, line := read.key(node.Key())
-	read.value(table.child(key...), node.Value(), line)
+func (reader *documentReader) pair(table Path, node *unstable.Node) {
+	key, line := reader.key(node.Key())
+	reader.value(table.child(key...), node.Value(), line)
 }
 
-func (read *reader) value(path Path, node *unstable.Node, line int) {
+func (reader *documentReader) value(path Path, node *unstable.Node, line int) {
 	switch {
 	case node.Kind == unstable.InlineTable:
-		read.add(path, "", line)
+		reader.add(path, "", line)
 		for pairs := node.Children(); pairs.Next(); {
-			read.pair(path, pairs.Node())
+			reader.pair(path, pairs.Node())
 		}
 	case node.Kind == unstable.Array && path.String() == routesKey:
 		for members := node.Children(); members.Next(); {
-			read.value(read.nextRoute(), members.Node(), line)
+			reader.value(reader.nextRoute(), members.Node(), line)
 		}
 	default:
-		read.add(path, textOf(node), line)
+		reader.add(path, canonicalText(node), line)
 	}
 }
 
-func (read *reader) add(path Path, text string, line int) {
-	read.values = append(read.values, Value{Path: path, Text: text, Origin: Origin{File: read.file, Line: line}})
+func (reader *documentReader) add(path Path, text string, line int) {
+	reader.values = append(reader.values, Value{Path: path, Text: text, Origin: Origin{File: reader.file, Line: line}})
 }
 
-// key returns a dotted key and its line. Keys come in the order of the file,
-// so lines are counted on from the key before.
-func (read *reader) key(parts unstable.Iterator) (Path, int) {
+// key returns a dotted key and its line. The parser returns keys in the order of
+// the file, so lines are counted from the position of the previous key.
+func (reader *documentReader) key(parts unstable.Iterator) (Path, int) {
 	var path Path
 	for parts.Next() {
 		node := parts.Node()
-		if at := int(node.Raw.Offset); len(path) == 0 && at >= read.offset && at <= len(read.text) {
-			read.line += bytes.Count(read.text[read.offset:at], []byte("\n"))
-			read.offset = at
+		if start := int(node.Raw.Offset); len(path) == 0 && start >= reader.offset && start <= len(reader.text) {
+			reader.line += bytes.Count(reader.text[reader.offset:start], []byte("\n"))
+			reader.offset = start
 		}
 		path = append(path, string(node.Data))
 	}
-	return path, read.line
+	return path, reader.line
 }
 
-// finish names the routes by their paths and looks for what is there twice.
-func (read *reader) finish() (Document, Faults) {
+// finish replaces the indexes of routes by their paths and reports duplicate routes
+// and routes without a path.
+func (reader *documentReader) finish() (Document, Faults) {
 	names := map[string]string{}
-	for _, value := range read.values {
+	for _, value := range reader.values {
 		if len(value.Path) == 3 && value.Path[0] == routesKey && value.Path[2] == pathKey {
 			names[value.Path[1]] = unquote(value.Text)
 		}
 	}
 	doc := newDocument()
 	var faults Faults
-	for _, value := range read.values {
+	for _, value := range reader.values {
 		if value.Path[0] == routesKey && len(value.Path) > 1 {
 			name, ok := names[value.Path[1]]
 			if !ok && value.Text == "" {
@@ -239,7 +241,7 @@
 			}
 			value.Path = Path{routesKey, name}.child(value.Path[2:]...)
 		}
-		if first, twice := doc.find(value.Path); twice && value.Path[0] == routesKey && len(value.Path) == 2 {
+		if first, duplicate := doc.find(value.Path); duplicate && value.Path[0] == routesKey && len(value.Path) == 2 {
 			reason := "the route " + value.Path[1] + " is there twice, first at line " + strconv.Itoa(first.Origin.Line)
 			faults = append(faults, value.Origin.fault(reason, "take one of them out"))
 			continue
@@ -249,16 +251,16 @@
 	return doc, faults
 }
 
-// textOf returns a value as TOML text in one form, so that equal values have
+// canonicalText returns a value as TOML text in canonical form: equal values have
 // equal texts.
-func textOf(node *unstable.Node) string {
+func canonicalText(node *unstable.Node) string {
 	switch node.Kind {
 	case unstable.String:
 		return quote(string(node.Data))
 	case unstable.Array:
 		var parts []string
 		for members := node.Children(); members.Next(); {
-			parts = append(parts, textOf(members.Node()))
+			parts = append(parts, canonicalText(members.Node()))
 		}
 		return "[" + strings.Join(parts, ", ") + "]"
 	case unstable.InlineTable:
@@ -268,12 +270,12 @@
 			return strconv.FormatInt(number, 10)
 		}
 	case unstable.Float:
-		return floatText(strings.ReplaceAll(string(node.Data), "_", ""))
+		return canonicalFloat(strings.ReplaceAll(string(node.Data), "_", ""))
 	}
 	return string(node.Data)
 }
 
-func floatText(text string) string {
+func canonicalFloat(text string) string {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsInf(number, 0) || math.IsNaN(number) {
 		return text
@@ -285,7 +287,8 @@
 	return short
 }
 
-// quote returns a TOML basic string. JSON's escapes are TOML's, but for DEL.
+// quote returns a TOML basic string. TOML has the escapes of JSON, and requires one
+// for DEL too.
 func quote(text string) string {
 	var out bytes.Buffer
 	coder := json.NewEncoder(&out)
@@ -302,7 +305,7 @@
 	return out
 }
 
-func faultsOf(file string, err error) Faults {
+func decodeFaults(file string, err error) Faults {
 	if err == nil {
 		return nil
 	}
--- a/internal/resolver/fault.go
+++ b/internal/resolver/fault.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// Fault is one thing wrong in a file.
+// Fault is an error in a configuration or settings file.
 type Fault struct {
 	File   string
 	Line   int
 	Reason string
-	// Remedy says what to write instead.
+	// Remedy tells the operator how to mend the fault.
 	Remedy string
 }
 
@@ -27,10 +27,10 @@
 	return fmt.Sprintf("%s:%d: %s", fault.File, fault.Line, text)
 }
 
-// Faults is an error that names every fault found.
+// Faults is an error that lists all faults found.
 type Faults []Fault
 
-// Error returns the faults, one a line.
+// Error returns the faults, one per line.
 func (faults Faults) Error() string {
 	lines := make([]string, len(faults))
 	for i, fault := range faults {
@@ -39,8 +39,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// distinct returns the faults in the order of files and lines, each once: a
-// fault of the base shows at every site.
+// distinct returns the faults sorted by file and line, without duplicates: a fault
+// of the base is found again at every site.
 func (faults Faults) distinct() Faults {
 	sorted := slices.Clone(faults)
 	slices.SortStableFunc(sorted, func(a, b Fault) int {
--- a/internal/resolver/merge.go
+++ b/internal/resolver/merge.go
@@ -9,16 +9,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// siteKey names an overlay's site in its file.
+// siteKey is the key under which an overlay file names its site.
 const siteKey = "site"
 
-// Source is a file's name and text.
+// Source is the name and text of a file.
 type Source struct {
 	File string
 	Text []byte
 }
 
-// Overlay is what one site has of its own.
+// Overlay is the file of values that apply to one site only.
 type Overlay struct {
 	Site string
 	Source
@@ -30,16 +30,16 @@
 	Overlays []Overlay
 }
 
-// Resolved is the configuration of one site, and where each value came from.
+// Resolved is the configuration of one site, with the origin of each value.
 type Resolved struct {
 	Config   Config
 	Document Document
 }
 
-// tunable are the fields that an overlay may change in what the base defines:
-// those that follow from a site's machines and distances. What a caller may
-// rely on (kind, models, keys, routes, whether a call may run twice) is the
-// same at every site, so that a chat or an order may move between sites.
+// tunable reports whether an overlay may change a value that the base defines.
+// These are the values that depend on a site's machines and network distances.
+// What callers rely on (kind, models, keys, routes, whether a call may run twice)
+// is the same at every site, so that a chat or an order may move between sites.
 func tunable(path Path) bool {
 	if len(path) == 2 && path[0] == "limits" {
 		return true
@@ -59,47 +59,47 @@
 	return false
 }
 
-// addable reports whether an overlay may add something under the key of the base.
+// addable reports whether an overlay may add members to the table of the path.
 func addable(path Path) bool {
 	return path[0] == teamsKey || path[0] == "services" || path[0] == routesKey
 }
 
-// SiteOf returns the site that an overlay's own key names.
+// SiteOf returns the site that an overlay file names under the key "site".
 func SiteOf(source Source) (string, bool) {
 	doc, _ := Read(source)
 	value, ok := doc.find(Path{siteKey})
 	return unquote(value.Text), ok
 }
 
-// Resolve returns the configuration in force at a site: the base, and on it
-// the site's overlay. A site without an overlay has the base alone.
+// Resolve returns the configuration in force at a site: the base with the values
+// of the site's overlay, if the site has one.
 func (sources Sources) Resolve(site string) (Resolved, Faults) {
 	doc, faults := Read(sources.Base)
 	for _, overlay := range sources.Overlays {
 		if overlay.Site != site || site == "" {
 			continue
 		}
-		over, more := readOverlay(overlay)
-		doc = merge(doc, over)
-		faults = append(faults, more...)
+		overlayDoc, overlayFaults := readOverlay(overlay)
+		doc = merge(doc, overlayDoc)
+		faults = append(faults, overlayFaults...)
 	}
 	if len(faults) > 0 {
 		return Resolved{}, faults
 	}
 	config, err := doc.config()
 	if err != nil {
-		return Resolved{}, withRemedy(faultsOf(sources.Base.File, err), "run config check")
+		return Resolved{}, withRemedy(decodeFaults(sources.Base.File, err), "run config check")
 	}
 	return Resolved{Config: config, Document: doc}, nil
 }
 
-// merge sets every value of the overlay in a copy of the base.
-func merge(base, over Document) Document {
+// merge returns a copy of the base with every value of the overlay set.
+func merge(base, overlay Document) Document {
 	out := newDocument()
 	for _, value := range base.values {
 		out.set(value)
 	}
-	for _, value := range over.values {
+	for _, value := range overlay.values {
 		if _, known := base.find(value.Path); known && value.Text == "" {
 			continue
 		}
@@ -108,7 +108,7 @@
 	return out
 }
 
-// readOverlay returns the values of an overlay but for the name of its site.
+// readOverlay returns the values of an overlay except the name of its site.
 func readOverlay(overlay Overlay) (Document, Faults) {
 	doc, faults := Read(overlay.Source)
 	out := newDocument()
@@ -125,21 +125,20 @@
 	return out, faults
 }
 
-// Check returns every fault of the base and of all overlays, in the order of
-// files and lines.
+// Check returns all faults of the base and the overlays, sorted by file and line.
 func (sources Sources) Check() Faults {
 	base, faults := Read(sources.Base)
 	if len(faults) > 0 && len(base.values) == 0 {
 		return faults
 	}
-	faults = append(faults, base.checkValues()...)
-	faults = append(faults, sources.checkSites(base)...)
+	faults = append(faults, base.checkTypes()...)
+	faults = append(faults, sources.checkOverlaySites(base)...)
 	sites := []string{""}
 	for _, overlay := range sources.Overlays {
-		over, more := readOverlay(overlay)
-		faults = append(faults, more...)
-		faults = append(faults, over.checkValues()...)
-		faults = append(faults, checkOverlay(base, over)...)
+		overlayDoc, overlayFaults := readOverlay(overlay)
+		faults = append(faults, overlayFaults...)
+		faults = append(faults, overlayDoc.checkTypes()...)
+		faults = append(faults, checkOverlay(base, overlayDoc)...)
 		sites = append(sites, overlay.Site)
 	}
 	for _, site := range sites {
@@ -148,52 +147,52 @@
 	return faults.distinct()
 }
 
-// checkSite holds the rules between values against the result at one site.
-// Values of the wrong type are left out: they are faults already.
+// checkSite validates the configuration that results at one site. It skips values
+// of the wrong type, which checkTypes reports.
 func (sources Sources) checkSite(site string) Faults {
 	doc, _ := Read(sources.Base)
 	for _, overlay := range sources.Overlays {
 		if overlay.Site == site && site != "" {
-			over, _ := readOverlay(overlay)
-			doc = merge(doc, over)
+			overlayDoc, _ := readOverlay(overlay)
+			doc = merge(doc, overlayDoc)
 		}
 	}
-	sound := newDocument()
+	valid := newDocument()
 	for _, value := range doc.values {
-		if _, bad := value.check(reflect.TypeFor[Config]()); !bad {
-			sound.set(value)
+		if _, bad := value.checkType(reflect.TypeFor[Config]()); !bad {
+			valid.set(value)
 		}
 	}
 	var config Config
-	if err := toml.Unmarshal([]byte(sound.text(false)), &config); err != nil {
-		return withRemedy(faultsOf(sources.Base.File, err), "write it as the page of settings shows")
+	if err := toml.Unmarshal([]byte(valid.text(false)), &config); err != nil {
+		return withRemedy(decodeFaults(sources.Base.File, err), "write it as the page of settings shows")
 	}
-	return config.check(sound)
+	return config.validate(valid)
 }
 
-// checkSites looks for overlays of unknown sites and for two of one site.
-func (sources Sources) checkSites(base Document) Faults {
+// checkOverlaySites reports overlays of unknown sites and a second overlay of a site.
+func (sources Sources) checkOverlaySites(base Document) Faults {
 	var faults Faults
 	seen := map[string]string{}
 	for _, overlay := range sources.Overlays {
-		at := Origin{File: overlay.File, Line: 1}
+		origin := Origin{File: overlay.File, Line: 1}
 		if _, ok := base.find(Path{"sites", overlay.Site}); !ok {
 			remedy := fmt.Sprintf("add [sites.%s] to %s, or mend the name", overlay.Site, sources.Base.File)
-			faults = append(faults, at.fault(fmt.Sprintf("the base has no site %q", overlay.Site), remedy))
+			faults = append(faults, origin.fault(fmt.Sprintf("the base has no site %q", overlay.Site), remedy))
 		}
-		if first, twice := seen[overlay.Site]; twice {
+		if first, duplicate := seen[overlay.Site]; duplicate {
 			reason := fmt.Sprintf("the site %s has an overlay already, %s", overlay.Site, first)
-			faults = append(faults, at.fault(reason, "join the two files"))
+			faults = append(faults, origin.fault(reason, "join the two files"))
 		}
 		seen[overlay.Site] = overlay.File
 	}
 	return faults
 }
 
-// checkOverlay looks for values that an overlay may not change.
-func checkOverlay(base, over Document) Faults {
+// checkOverlay reports values that an overlay may not change.
+func checkOverlay(base, overlay Document) Faults {
 	var faults Faults
-	for _, value := range over.values {
+	for _, value := range overlay.values {
 		if value.Text == "" && len(value.Path) == 1 || tunable(value.Path) {
 			continue
 		}
@@ -206,7 +205,7 @@
 			continue
 		}
 		if _, defined := base.find(value.Path[:min(2, len(value.Path))]); defined && value.Text != "" {
-			if was, ok := base.find(value.Path); ok && was.Text == value.Text {
+			if baseValue, ok := base.find(value.Path); ok && baseValue.Text == value.Text {
 				continue
 			}
 			reason := fmt.Sprintf("%s belongs to %s, which the base defines", value.Path, strings.TrimSuffix(value.Path[0], "s"))
--- a/internal/resolver/parse.go
+++ b/internal/resolver/parse.go
@@ -8,21 +8,21 @@
 )
 
 // Decode reads the settings of a process into out, a pointer to a struct. It
-// returns every unknown key and bad value of the file as Faults, and fills in
-// what is sound, so that the caller can look for further faults. The document
-// tells where each key was written.
+// returns all unknown keys and bad values of the file as Faults, and sets the
+// fields whose values are valid, so that the caller can check these further. The
+// document has the line of each key.
 func Decode(file string, text []byte, out any) (Document, Faults) {
 	doc, faults := Read(Source{File: file, Text: text})
 	if len(faults) > 0 {
 		return doc, faults
 	}
 	for _, value := range doc.values {
-		if fault, bad := value.check(reflect.TypeOf(out).Elem()); bad {
+		if fault, bad := value.checkType(reflect.TypeOf(out).Elem()); bad {
 			faults = append(faults, fault)
 			continue
 		}
 		if value.Text == "" {
-			// A table's own line holds no value.
+			// A table itself has no value to decode.
 			continue
 		}
 		if err := toml.Unmarshal([]byte(value.Path.String()+" = "+value.Text), out); err != nil {
@@ -32,27 +32,28 @@
 	return doc, faults
 }
 
-// Line returns the line on which a key was written, or the nearest table around it; dots
-// lead into tables. It is 1 when neither was written.
+// Line returns the line of a dotted key, or of the innermost table around it that is
+// written; 1 if there is none.
 func (doc Document) Line(key string) int {
 	return max(1, doc.originOf(pathOf(key)).Line)
 }
 
-// Has reports whether a key was written; dots lead into tables.
+// Has reports whether a dotted key is written.
 func (doc Document) Has(key string) bool {
 	_, found := doc.find(pathOf(key))
 	return found
 }
 
-// pathOf returns the path of a key whose dots lead into tables.
+// pathOf returns the path of a dotted key.
 func pathOf(key string) Path { return strings.Split(key, ".") }
 
-// Empty reports whether nothing was read, as from a file with bad syntax.
+// Empty reports whether the document has no values, such as that of a file with bad
+// syntax.
 func (doc Document) Empty() bool {
 	return len(doc.values) == 0
 }
 
-// Parse reads a base file alone into a configuration.
+// Parse reads and checks a base file without overlays.
 func Parse(file string, text []byte) (Config, Faults) {
 	sources := Sources{Base: Source{File: file, Text: text}}
 	if faults := sources.Check(); len(faults) > 0 {
--- a/internal/resolver/render.go
+++ b/internal/resolver/render.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// Render returns the configuration as TOML, with the origin of each value
-// behind it.
+// Render returns the configuration as TOML, with the origin of each value in a
+// comment after it.
 func (resolved Resolved) Render() string {
 	return resolved.Document.text(true)
 }
 
-// text writes the document as TOML, tables in order of their paths.
-func (doc Document) text(origins bool) string {
+// text returns the document as TOML, with tables sorted by path.
+func (doc Document) text(withOrigins bool) string {
 	values := slices.Clone(doc.values)
 	slices.SortStableFunc(values, func(a, b Value) int { return slices.Compare(a.sortKey(), b.sortKey()) })
 	var out strings.Builder
 	table := ""
 	for _, value := range values {
-		head := value.table()
-		if name := head.String(); name != table {
+		tablePath := value.table()
+		if name := tablePath.String(); name != table {
 			table = name
-			out.WriteString(header(head))
+			out.WriteString(tableHeader(tablePath))
 		}
 		if value.Text == "" {
 			continue
 		}
 		out.WriteString(Path{value.Path[len(value.Path)-1]}.String() + " = " + value.Text)
-		if origins {
+		if withOrigins {
 			out.WriteString("  # " + value.Origin.String())
 		}
 		out.WriteString("\n")
@@ -35,7 +35,7 @@
 	return out.String()
 }
 
-// sortKey puts a table's own values before the tables inside it.
+// sortKey returns a key that sorts the values of a table before the tables inside it.
 func (value Value) sortKey() []string {
 	if value.Text == "" {
 		return value.Path
@@ -43,7 +43,8 @@
 	return value.Path.parent().child("\x00" + value.Path[len(value.Path)-1])
 }
 
-// table returns the table that a value is written under.
+// table returns the path of the table header under which a value is written. A
+// table is written under its own.
 func (value Value) table() Path {
 	if value.Text == "" {
 		return value.Path
@@ -51,7 +52,7 @@
 	return value.Path.parent()
 }
 
-func header(path Path) string {
+func tableHeader(path Path) string {
 	switch {
 	case len(path) == 0 || len(path) == 1 && path[0] == routesKey:
 		return ""
--- a/internal/resolver/schema.go
+++ b/internal/resolver/schema.go
@@ -11,59 +11,59 @@
 
 var spanType = reflect.TypeFor[timekeeper.Span]()
 
-// checkValues holds each value against the type of its key in Config. Each
-// value is decoded by itself, since the decoder stops at the first bad one.
-func (doc Document) checkValues() Faults {
+// checkTypes checks each value against the type of its key in Config. It decodes
+// each value by itself, since the decoder stops at the first bad one.
+func (doc Document) checkTypes() Faults {
 	var faults Faults
 	for _, value := range doc.values {
-		if fault, bad := value.check(reflect.TypeFor[Config]()); bad {
+		if fault, bad := value.checkType(reflect.TypeFor[Config]()); bad {
 			faults = append(faults, fault)
 		}
 	}
 	return faults
 }
 
-// check holds the value against the type of its key under root.
-func (value Value) check(root reflect.Type) (Fault, bool) {
-	kind, reason, remedy := typeAt(root, value.Path)
+// checkType checks the value against the type of its key in root.
+func (value Value) checkType(root reflect.Type) (Fault, bool) {
+	typ, reason, remedy := typeAt(root, value.Path)
 	if reason != "" {
 		return value.Origin.fault(reason, remedy), true
 	}
 	isTable := value.Text == ""
-	if holdsTables(kind) != isTable {
-		return value.Origin.fault(value.Path.String()+" has the wrong shape", wanted(kind)), true
+	if isTableType(typ) != isTable {
+		return value.Origin.fault(value.Path.String()+" has the wrong shape", remedyFor(typ)), true
 	}
-	if isTable || decodes(kind, value.Text) {
+	if isTable || decodes(typ, value.Text) {
 		return Fault{}, false
 	}
-	return value.Origin.fault(value.Path.String()+" is "+value.Text, wanted(kind)), true
+	return value.Origin.fault(value.Path.String()+" is "+value.Text, remedyFor(typ)), true
 }
 
-// typeAt returns the type that root has at a path. Keys match exactly; the
-// decoder alone would take "Weight" for "weight".
-func typeAt(root reflect.Type, path Path) (at reflect.Type, reason, remedy string) {
-	at = root
+// typeAt returns the type that root has at a path, or the reason why it has none and
+// a remedy. Keys must match exactly; the decoder would accept "Weight" for "weight".
+func typeAt(root reflect.Type, path Path) (typ reflect.Type, reason, remedy string) {
+	typ = root
 	for i := range path {
 		switch {
-		case at.Kind() == reflect.Map, at.Kind() == reflect.Slice && at.Elem().Kind() == reflect.Struct:
-			at = at.Elem()
-		case at.Kind() == reflect.Struct:
-			field, ok := fieldOf(at, path[i])
+		case typ.Kind() == reflect.Map, typ.Kind() == reflect.Slice && typ.Elem().Kind() == reflect.Struct:
+			typ = typ.Elem()
+		case typ.Kind() == reflect.Struct:
+			field, ok := fieldType(typ, path[i])
 			if !ok {
-				return nil, "unknown key " + path[:i+1].String(), "the keys here are " + strings.Join(keysOf(at), ", ")
+				return nil, "unknown key " + path[:i+1].String(), "the keys here are " + strings.Join(keysOf(typ), ", ")
 			}
-			at = field
+			typ = field
 		default:
 			return nil, path.String() + " lies under a value", "take it out"
 		}
 	}
-	return at, "", ""
+	return typ, "", ""
 }
 
-func fieldOf(table reflect.Type, key string) (reflect.Type, bool) {
+func fieldType(table reflect.Type, key string) (reflect.Type, bool) {
 	for field := range table.Fields() {
 		if field.Anonymous {
-			if found, ok := fieldOf(field.Type, key); ok {
+			if found, ok := fieldType(field.Type, key); ok {
 				return found, true
 			}
 			continue
@@ -89,30 +89,30 @@
 	return keys
 }
 
-func holdsTables(kind reflect.Type) bool {
-	return kind.Kind() == reflect.Map || kind.Kind() == reflect.Struct ||
-		kind.Kind() == reflect.Slice && kind.Elem().Kind() == reflect.Struct
+func isTableType(typ reflect.Type) bool {
+	return typ.Kind() == reflect.Map || typ.Kind() == reflect.Struct ||
+		typ.Kind() == reflect.Slice && typ.Elem().Kind() == reflect.Struct
 }
 
-// decodes reports whether the text is a value of the type.
-func decodes(kind reflect.Type, text string) bool {
-	if kind == spanType && !strings.HasPrefix(text, `"`) {
-		// A bare number would pass as milliseconds; the unit must be written.
+// decodes reports whether the text is a valid value of the type.
+func decodes(typ reflect.Type, text string) bool {
+	if typ == spanType && !strings.HasPrefix(text, `"`) {
+		// The unit is required; the decoder would accept a plain number as milliseconds.
 		return false
 	}
-	field := reflect.StructField{Name: "V", Type: kind, Tag: `toml:"v"`}
+	field := reflect.StructField{Name: "V", Type: typ, Tag: `toml:"v"`}
 	out := reflect.New(reflect.StructOf([]reflect.StructField{field}))
 	return toml.Unmarshal([]byte("v = "+text), out.Interface()) == nil
 }
 
-func wanted(kind reflect.Type) string {
+func remedyFor(typ reflect.Type) string {
 	switch {
-	case kind == spanType:
+	case typ == spanType:
 		return `write a duration such as "250ms" or "2m"`
-	case holdsTables(kind):
+	case isTableType(typ):
 		return "write a table here"
 	}
-	switch kind.Kind() {
+	switch typ.Kind() {
 	case reflect.String:
 		return "write a text in quotes"
 	case reflect.Bool:
--- a/internal/resolver/site.go
+++ b/internal/resolver/site.go
@@ -9,11 +9,11 @@
 
 // Site is a data centre.
 type Site struct {
-	// Region is where the site lies; sites of a region are near each other.
+	// Region groups sites that are near each other.
 	Region string `toml:"region"`
 }
 
-// The promises by name.
+// Names of the promises.
 const (
 	PromiseBoundedLoad   = "bounded-load"
 	PromiseWholeAnswer   = "whole-answer"
@@ -32,7 +32,7 @@
 	}
 }
 
-// Promises say which promises apply to the fleet.
+// Promises selects the promises that apply to the fleet.
 type Promises struct {
 	// Apply names the promises that apply; empty means all.
 	Apply []string `toml:"apply"`
@@ -43,24 +43,25 @@
 	return len(promises.Apply) == 0 || slices.Contains(promises.Apply, promise)
 }
 
-// Limits bound what each process spends on the platform's store.
+// Limits bound the load that each process puts on the platform's store.
 type Limits struct {
-	// PollInterval is the mean time between two looks at the head; zero means 2 seconds.
+	// PollInterval is the mean time between two polls of the configuration's head row;
+	// zero means 2 seconds.
 	PollInterval timekeeper.Span `toml:"poll-every"`
-	// OrderLease is how long a planner holds its lease; zero means 30 seconds.
+	// OrderLease is the duration of a planner's lease; zero means 30 seconds.
 	OrderLease timekeeper.Span `toml:"order-lease"`
-	// StoreReads is how many reads a second a process makes at most; zero means 20.
+	// StoreReads is the maximum number of reads per second; zero means 20.
 	StoreReads int `toml:"store-reads"`
-	// StoreWrites is how many writes a second a process makes at most; zero means 50.
+	// StoreWrites is the maximum number of writes per second; zero means 50.
 	StoreWrites int `toml:"store-writes"`
 }
 
 // Defaults of the limits.
 const (
-	DefaultPollInterval   = 2 * timekeeper.Second
-	DefaultOrderLease  = 30 * timekeeper.Second
-	DefaultStoreReads  = 20
-	DefaultStoreWrites = 50
+	DefaultPollInterval = 2 * timekeeper.Second
+	DefaultOrderLease   = 30 * timekeeper.Second
+	DefaultStoreReads   = 20
+	DefaultStoreWrites  = 50
 )
 
 // WithDefaults returns the limits with every zero replaced by its default.
--- a/internal/resolver/pieces_test.go
+++ b/internal/resolver/team_chunks_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestTeamsInPiecesAreTheTeamsAsAWhole(t *testing.T) {
-	for _, count := range []int{0, 1, teamsAPiece, teamsAPiece + 1, 5*teamsAPiece - 1} {
+func TestTeamsDecodedInChunksEqualTeamsDecodedAtOnce(t *testing.T) {
+	for _, count := range []int{0, 1, teamsPerChunk, teamsPerChunk + 1, 5*teamsPerChunk - 1} {
 		Convey(fmt.Sprintf("%d teams, each written in two places", count), t, func() {
 			var text strings.Builder
 			text.WriteString("[services.orders]\nkind = \"plain\"\n")
