--- a/internal/loader/check.go
+++ b/internal/loader/check.go
@@ -17,15 +17,15 @@
 	file   string
 	doc    resolver.Document
 	faults resolver.Faults
-	// bad are the lines whose values could not be read. Their keys are neither
-	// missing nor to be checked further.
-	bad []int
+	// badLines are the lines on which decoding found a fault. Their keys aren't
+	// checked further, nor reported as missing.
+	badLines []int
 }
 
-// add notes a fault at a key, unless its value could not be read at all.
+// add records a fault at the line of a key, unless the key is on one of badLines.
 func (check *checker) add(key, remedy, reason string, args ...any) {
 	line := check.doc.Line(key)
-	if check.doc.Has(key) && slices.Contains(check.bad, line) {
+	if check.doc.Has(key) && slices.Contains(check.badLines, line) {
 		return
 	}
 	check.faults = append(check.faults, resolver.Fault{
@@ -33,22 +33,22 @@
 	})
 }
 
-// present reports whether a value is there, and notes a fault when it isn't.
-func (check *checker) present(key, value string) bool {
+// require reports whether a value is set, and records a fault if not.
+func (check *checker) require(key, value string) bool {
 	if value == "" {
 		check.add(key, "add it", "%s is missing", key)
 	}
 	return value != ""
 }
 
-// process checks what every process has to know.
+// process checks the settings that all processes have.
 func (check *checker) process(process Process) {
-	check.present("name", process.Name)
-	check.present("site", process.Site)
-	listen, bound := check.address("listen", process.Listen)
+	check.require("name", process.Name)
+	check.require("site", process.Site)
+	listen, listenValid := check.address("listen", process.Listen)
 	if process.AdminListen != "" {
-		admin, ok := check.address("admin-listen", process.AdminListen)
-		if bound && ok && admin.Port() != 0 && admin == listen {
+		admin, adminValid := check.address("admin-listen", process.AdminListen)
+		if listenValid && adminValid && admin.Port() != 0 && admin == listen {
 			check.add("admin-listen", "write another port", "admin-listen is the same address as listen, %s", admin)
 		}
 	}
@@ -57,14 +57,15 @@
 	check.level(process.LogLevel)
 }
 
-// level checks a level of the log; none is fine.
+// level checks the log level; it may be empty.
 func (check *checker) level(level string) {
 	if _, err := logrus.ParseLevel(level); level != "" && err != nil {
 		check.add("log-level", "write debug, info, warn or error", "log-level is %q", level)
 	}
 }
 
-// peers checks addresses of agents: each once, and none the process's own.
+// peers checks the addresses of agents. It reports duplicates, and the process's
+// own address.
 func (check *checker) peers(peers []string, own netip.AddrPort) {
 	seen := make([]netip.AddrPort, 0, len(peers))
 	for _, peer := range peers {
@@ -82,9 +83,9 @@
 	}
 }
 
-// agent checks what an agent has to know beside.
+// agent checks the settings that only agents have.
 func (check *checker) agent(agent Agent) {
-	check.present("service", agent.Service)
+	check.require("service", agent.Service)
 	check.url("upstream", agent.Upstream)
 	if agent.Upstream != "" && agent.Upstream == agent.Platform {
 		check.add("upstream", "write the address of the upstream instance", "upstream is the same address as platform")
@@ -96,7 +97,7 @@
 }
 
 func (check *checker) address(key, value string) (netip.AddrPort, bool) {
-	if !check.present(key, value) {
+	if !check.require(key, value) {
 		return netip.AddrPort{}, false
 	}
 	address, err := netip.ParseAddrPort(value)
@@ -107,7 +108,7 @@
 }
 
 func (check *checker) url(key, value string) {
-	if !check.present(key, value) {
+	if !check.require(key, value) {
 		return
 	}
 	address, err := url.Parse(value)
--- a/internal/loader/direct.go
+++ b/internal/loader/direct.go
@@ -10,103 +10,105 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Direct is the settings file of an entry that sends requests to replicas
-// itself and takes configuration and replicas from the platform's store.
+// Direct is the settings file of an entry that sends requests directly to
+// replicas, without agents, and reads the configuration and the list of replicas
+// from the platform's store.
 type Direct struct {
 	Name       string `toml:"name"`
 	DataCentre string `toml:"data-centre"`
 	// Listen is the address for callers.
 	Listen string `toml:"listen"`
-	// ReadyListen is the address for the balancer that asks whether callers are
-	// welcome.
+	// ReadyListen is the address for readiness probes of the load balancer in front
+	// of the entries.
 	ReadyListen string `toml:"ready-listen"`
 	// MetricsListen is the address for metrics; empty means none.
 	MetricsListen string `toml:"metrics-listen"`
-	// PeerListen is the address for other entries, TCP and UDP.
+	// PeerListen is the address for peers, TCP and UDP.
 	PeerListen string `toml:"peer-listen"`
 	// Store is the address of the platform's store.
 	Store string `toml:"store"`
-	// LogLevel is a level of logrus; empty means "info".
+	// LogLevel is a log level of logrus; empty means "info".
 	LogLevel string `toml:"log-level"`
-	// LogFormat is how lines are written; empty means JSON.
+	// LogFormat is the format of log lines; empty means JSON.
 	LogFormat logger.Format `toml:"log-format"`
-	// MemoryMegabytes is the process's limit in megabytes; zero means none.
+	// MemoryMegabytes is the memory limit of the process; zero means none.
 	MemoryMegabytes int `toml:"memory-megabytes"`
-	// Descriptors is how many descriptors the process may have; zero means 1,024.
+	// Descriptors is the maximum number of open file descriptors; zero means 1,024.
 	Descriptors int `toml:"descriptors"`
-	// StopDelay is how long a stopping entry says "not ready" and still takes
+	// StopDelay is how long a stopping entry reports "not ready" and still accepts
 	// callers; zero means 2.3 s.
 	StopDelay timekeeper.Span `toml:"stop-delay"`
-	// StopGrace is how long the platform waits before it kills a stopping
-	// process; zero means 8 s.
+	// StopGrace is how long the platform waits for a stopping process before it kills
+	// it; zero means 8 s.
 	StopGrace timekeeper.Span `toml:"stop-grace"`
-	// LoadFactor is how many times the mean of its service a replica may hold; zero
-	// means 2.
+	// LoadFactor is how many times the mean load of its service a replica may hold;
+	// zero means 2.
 	LoadFactor float64 `toml:"bound"`
-	// MovePrice is how many prompt tokens that engines read cost the operators as
-	// much as a gigabyte that they hand each other; zero means 2,300.
+	// MovePrice is how many prefilled prompt tokens cost the operators as much as the
+	// transfer of a gigabyte between engines; zero means 2,300.
 	MovePrice float64 `toml:"move-price"`
-	// Retry bounds what the fleet sends again.
+	// Retry bounds the retries of all entries together.
 	Retry Retry `toml:"retry"`
-	// Cold bounds what the fleet sends to a replica that is cold.
+	// Cold bounds the rate at which all entries together send to a cold replica.
 	Cold Cold `toml:"cold"`
 }
 
-// Cold is how many requests a second the fleet as a whole may send to a replica that has
-// just started: the rate that its service tolerates, times Over, and Slack more.
+// Cold bounds how many requests a second all entries together send to a replica that has
+// just started: the rate that its service tolerates, times RateFactor, plus Slack.
 type Cold struct {
-	// RateFactor is at least 1; zero means 1.
-	RateFactor  float64 `toml:"over"`
-	Slack float64 `toml:"slack"`
+	// RateFactor must be at least 1; zero means 1.
+	RateFactor float64 `toml:"over"`
+	Slack      float64 `toml:"slack"`
 }
 
-// Retry is how much the fleet as a whole may send again to one service.
+// Retry bounds how many retries all entries together send to one service.
 type Retry struct {
-	// Window is the time over which it is counted; zero means 10 s.
+	// Window is the time over which requests and retries are counted; zero means 10 s.
 	Window timekeeper.Span `toml:"window"`
 	// Ratio is how many retries each request allows; zero means 0.2.
 	Ratio float64 `toml:"ratio"`
-	// Extra is how many retries come on top; zero means 20.
+	// Extra is how many retries are allowed in addition; zero means 20.
 	Extra float64 `toml:"extra"`
 }
 
-// Defaults of an entry that sends requests itself.
+// Defaults of an entry that sends requests directly to replicas.
 const (
-	// The balancer looks once a second and needs two looks and an answer.
-	defaultStopDelay   = 2300 * timekeeper.Millisecond
-	defaultStopGrace   = 8 * timekeeper.Second
-	defaultBound       = 2
-	defaultMovePrice   = balancer.DefaultMovePrice
-	defaultRetryWindow = 10 * timekeeper.Second
-	defaultRetryRatio  = 0.2
-	defaultRetryExtra  = 20
-	defaultColdOver    = 1
+	// The load balancer in front probes readiness once a second, and needs two probes
+	// and an answer to notice that the entry stops.
+	defaultStopDelay      = 2300 * timekeeper.Millisecond
+	defaultStopGrace      = 8 * timekeeper.Second
+	defaultLoadFactor     = 2
+	defaultMovePrice      = balancer.DefaultMovePrice
+	defaultRetryWindow    = 10 * timekeeper.Second
+	defaultRetryRatio     = 0.2
+	defaultRetryExtra     = 20
+	defaultColdRateFactor = 1
 )
 
-// WithDefaults returns the settings with what is left out filled in.
+// WithDefaults returns the settings with every zero value replaced by its default.
 func (direct Direct) WithDefaults() Direct {
 	direct.StopDelay = cmp.Or(direct.StopDelay, defaultStopDelay)
 	direct.StopGrace = cmp.Or(direct.StopGrace, defaultStopGrace)
-	direct.LoadFactor = cmp.Or(direct.LoadFactor, defaultBound)
+	direct.LoadFactor = cmp.Or(direct.LoadFactor, defaultLoadFactor)
 	direct.MovePrice = cmp.Or(direct.MovePrice, defaultMovePrice)
 	direct.Retry.Window = cmp.Or(direct.Retry.Window, defaultRetryWindow)
 	direct.Retry.Ratio = cmp.Or(direct.Retry.Ratio, defaultRetryRatio)
 	direct.Retry.Extra = cmp.Or(direct.Retry.Extra, defaultRetryExtra)
-	direct.Cold.RateFactor = cmp.Or(direct.Cold.RateFactor, defaultColdOver)
+	direct.Cold.RateFactor = cmp.Or(direct.Cold.RateFactor, defaultColdRateFactor)
 	return direct
 }
 
-// ReadDirect reads the settings of an entry that sends requests itself.
+// ReadDirect reads the settings of an entry that sends requests directly to replicas.
 func ReadDirect(file string) (Direct, resolver.Faults) {
 	var direct Direct
 	faults := read(file, &direct, func(check *checker) { check.direct(direct) })
 	return direct.WithDefaults(), faults
 }
 
-// direct checks the settings of an entry that sends requests itself.
+// direct checks the settings of an entry that sends requests directly to replicas.
 func (check *checker) direct(direct Direct) {
-	check.present("name", direct.Name)
-	check.present("data-centre", direct.DataCentre)
+	check.require("name", direct.Name)
+	check.require("data-centre", direct.DataCentre)
 	check.address("listen", direct.Listen)
 	check.address("ready-listen", direct.ReadyListen)
 	check.address("peer-listen", direct.PeerListen)
--- a/internal/loader/process.go
+++ b/internal/loader/process.go
@@ -8,7 +8,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Process is what every process has to know.
+// Process holds the settings that entries and agents have in common.
 type Process struct {
 	Name string `toml:"name"`
 	// Site is the data centre that the process runs in.
@@ -20,21 +20,22 @@
 	AdminListen string `toml:"admin-listen"`
 	// Platform is the base address of the platform's services.
 	Platform string `toml:"platform"`
-	// Peers are addresses of agents that are asked for the configuration, and
-	// for who is live, when the platform doesn't answer at the start of the process.
+	// Peers are the addresses of agents that the process asks for the configuration
+	// and the live members if the platform doesn't answer when the process starts.
 	Peers []string `toml:"peers"`
-	// MembershipInterval is the time between two rounds in which the process hears
-	// of others; zero means one second. How long silence is borne follows it.
+	// MembershipInterval is the time between two rounds in which the process exchanges
+	// membership with others; zero means one second. The timeout of a silent member is
+	// a multiple of it.
 	MembershipInterval timekeeper.Span `toml:"membership-round"`
-	// LogLevel is a level of logrus; empty means "info".
+	// LogLevel is a log level of logrus; empty means "info".
 	LogLevel string `toml:"log-level"`
 }
 
 // Entry is the settings file of an entry.
 type Entry struct {
 	Process
-	// StopDelay is how long an entry that stops says "not ready" and still takes
-	// callers; zero means not at all.
+	// StopDelay is how long a stopping entry reports "not ready" and still accepts
+	// callers; zero means no delay.
 	StopDelay timekeeper.Span `toml:"stop-delay"`
 }
 
@@ -44,8 +45,8 @@
 	Service string `toml:"service"`
 	// Upstream is the base address of the upstream instance.
 	Upstream string `toml:"upstream"`
-	// Advertise is the address by which others reach the agent; empty means
-	// the one that it listens on.
+	// Advertise is the address at which other processes reach the agent; empty means
+	// Listen.
 	Advertise string `toml:"advertise"`
 }
 
@@ -66,7 +67,7 @@
 	return agent, faults
 }
 
-// read fills out from the file, then checks what is in it.
+// read decodes the file into out and checks the values with inspect.
 func read(file string, out any, inspect func(check *checker)) resolver.Faults {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -78,7 +79,7 @@
 		return faults
 	}
 	for _, fault := range faults {
-		check.bad = append(check.bad, fault.Line)
+		check.badLines = append(check.badLines, fault.Line)
 	}
 	inspect(check)
 	slices.SortStableFunc(check.faults, func(a, b resolver.Fault) int { return a.Line - b.Line })
