--- a/internal/storekeeper/budget.go
+++ b/internal/storekeeper/budget.go
@@ -2,7 +2,7 @@
 
 import "github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 
-// Cause says what a read or write of the store is for.
+// Cause is the purpose of a read or write of the store.
 type Cause string
 
 // The causes.
@@ -16,9 +16,9 @@
 	ForOther     Cause = "other"
 )
 
-// CauseOf returns the cause of a call from its table, or the first part of its
-// object's name. Everything in the store belongs to one package, so the name
-// tells the cause, and no caller can forget to say it.
+// CauseOf returns the cause of a call, given its table or the first part of its
+// object's name. Each name in the store belongs to one package, so the name
+// determines the cause, and callers can't forget to pass it.
 func CauseOf(name string) Cause {
 	switch name {
 	case "config":
@@ -35,11 +35,11 @@
 	return ForOther
 }
 
-// background reports whether a cause is work that nobody waits for and that is
-// tried again by itself. Only such work is held back. Claims and strikes decide
-// about a call of their own: held back by a budget of the process, they would
-// refuse the caller of an order, or let a request crash one more engine. What
-// bounds them is the number of calls that are admitted.
+// background reports whether calls of a cause are background work, which no caller
+// waits for and which is retried automatically. Only such calls are limited by a
+// budget. Claims and strikes decide about a caller's call: if the budget of the
+// process refused them, the caller of an order would be refused, or a request could
+// crash one more engine. Their number is bounded by that of the admitted calls.
 func (cause Cause) background() bool {
 	switch cause {
 	case ForConfig, ForInstances, ForRecord, ForOrders:
@@ -48,43 +48,43 @@
 	return false
 }
 
-// Rates bound the calls of one cause in one process, a second.
+// Rates are the maximum numbers of calls per second of one cause in one process.
 type Rates struct {
 	Reads  int
 	Writes int
 }
 
 const (
-	// patience is how many failures in a row open the pause.
-	patience = 3
-	// firstPause and longestPause bound the time in which nothing is asked.
-	firstPause   = 200 * timekeeper.Millisecond
-	longestPause = 4 * timekeeper.Second
+	// failuresBeforePause is how many consecutive failures start a pause.
+	failuresBeforePause = 3
+	// minPause and maxPause bound the pause, in which no call is sent.
+	minPause = 200 * timekeeper.Millisecond
+	maxPause = 4 * timekeeper.Second
 )
 
-// Budget decides whether a call of one cause may go to the store. It is an
-// immutable value.
+// Budget is a rate limiter and circuit breaker for the calls of one cause to the
+// store. It is an immutable value.
 type Budget struct {
-	second   timekeeper.Instant
-	reads    int
-	writes   int
-	failures int
-	until    timekeeper.Instant
+	windowStart timekeeper.Instant
+	reads       int
+	writes      int
+	failures    int
+	pausedUntil timekeeper.Instant
 }
 
-// Allow decides about one call.
+// Allow reports whether a call may be sent, and returns the budget after it.
 //
-// The load: every process of the fleet reads and writes the same store, which
-// gives some two thousand reads and several hundred writes a second. The harm:
-// a fault makes one cause ask in a tight loop, and the store refuses the
-// claims of orders for it. The limit is by cause and process, so a cause can
-// only starve itself. It is for causes in the background; see background.
+// All processes of the fleet share a store that serves some two thousand reads
+// and several hundred writes a second. If a fault made one cause call it in a
+// tight loop, the store would refuse the claims of orders. The limit is per cause
+// and process, so a cause can only starve itself. It applies to background causes
+// only; see background.
 func (budget Budget) Allow(write bool, rates Rates, now timekeeper.Instant) (Budget, bool) {
-	if now < budget.until {
+	if now < budget.pausedUntil {
 		return budget, false
 	}
-	if now.Since(budget.second) >= timekeeper.Second {
-		budget.second, budget.reads, budget.writes = now, 0, 0
+	if now.Since(budget.windowStart) >= timekeeper.Second {
+		budget.windowStart, budget.reads, budget.writes = now, 0, 0
 	}
 	if write {
 		budget.writes++
@@ -94,22 +94,23 @@
 	return budget, budget.reads <= rates.Reads
 }
 
-// Record takes in how a call ended: whether the store answered. draw is from
-// [0, 1).
+// Record returns the budget after a call ended, given whether the store answered.
+// jitter is a random number from [0, 1).
 //
-// The harm: a store that is slow holds each caller for the whole timeout, and
-// a store that comes back is met by all who waited. After a few failures in a
-// row calls end at once, until a pause with jitter is over.
-func (budget Budget) Record(answered bool, draw float64, now timekeeper.Instant) Budget {
+// A slow store would block each caller for the whole timeout, and a store that
+// recovers would get the calls of all who waited at the same time. After a few
+// consecutive failures, calls therefore fail immediately until a pause with
+// jitter is over.
+func (budget Budget) Record(answered bool, jitter float64, now timekeeper.Instant) Budget {
 	if answered {
-		budget.failures, budget.until = 0, 0
+		budget.failures, budget.pausedUntil = 0, 0
 		return budget
 	}
 	budget.failures++
-	if budget.failures < patience {
+	if budget.failures < failuresBeforePause {
 		return budget
 	}
-	pause := min(firstPause<<min(budget.failures-patience, 8), longestPause)
-	budget.until = now.Add(timekeeper.Span(float64(pause) * (0.5 + draw/2)))
+	pause := min(minPause<<min(budget.failures-failuresBeforePause, 8), maxPause)
+	budget.pausedUntil = now.Add(timekeeper.Span(float64(pause) * (0.5 + jitter/2)))
 	return budget
 }
--- a/internal/storekeeper/meter.go
+++ b/internal/storekeeper/meter.go
@@ -12,21 +12,22 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Tally is how often a cause has used the store.
+// Tally counts the calls of one cause to the store.
 type Tally struct {
 	Reads  int `json:"reads"`
 	Writes int `json:"writes"`
-	// Refused were over the rate, or came in the pause after failures; they
-	// never reached the store.
+	// Refused calls exceeded the rate or came during the pause after failures; they
+	// were not sent to the store.
 	Refused int `json:"refused"`
-	// Failed were sent and got no answer, or were refused by the store.
+	// Failed calls were sent, and got no answer or were refused by the store.
 	Failed int `json:"failed"`
 }
 
-// Outcome is what became of a call, as the metrics name it.
+// Outcome is the result of a call as it is named in the metrics.
 type Outcome string
 
-// The uses. A call that failed was counted as read or written before.
+// The outcomes. A failed call is counted twice: as Read or Written when it is sent,
+// and as Failed.
 const (
 	Read    Outcome = "read"
 	Written Outcome = "written"
@@ -34,9 +35,9 @@
 	Failed  Outcome = "failed"
 )
 
-// with returns the tally with one more use.
-func (tally Tally) with(use Outcome) Tally {
-	switch use {
+// with returns the tally with one more call of the outcome.
+func (tally Tally) with(outcome Outcome) Tally {
+	switch outcome {
 	case Read:
 		tally.Reads++
 	case Written:
@@ -49,24 +50,23 @@
 	return tally
 }
 
-// MeterSettings set up a meter. Clock must be set.
+// MeterSettings configures a meter. Clock must be set.
 type MeterSettings struct {
 	Clock timekeeper.Clock
 	Seed  uint64
-	// Rates returns the bounds of each cause; nil means none.
+	// Rates returns the limits that apply to each cause; nil means no limits.
 	Rates func() Rates
-	// Count takes each use for the metrics; nil means it is dropped.
-	Count func(cause Cause, use Outcome)
+	// Count is called with each outcome, for the metrics; it may be nil.
+	Count func(cause Cause, outcome Outcome)
 }
 
-// Meter stands between a process and its platform. It counts every read and
-// write by cause, holds each cause to its rate, and after failures lets
-// nothing through for a while.
+// Meter wraps the platform for a process. It counts reads and writes by cause,
+// limits the rate of each background cause, and pauses its calls after failures.
 type Meter struct {
 	settings MeterSettings
 
 	mu      sync.Mutex
-	draws   *rand.Rand
+	random  *rand.Rand
 	budgets map[Cause]Budget
 	tallies map[Cause]Tally
 }
@@ -82,21 +82,21 @@
 	}
 	return &Meter{
 		settings: settings,
-		draws:    rand.New(rand.NewPCG(settings.Seed, 4)),
+		random:   rand.New(rand.NewPCG(settings.Seed, 4)),
 		budgets:  map[Cause]Budget{},
 		tallies:  map[Cause]Tally{},
 	}
 }
 
-// Tallies returns what each cause has used.
+// Tallies returns the counts of each cause.
 func (meter *Meter) Tallies() map[Cause]Tally {
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
 	return maps.Clone(meter.tallies)
 }
 
-// Wrap returns the platform with the meter before it. A call that the meter
-// refuses is ErrBusy: nothing was done.
+// Wrap returns the platform with the meter in front of it. A call that the meter
+// refuses returns ErrBusy and is not sent.
 func (meter *Meter) Wrap(platform Platform) Platform {
 	return Platform{
 		Table: Table{
@@ -153,14 +153,14 @@
 	return CauseOf(writes[0].Table)
 }
 
-// metered makes one call under the budget of its cause.
+// metered makes a call if the budget of its cause allows it.
 func metered[Out any](meter *Meter, cause Cause, write bool, call func() (Out, error)) (Out, error) {
 	if !meter.allow(cause, write) {
-		var none Out
-		return none, eris.Wrapf(ErrBusy, "the process holds back calls for %s", cause)
+		var zero Out
+		return zero, eris.Wrapf(ErrBusy, "the process holds back calls for %s", cause)
 	}
 	out, err := call()
-	meter.settle(cause, err)
+	meter.record(cause, err)
 	return out, err
 }
 
@@ -183,13 +183,13 @@
 	return allowed
 }
 
-// count notes one use; the lock must be held.
-func (meter *Meter) count(cause Cause, use Outcome) {
-	meter.tallies[cause] = meter.tallies[cause].with(use)
-	meter.settings.Count(cause, use)
+// count counts one outcome; the caller must hold the lock.
+func (meter *Meter) count(cause Cause, outcome Outcome) {
+	meter.tallies[cause] = meter.tallies[cause].with(outcome)
+	meter.settings.Count(cause, outcome)
 }
 
-func (meter *Meter) settle(cause Cause, err error) {
+func (meter *Meter) record(cause Cause, err error) {
 	now := meter.settings.Clock.Now()
 	answered := !eris.Is(err, ErrUnknown) && !eris.Is(err, ErrBusy)
 	meter.mu.Lock()
@@ -198,6 +198,6 @@
 		meter.count(cause, Failed)
 	}
 	if cause.background() {
-		meter.budgets[cause] = meter.budgets[cause].Record(answered, meter.draws.Float64(), now)
+		meter.budgets[cause] = meter.budgets[cause].Record(answered, meter.random.Float64(), now)
 	}
 }
--- a/internal/storekeeper/meter_test.go
+++ b/internal/storekeeper/meter_test.go
@@ -10,7 +10,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// stub is a platform whose every call ends with the error that fail returns.
+// stub returns a platform on which every call returns the error of fail.
 func stub(fail func() error) Platform {
 	return Platform{
 		Table: Table{
@@ -27,20 +27,20 @@
 	}
 }
 
-func TestAMeterCountsByCauseAndHoldsBack(t *testing.T) {
-	// A cause that asks in a tight loop, or a store that gives no answer, must
-	// cost neither the store nor other causes anything.
+func TestMeterCountsAndLimitsByCause(t *testing.T) {
+	// Guards against a cause that calls the store in a tight loop, and against a store
+	// that doesn't answer: neither may load the store or delay other causes.
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	var failure error
 	sent := 0
 	counted := map[Cause]Tally{}
 	meter := NewMeter(MeterSettings{
 		Clock: clock.Clock(), Rates: func() Rates { return Rates{Reads: 3, Writes: 2} },
-		Count: func(cause Cause, use Outcome) { counted[cause] = counted[cause].with(use) },
+		Count: func(cause Cause, outcome Outcome) { counted[cause] = counted[cause].with(outcome) },
 	})
 	platform := meter.Wrap(stub(func() error { sent++; return failure }))
 	ctx := context.Background()
-	Convey("a cause over its rate is held back, another is not", t, func() {
+	Convey("only the cause over its rate is limited", t, func() {
 		for range 5 {
 			_, _ = platform.Table.Get(ctx, "config", "head")
 		}
@@ -61,12 +61,12 @@
 		So(sent, ShouldEqual, 9)
 		So(counted, ShouldResemble, meter.Tallies())
 	})
-	Convey("the rate is back after a second", t, func() {
+	Convey("calls are allowed again after a second", t, func() {
 		clock.Advance(timekeeper.Second)
 		_, err := platform.Table.Get(ctx, "config", "head")
 		So(err, ShouldBeNil)
 	})
-	Convey("after failures nothing is sent until the pause is over", t, func() {
+	Convey("after failures no call is sent until the pause is over", t, func() {
 		failure = ErrUnknown
 		platform := NewMeter(MeterSettings{Clock: clock.Clock()}).Wrap(stub(func() error { sent++; return failure }))
 		before := sent
@@ -77,7 +77,7 @@
 		}
 		So(sent-before, ShouldBeBetween, 3, 9)
 		failure = nil
-		clock.Advance(longestPause)
+		clock.Advance(maxPause)
 		_, err := platform.Directory.List(ctx)
 		So(err, ShouldBeNil)
 	})
--- a/internal/storekeeper/platform.go
+++ b/internal/storekeeper/platform.go
@@ -8,17 +8,18 @@
 
 // Errors of the platform's services.
 var (
-	// ErrAbsent says that a row or object is not there.
+	// ErrAbsent means that the row or object does not exist.
 	ErrAbsent = eris.New("not there")
-	// ErrConflict says that a row was not at the expected version; nothing was written.
+	// ErrConflict means that a row did not have the expected version, or that the
+	// object exists; nothing was written.
 	ErrConflict = eris.New("changed since it was read")
-	// ErrBusy says that the rate limit was passed; nothing was done.
+	// ErrBusy means that the rate limit was exceeded; nothing was done.
 	ErrBusy = eris.New("over the store's rate")
-	// ErrUnknown says that no answer came; a write may have taken effect.
+	// ErrUnknown means that the store did not answer; a write may have taken effect.
 	ErrUnknown = eris.New("no answer from the store")
 )
 
-// Row is one row of a table. Version 0 means that there is no row.
+// Row is a row of a table. Version 0 means that the row does not exist.
 type Row struct {
 	Table   string `json:"table"`
 	Key     string `json:"key"`
@@ -26,8 +27,8 @@
 	Version uint64 `json:"version"`
 }
 
-// Write is one change in a commit. Expect is the version that the row must
-// have, 0 for a row that must not exist.
+// Write is one change in a commit. Expect is the version that the row must have;
+// 0 means that the row must not exist.
 type Write struct {
 	Table  string `json:"table"`
 	Key    string `json:"key"`
@@ -40,40 +41,42 @@
 type Table struct {
 	// Get returns a row, or ErrAbsent.
 	Get func(ctx context.Context, table, key string) (Row, error)
-	// Scan returns up to limit rows whose keys start with prefix and come
-	// after the key after, in key order.
+	// Scan returns up to limit rows, in key order, whose keys start with prefix and
+	// are greater than the key after.
 	Scan func(ctx context.Context, table, prefix, after string, limit int) ([]Row, error)
-	// Commit applies all writes or none; ErrConflict when any row has moved.
+	// Commit applies all writes or none; it returns ErrConflict if the version of any
+	// row is not the expected one.
 	Commit func(ctx context.Context, writes []Write) error
 }
 
-// Objects is the object store. An object, once put, doesn't change.
+// Objects is the object store. Objects are immutable.
 type Objects struct {
-	// Put stores an object; putting the same name again is ErrConflict.
+	// Put stores an object; it returns ErrConflict if the name exists.
 	Put func(ctx context.Context, name string, body []byte) error
 	// Get returns an object, or ErrAbsent.
 	Get func(ctx context.Context, name string) ([]byte, error)
-	// List returns up to limit names that start with prefix and come after the name after.
+	// List returns up to limit names that start with prefix and are greater than the
+	// name after.
 	List func(ctx context.Context, prefix, after string, limit int) ([]string, error)
 }
 
-// Instance is an entry of the platform's list of instances.
+// Instance is a row of the platform's list of instances.
 type Instance struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	// Address is where the instance's agent listens.
+	// Address is the address of the instance's agent.
 	Address string `json:"address"`
 	Site    string `json:"site"`
 	Region  string `json:"region,omitempty"`
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
-// Directory is the platform's list of instances. It lags.
+// Directory is the platform's list of instances. It lags behind the actual instances.
 type Directory struct {
 	List func(ctx context.Context) ([]Instance, error)
 }
 
-// Platform is all that the platform gives.
+// Platform holds the services of the platform.
 type Platform struct {
 	Table     Table
 	Objects   Objects
--- a/internal/storekeeper/remote.go
+++ b/internal/storekeeper/remote.go
@@ -14,14 +14,14 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// CallTimeout bounds one call to the platform, so that a slow store is an
-// outage to its callers and never holds them.
+// CallTimeout is the timeout of a call to the platform. It makes a slow store an
+// outage for its callers instead of blocking them.
 const CallTimeout = 2 * timekeeper.Second
 
-// answerLimit bounds what one answer of the platform may hold in bytes.
-const answerLimit = 64 << 20
+// maxAnswerBytes limits how much of an answer of the platform is read.
+const maxAnswerBytes = 64 << 20
 
-// Remote returns the platform behind an HTTP address such as
+// Remote returns the platform at an HTTP address such as
 // "http://127.0.0.1:7000", and a function that closes idle connections.
 func Remote(address string) (Platform, func()) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 8}
@@ -91,21 +91,21 @@
 	return eris.Wrap(json.Unmarshal(body, out), "decode the platform's answer")
 }
 
-// call makes one call. Any failure to get a whole answer is ErrUnknown.
+// call makes one call. It returns ErrUnknown if it gets no complete answer.
 func (remote remote) call(ctx context.Context, method, path string, query url.Values, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, remote.base+path+"?"+query.Encode(), bytes.NewReader(body))
 	if err != nil {
 		return nil, eris.Wrap(err, "platform address")
 	}
-	// A write must not be sent twice behind our back: its second run would
-	// answer "conflict" to a caller whose first run took effect.
+	// Without GetBody the transport doesn't resend a write on its own. If it did, the
+	// second write would return ErrConflict though the first took effect.
 	request.GetBody = nil
 	response, err := remote.client.Do(request)
 	if err != nil {
 		return nil, eris.Wrap(ErrUnknown, err.Error())
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, answerLimit))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, eris.Wrap(ErrUnknown, err.Error())
 	}
