--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -119,7 +119,7 @@
 		{"cache-tokens", service.CacheTokens},
 		{"urgent-slots", int64(valueOf(service.UrgentSlots))},
 		{"unknown-hold", int64(valueOf(service.UnknownHold))},
-		{"settle-time", int64(valueOf(service.SettleTime))},
+		{"settle-time", int64(valueOf(service.RecentStartPeriod))},
 		{"longest-fetch", int64(service.LongestFetch)},
 		{"hand-over-bytes", service.HandOverBytes},
 		{"loads-a-minute", int64(service.LoadsPerMinute)},
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -74,9 +74,9 @@
 	UnknownHold *timekeeper.Span `toml:"unknown-hold"`
 	// CacheTokens is the size of an engine's prefix cache; zero means unknown.
 	CacheTokens int64 `toml:"cache-tokens"`
-	// SettleTime is how long after its start a replica redirects chats that it
+	// RecentStartPeriod is how long after its start a replica redirects chats that it
 	// doesn't know to the replica that was their home before; absent means ten minutes.
-	SettleTime *timekeeper.Span `toml:"settle-time"`
+	RecentStartPeriod *timekeeper.Span `toml:"settle-time"`
 	// CachePath is the engines' URL path for export and import of a chat's prefix;
 	// empty means that they don't support it.
 	CachePath string `toml:"cache-path"`
@@ -180,7 +180,7 @@
 	service.Ageing = cmp.Or(service.Ageing, DefaultAgeing)
 	service.UrgentSlots = cmp.Or(service.UrgentSlots, new(service.Slots/slotsPerUrgentSlot))
 	service.UnknownHold = cmp.Or(service.UnknownHold, new(DefaultUnknownHold))
-	service.SettleTime = cmp.Or(service.SettleTime, new(DefaultSettleTime))
+	service.RecentStartPeriod = cmp.Or(service.RecentStartPeriod, new(DefaultSettleTime))
 	service.LongestFetch = cmp.Or(service.LongestFetch, DefaultLongestFetch)
 	service.HandOverBytes = cmp.Or(service.HandOverBytes, DefaultHandOverBytes)
 	service.ResumeGrace = cmp.Or(service.ResumeGrace, DefaultResumeGrace)
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -27,7 +27,7 @@
 		Attempt:         int(offer.GetAttempt()),
 		Ranked:          offer.GetCandidates(),
 		OnlyIfCached:    offer.GetSeek(),
-		RecentlyStarted: now.Since(agent.born) < *agent.service.SettleTime,
+		RecentlyStarted: now.Since(agent.born) < *agent.service.RecentStartPeriod,
 		CanFetch:        agent.fetches(),
 	}
 }
