--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -140,16 +140,16 @@
 
 // Defaults of a service's settings.
 const (
-	DefaultLoadFactor       = 1.25
-	DefaultSlots            = 8
-	DefaultQueueLength      = 64
-	DefaultMaxBody          = 1 << 20
-	DefaultLongestCall      = 10 * timekeeper.Minute
-	DefaultFirstByteTimeout = 30 * timekeeper.Second
-	DefaultMaxMeanAge       = 5 * timekeeper.Second
-	DefaultAgeing           = timekeeper.Second / 2
-	DefaultUnknownHold      = timekeeper.Second
-	DefaultSettleTime       = 10 * timekeeper.Minute
+	DefaultLoadFactor        = 1.25
+	DefaultSlots             = 8
+	DefaultQueueLength       = 64
+	DefaultMaxBody           = 1 << 20
+	DefaultLongestCall       = 10 * timekeeper.Minute
+	DefaultFirstByteTimeout  = 30 * timekeeper.Second
+	DefaultMaxMeanAge        = 5 * timekeeper.Second
+	DefaultAgeing            = timekeeper.Second / 2
+	DefaultUnknownHold       = timekeeper.Second
+	DefaultRecentStartPeriod = 10 * timekeeper.Minute
 
 	DefaultLongestFetch  = timekeeper.Second / 2
 	DefaultHandOverBytes = 1 << 30
@@ -180,7 +180,7 @@
 	service.Ageing = cmp.Or(service.Ageing, DefaultAgeing)
 	service.UrgentSlots = cmp.Or(service.UrgentSlots, new(service.Slots/slotsPerUrgentSlot))
 	service.UnknownHold = cmp.Or(service.UnknownHold, new(DefaultUnknownHold))
-	service.RecentStartPeriod = cmp.Or(service.RecentStartPeriod, new(DefaultSettleTime))
+	service.RecentStartPeriod = cmp.Or(service.RecentStartPeriod, new(DefaultRecentStartPeriod))
 	service.LongestFetch = cmp.Or(service.LongestFetch, DefaultLongestFetch)
 	service.HandOverBytes = cmp.Or(service.HandOverBytes, DefaultHandOverBytes)
 	service.ResumeGrace = cmp.Or(service.ResumeGrace, DefaultResumeGrace)
