--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -120,7 +120,7 @@
 		{"urgent-slots", int64(valueOf(service.UrgentSlots))},
 		{"unknown-hold", int64(valueOf(service.UnknownHold))},
 		{"settle-time", int64(valueOf(service.RecentStartPeriod))},
-		{"longest-fetch", int64(service.LongestFetch)},
+		{"longest-fetch", int64(service.FetchTimeout)},
 		{"hand-over-bytes", service.HandOverBytes},
 		{"loads-a-minute", int64(service.LoadsPerMinute)},
 	}
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -80,9 +80,9 @@
 	// CachePath is the engines' URL path for export and import of a chat's prefix;
 	// empty means that they don't support it.
 	CachePath string `toml:"cache-path"`
-	// LongestFetch is the timeout for fetching a call's prefix from another
+	// FetchTimeout is the timeout for fetching a call's prefix from another
 	// replica; zero means half a second.
-	LongestFetch timekeeper.Span `toml:"longest-fetch"`
+	FetchTimeout timekeeper.Span `toml:"longest-fetch"`
 	// HandOverBytes is the maximum size of the prefixes that a leaving replica
 	// hands over to other replicas; zero means 1 GiB.
 	HandOverBytes int64 `toml:"hand-over-bytes"`
@@ -181,7 +181,7 @@
 	service.UrgentSlots = cmp.Or(service.UrgentSlots, new(service.Slots/slotsPerUrgentSlot))
 	service.UnknownHold = cmp.Or(service.UnknownHold, new(DefaultUnknownHold))
 	service.RecentStartPeriod = cmp.Or(service.RecentStartPeriod, new(DefaultRecentStartPeriod))
-	service.LongestFetch = cmp.Or(service.LongestFetch, DefaultLongestFetch)
+	service.FetchTimeout = cmp.Or(service.FetchTimeout, DefaultLongestFetch)
 	service.HandOverBytes = cmp.Or(service.HandOverBytes, DefaultHandOverBytes)
 	service.ResumeGrace = cmp.Or(service.ResumeGrace, DefaultResumeGrace)
 	service.LongestOrder = cmp.Or(service.LongestOrder, DefaultLongestOrder)
--- a/internal/runner/fetch.go
+++ b/internal/runner/fetch.go
@@ -29,7 +29,7 @@
 func (agent *Agent) fetch(ctx context.Context, offer *encoder.Offer, arrived timekeeper.Instant) <-chan struct{} {
 	done := make(chan struct{})
 	agent.mu.Lock()
-	source, longest := "", agent.service.LongestFetch
+	source, longest := "", agent.service.FetchTimeout
 	if agent.fetches() {
 		source = agent.places.FetchSource(agent.visit(offer, arrived))
 	}
--- a/internal/runner/fetch_test.go
+++ b/internal/runner/fetch_test.go
@@ -129,7 +129,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			service := resolver.Service{
-				Kind: resolver.KindModel, CachePath: "/cache", CachedHeader: imitator.CachedHeader, LongestFetch: 100,
+				Kind: resolver.KindModel, CachePath: "/cache", CachedHeader: imitator.CachedHeader, FetchTimeout: 100,
 			}
 			trio := newTrio(t, service)
 			So(trio.turn(t, "b", "b", "a", "c"), ShouldEqual, cold)
--- a/internal/runner/prefix.go
+++ b/internal/runner/prefix.go
@@ -114,7 +114,7 @@
 func (agent *Agent) givePrefix(ctx context.Context, ask *encoder.PrefixAsk) *encoder.PrefixBody {
 	agent.mu.Lock()
 	where, tokens := agent.places.Locate(ask.GetChat()), agent.places.PrefixTokens(ask.GetChat())
-	longest, able := agent.service.LongestFetch, agent.upstream.service.CachePath != ""
+	longest, able := agent.service.FetchTimeout, agent.upstream.service.CachePath != ""
 	agent.mu.Unlock()
 	none := &encoder.PrefixBody{Chat: ask.GetChat(), Kind: classifier.NotFound.String()}
 	if where != agent.settings.Name {
@@ -153,7 +153,7 @@
 	agent.mu.Lock()
 	able := agent.upstream.service.CachePath != "" && !agent.draining && agent.places.Fits(body.GetTokens())
 	known := agent.places.Locate(body.GetChat()) == agent.settings.Name
-	longest := agent.service.LongestFetch
+	longest := agent.service.FetchTimeout
 	if able {
 		// Noted before the import, so that hand-overs side by side don't all
 		// see the same room.
