--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -151,7 +151,7 @@
 	DefaultUnknownHold       = timekeeper.Second
 	DefaultRecentStartPeriod = 10 * timekeeper.Minute
 
-	DefaultLongestFetch  = timekeeper.Second / 2
+	DefaultFetchTimeout  = timekeeper.Second / 2
 	DefaultHandOverBytes = 1 << 30
 	// slotsPerUrgentSlot is the number of slots of which one is reserved for urgent calls.
 	slotsPerUrgentSlot = 8
@@ -181,7 +181,7 @@
 	service.UrgentSlots = cmp.Or(service.UrgentSlots, new(service.Slots/slotsPerUrgentSlot))
 	service.UnknownHold = cmp.Or(service.UnknownHold, new(DefaultUnknownHold))
 	service.RecentStartPeriod = cmp.Or(service.RecentStartPeriod, new(DefaultRecentStartPeriod))
-	service.FetchTimeout = cmp.Or(service.FetchTimeout, DefaultLongestFetch)
+	service.FetchTimeout = cmp.Or(service.FetchTimeout, DefaultFetchTimeout)
 	service.HandOverBytes = cmp.Or(service.HandOverBytes, DefaultHandOverBytes)
 	service.ResumeGrace = cmp.Or(service.ResumeGrace, DefaultResumeGrace)
 	service.LongestOrder = cmp.Or(service.LongestOrder, DefaultLongestOrder)
