--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -109,7 +109,7 @@
 		{"slots", int64(service.Slots)},
 		{"queue-length", int64(service.QueueLength)},
 		{"max-body", service.MaxBody},
-		{"longest-call", int64(service.LongestCall)},
+		{"longest-call", int64(service.CallTimeout)},
 		{"longest-drain", int64(service.LongestDrain)},
 		{"first-byte", int64(service.FirstByteTimeout)},
 		{"longest-order", int64(service.LongestOrder)},
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -88,8 +88,8 @@
 	HandOverBytes int64 `toml:"hand-over-bytes"`
 	// MaxBody is the maximum size of a request body in bytes; zero means 1 MiB.
 	MaxBody int64 `toml:"max-body"`
-	// LongestCall is the timeout of a call; zero means ten minutes.
-	LongestCall timekeeper.Span `toml:"longest-call"`
+	// CallTimeout is the timeout of a call; zero means ten minutes.
+	CallTimeout timekeeper.Span `toml:"longest-call"`
 	// LongestDrain is how long a stopping process waits for calls in flight; zero means
 	// LongestCall.
 	LongestDrain timekeeper.Span `toml:"longest-drain"`
@@ -173,8 +173,8 @@
 	service.Slots = cmp.Or(service.Slots, DefaultSlots)
 	service.QueueLength = cmp.Or(service.QueueLength, DefaultQueueLength)
 	service.MaxBody = cmp.Or(service.MaxBody, DefaultMaxBody)
-	service.LongestCall = cmp.Or(service.LongestCall, DefaultLongestCall)
-	service.LongestDrain = cmp.Or(service.LongestDrain, service.LongestCall)
+	service.CallTimeout = cmp.Or(service.CallTimeout, DefaultLongestCall)
+	service.LongestDrain = cmp.Or(service.LongestDrain, service.CallTimeout)
 	service.FirstByteTimeout = cmp.Or(service.FirstByteTimeout, DefaultFirstByteTimeout)
 	service.MaxMeanAge = cmp.Or(service.MaxMeanAge, DefaultMaxMeanAge)
 	service.Ageing = cmp.Or(service.Ageing, DefaultAgeing)
--- a/internal/runner/run.go
+++ b/internal/runner/run.go
@@ -41,7 +41,7 @@
 func (agent *Agent) start(offer *encoder.Offer, commit *encoder.Run) (*run, classifier.Failure, bool) {
 	// The run outlives the stream it came on: a caller whose connection broke
 	// finds it by look-up. The longest call bounds it.
-	ctx, cancel := context.WithTimeout(context.Background(), agent.serviceNow().LongestCall.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), agent.serviceNow().CallTimeout.Duration())
 	started := &run{
 		id:         offer.GetRequestId(),
 		team:       offer.GetTeam(),
