--- a/internal/assembler/dev.go
+++ b/internal/assembler/dev.go
@@ -143,7 +143,7 @@
 	if err != nil {
 		return "", err
 	}
-	addServer(dev.standIns, listener, handler, resolver.DefaultLongestCall.Duration())
+	addServer(dev.standIns, listener, handler, resolver.DefaultCallTimeout.Duration())
 	return "http://" + listener.Addr().String(), nil
 }
 
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -144,7 +144,7 @@
 	DefaultSlots             = 8
 	DefaultQueueLength       = 64
 	DefaultMaxBody           = 1 << 20
-	DefaultLongestCall       = 10 * timekeeper.Minute
+	DefaultCallTimeout       = 10 * timekeeper.Minute
 	DefaultFirstByteTimeout  = 30 * timekeeper.Second
 	DefaultMaxMeanAge        = 5 * timekeeper.Second
 	DefaultAgeing            = timekeeper.Second / 2
@@ -173,7 +173,7 @@
 	service.Slots = cmp.Or(service.Slots, DefaultSlots)
 	service.QueueLength = cmp.Or(service.QueueLength, DefaultQueueLength)
 	service.MaxBody = cmp.Or(service.MaxBody, DefaultMaxBody)
-	service.CallTimeout = cmp.Or(service.CallTimeout, DefaultLongestCall)
+	service.CallTimeout = cmp.Or(service.CallTimeout, DefaultCallTimeout)
 	service.LongestDrain = cmp.Or(service.LongestDrain, service.CallTimeout)
 	service.FirstByteTimeout = cmp.Or(service.FirstByteTimeout, DefaultFirstByteTimeout)
 	service.MaxMeanAge = cmp.Or(service.MaxMeanAge, DefaultMaxMeanAge)
