--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -146,7 +146,7 @@
 func (agent *Agent) drain() error {
 	agent.readiness.leaving.Store(true)
 	service, _ := agent.watcher.Current().Service(agent.settings.Service)
-	ctx, cancel := context.WithTimeout(context.Background(), service.LongestDrain.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), service.DrainTimeout.Duration())
 	defer cancel()
 	started := agent.env.Clock.Now()
 	// Refuse before announcing: a peer must not receive the announcement while the
--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -110,7 +110,7 @@
 		{"queue-length", int64(service.QueueLength)},
 		{"max-body", service.MaxBody},
 		{"longest-call", int64(service.CallTimeout)},
-		{"longest-drain", int64(service.LongestDrain)},
+		{"longest-drain", int64(service.DrainTimeout)},
 		{"first-byte", int64(service.FirstByteTimeout)},
 		{"longest-order", int64(service.LongestOrder)},
 		{"free-calls", int64(service.FreeCalls)},
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -90,9 +90,9 @@
 	MaxBody int64 `toml:"max-body"`
 	// CallTimeout is the timeout of a call; zero means ten minutes.
 	CallTimeout timekeeper.Span `toml:"longest-call"`
-	// LongestDrain is how long a stopping process waits for calls in flight; zero means
+	// DrainTimeout is how long a stopping process waits for calls in flight; zero means
 	// LongestCall.
-	LongestDrain timekeeper.Span `toml:"longest-drain"`
+	DrainTimeout timekeeper.Span `toml:"longest-drain"`
 	// FirstByteTimeout is how long a caller waits for the first byte of the answer;
 	// zero means 30 seconds.
 	FirstByteTimeout timekeeper.Span `toml:"first-byte"`
@@ -174,7 +174,7 @@
 	service.QueueLength = cmp.Or(service.QueueLength, DefaultQueueLength)
 	service.MaxBody = cmp.Or(service.MaxBody, DefaultMaxBody)
 	service.CallTimeout = cmp.Or(service.CallTimeout, DefaultCallTimeout)
-	service.LongestDrain = cmp.Or(service.LongestDrain, service.CallTimeout)
+	service.DrainTimeout = cmp.Or(service.DrainTimeout, service.CallTimeout)
 	service.FirstByteTimeout = cmp.Or(service.FirstByteTimeout, DefaultFirstByteTimeout)
 	service.MaxMeanAge = cmp.Or(service.MaxMeanAge, DefaultMaxMeanAge)
 	service.Ageing = cmp.Or(service.Ageing, DefaultAgeing)
