--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -81,7 +81,7 @@
 	service, ok := config.Service(planner.settings.Service)
 	terms := Terms{
 		Span:         config.Limits.WithDefaults().OrderLease,
-		LongestOrder: service.LongestOrder,
+		LongestOrder: service.OrderTimeout,
 		EnginesCheck: service.ChecksOrders,
 	}
 	return terms, service, ok && service.ReceivesOrders()
--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -112,7 +112,7 @@
 		{"longest-call", int64(service.CallTimeout)},
 		{"longest-drain", int64(service.DrainTimeout)},
 		{"first-byte", int64(service.FirstByteTimeout)},
-		{"longest-order", int64(service.LongestOrder)},
+		{"longest-order", int64(service.OrderTimeout)},
 		{"free-calls", int64(service.FreeCalls)},
 		{"oldest-mean", int64(service.MaxMeanAge)},
 		{"ageing", int64(service.Ageing)},
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -114,8 +114,8 @@
 	// Version is the version of the weights that orders assign to the engines;
 	// empty leaves their versions unchanged.
 	Version string `toml:"version"`
-	// LongestOrder is the timeout of an order at an engine; zero means 30 seconds.
-	LongestOrder timekeeper.Span `toml:"longest-order"`
+	// OrderTimeout is the timeout of an order at an engine; zero means 30 seconds.
+	OrderTimeout timekeeper.Span `toml:"longest-order"`
 	// LoadsPerMinute is the service's share of the weight store's total rate of
 	// loads; zero means 6.
 	LoadsPerMinute int `toml:"loads-a-minute"`
@@ -184,7 +184,7 @@
 	service.FetchTimeout = cmp.Or(service.FetchTimeout, DefaultFetchTimeout)
 	service.HandOverBytes = cmp.Or(service.HandOverBytes, DefaultHandOverBytes)
 	service.ResumeGrace = cmp.Or(service.ResumeGrace, DefaultResumeGrace)
-	service.LongestOrder = cmp.Or(service.LongestOrder, DefaultLongestOrder)
+	service.OrderTimeout = cmp.Or(service.OrderTimeout, DefaultLongestOrder)
 	service.LoadsPerMinute = cmp.Or(service.LoadsPerMinute, DefaultLoadsPerMinute)
 	return service
 }
--- a/internal/runner/orders.go
+++ b/internal/runner/orders.go
@@ -104,7 +104,7 @@
 	}
 	agent.orders.turn.Lock()
 	defer agent.orders.turn.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, agent.serviceNow().LongestOrder.Duration())
+	ctx, cancel := context.WithTimeout(ctx, agent.serviceNow().OrderTimeout.Duration())
 	defer cancel()
 	if failure, ok := agent.check(order); !ok {
 		return engineState{}, failure, false
