--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -157,7 +157,7 @@
 	slotsPerUrgentSlot = 8
 	DefaultResumeGrace = 5 * timekeeper.Second
 
-	DefaultLongestOrder   = 30 * timekeeper.Second
+	DefaultOrderTimeout   = 30 * timekeeper.Second
 	DefaultLoadsPerMinute = 6
 )
 
@@ -184,7 +184,7 @@
 	service.FetchTimeout = cmp.Or(service.FetchTimeout, DefaultFetchTimeout)
 	service.HandOverBytes = cmp.Or(service.HandOverBytes, DefaultHandOverBytes)
 	service.ResumeGrace = cmp.Or(service.ResumeGrace, DefaultResumeGrace)
-	service.OrderTimeout = cmp.Or(service.OrderTimeout, DefaultLongestOrder)
+	service.OrderTimeout = cmp.Or(service.OrderTimeout, DefaultOrderTimeout)
 	service.LoadsPerMinute = cmp.Or(service.LoadsPerMinute, DefaultLoadsPerMinute)
 	return service
 }
