--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -121,7 +121,7 @@
 		{"unknown-hold", int64(valueOf(service.UnknownHold))},
 		{"settle-time", int64(valueOf(service.RecentStartPeriod))},
 		{"longest-fetch", int64(service.FetchTimeout)},
-		{"hand-over-bytes", service.HandOverBytes},
+		{"hand-over-bytes", service.MaxHandOverBytes},
 		{"loads-a-minute", int64(service.LoadsPerMinute)},
 	}
 }
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -83,9 +83,9 @@
 	// FetchTimeout is the timeout for fetching a call's prefix from another
 	// replica; zero means half a second.
 	FetchTimeout timekeeper.Span `toml:"longest-fetch"`
-	// HandOverBytes is the maximum size of the prefixes that a leaving replica
+	// MaxHandOverBytes is the maximum size of the prefixes that a leaving replica
 	// hands over to other replicas; zero means 1 GiB.
-	HandOverBytes int64 `toml:"hand-over-bytes"`
+	MaxHandOverBytes int64 `toml:"hand-over-bytes"`
 	// MaxBody is the maximum size of a request body in bytes; zero means 1 MiB.
 	MaxBody int64 `toml:"max-body"`
 	// CallTimeout is the timeout of a call; zero means ten minutes.
@@ -182,7 +182,7 @@
 	service.UnknownHold = cmp.Or(service.UnknownHold, new(DefaultUnknownHold))
 	service.RecentStartPeriod = cmp.Or(service.RecentStartPeriod, new(DefaultRecentStartPeriod))
 	service.FetchTimeout = cmp.Or(service.FetchTimeout, DefaultFetchTimeout)
-	service.HandOverBytes = cmp.Or(service.HandOverBytes, DefaultHandOverBytes)
+	service.MaxHandOverBytes = cmp.Or(service.MaxHandOverBytes, DefaultHandOverBytes)
 	service.ResumeGrace = cmp.Or(service.ResumeGrace, DefaultResumeGrace)
 	service.OrderTimeout = cmp.Or(service.OrderTimeout, DefaultOrderTimeout)
 	service.LoadsPerMinute = cmp.Or(service.LoadsPerMinute, DefaultLoadsPerMinute)
--- a/internal/runner/fetch_test.go
+++ b/internal/runner/fetch_test.go
@@ -170,7 +170,7 @@
 		Convey(test.name, t, func() {
 			trio := newTrio(t, resolver.Service{
 				Kind: resolver.KindModel, CachePath: "/cache", CachedHeader: imitator.CachedHeader,
-				HandOverBytes: test.bytes,
+				MaxHandOverBytes: test.bytes,
 			})
 			trio.turn(t, "b", "b", "a", "c")
 			trio.agents["b"].noteChat(7, 100)
--- a/internal/runner/handover.go
+++ b/internal/runner/handover.go
@@ -38,7 +38,7 @@
 	agent.mu.Lock()
 	able := agent.fetches()
 	giver := &giver{agent: agent}
-	giver.left.Store(agent.service.HandOverBytes)
+	giver.left.Store(agent.service.MaxHandOverBytes)
 	agent.mu.Unlock()
 	if !able {
 		return func() {}
