--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -151,8 +151,8 @@
 	DefaultUnknownHold       = timekeeper.Second
 	DefaultRecentStartPeriod = 10 * timekeeper.Minute
 
-	DefaultFetchTimeout  = timekeeper.Second / 2
-	DefaultHandOverBytes = 1 << 30
+	DefaultFetchTimeout     = timekeeper.Second / 2
+	DefaultMaxHandOverBytes = 1 << 30
 	// slotsPerUrgentSlot is the number of slots of which one is reserved for urgent calls.
 	slotsPerUrgentSlot = 8
 	DefaultResumeGrace = 5 * timekeeper.Second
@@ -182,7 +182,7 @@
 	service.UnknownHold = cmp.Or(service.UnknownHold, new(DefaultUnknownHold))
 	service.RecentStartPeriod = cmp.Or(service.RecentStartPeriod, new(DefaultRecentStartPeriod))
 	service.FetchTimeout = cmp.Or(service.FetchTimeout, DefaultFetchTimeout)
-	service.MaxHandOverBytes = cmp.Or(service.MaxHandOverBytes, DefaultHandOverBytes)
+	service.MaxHandOverBytes = cmp.Or(service.MaxHandOverBytes, DefaultMaxHandOverBytes)
 	service.ResumeGrace = cmp.Or(service.ResumeGrace, DefaultResumeGrace)
 	service.OrderTimeout = cmp.Or(service.OrderTimeout, DefaultOrderTimeout)
 	service.LoadsPerMinute = cmp.Or(service.LoadsPerMinute, DefaultLoadsPerMinute)
