--- a/internal/resolver/bundle.go
+++ b/internal/resolver/bundle.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Bundle is the unit of configuration that operators accept: the texts of the
-// base file and of the overlay of each site.
+// Bundle holds the texts of the base file and of each site's overlay, which operators
+// accept together.
 type Bundle struct {
 	Base     string            `json:"base"`
 	Overlays map[string]string `json:"overlays,omitempty"`
--- a/internal/resolver/check.go
+++ b/internal/resolver/check.go
@@ -13,7 +13,7 @@
 
 // MaxPollInterval is the upper limit of limits.poll-every. A change that is
 // accepted just after a poll waits for the next one, up to 7.2 s with the jitter
-// of a fifth, and for three calls to the store, those of the earlier poll among
+// of a fifth, and for three calls to the store, that of the earlier poll among
 // them: 4.5 s if the store takes 1.5 s for each. The sum is within the bound of
 // 13 s even if no peer sends the update.
 const MaxPollInterval = 6 * timekeeper.Second
@@ -28,8 +28,9 @@
 	check.faults = append(check.faults, check.doc.originOf(path).fault(fmt.Sprintf(reason, parts...), remedy))
 }
 
-// validate returns the faults in the values of a configuration whose types are
-// right, such as numbers out of range and references to what doesn't exist.
+// validate returns the faults in a configuration whose values all have the right
+// types, such as numbers out of range, duplicates, and references to services,
+// methods or promises that don't exist.
 func (config Config) validate(doc Document) Faults {
 	check := &checker{doc: doc}
 	check.teams(config)
--- a/internal/resolver/config.go
+++ b/internal/resolver/config.go
@@ -34,11 +34,11 @@
 	Sites map[string]Site `toml:"sites"`
 	// Promises selects the promises that apply.
 	Promises Promises `toml:"promises"`
-	// Limits bound the load that the fleet puts on the platform.
+	// Limits bound the load that each process puts on the platform's store.
 	Limits Limits `toml:"limits"`
 }
 
-// Team is a customer: callers that share keys and a weight.
+// Team is a group of callers that share keys and a weight.
 type Team struct {
 	// KeyHashes are the SHA-256 sums, in hexadecimal, of the team's bearer keys.
 	KeyHashes []string `toml:"key-hashes"`
@@ -69,13 +69,15 @@
 	MaxMeanAge timekeeper.Span `toml:"oldest-mean"`
 	// Ageing is the wait that raises a call by one urgency; zero means half a second.
 	Ageing timekeeper.Span `toml:"ageing"`
-	// UnknownHold is how long a slot stays occupied after a call is cancelled, since
-	// the upstream doesn't confirm that the call has ended; absent means one second.
+	// UnknownHold is how long a slot of a model service stays occupied after its call
+	// is cancelled, since the engine doesn't confirm that it has stopped; absent means
+	// one second.
 	UnknownHold *timekeeper.Span `toml:"unknown-hold"`
-	// CacheTokens is the size of an engine's prefix cache; zero means unknown.
+	// CacheTokens is the size of an engine's prefix cache in tokens; zero means unknown.
 	CacheTokens int64 `toml:"cache-tokens"`
-	// RecentStartPeriod is how long after its start a replica redirects chats that it
-	// doesn't know to the replica that was their home before; absent means ten minutes.
+	// RecentStartPeriod is how long after its start a replica redirects a chat that it
+	// doesn't know to the chat's former home, or fetches the prefix from there; absent
+	// means ten minutes.
 	RecentStartPeriod *timekeeper.Span `toml:"settle-time"`
 	// CachePath is the engines' URL path for export and import of a chat's prefix;
 	// empty means that they don't support it.
@@ -90,8 +92,8 @@
 	MaxBody int64 `toml:"max-body"`
 	// CallTimeout is the timeout of a call; zero means ten minutes.
 	CallTimeout timekeeper.Span `toml:"longest-call"`
-	// DrainTimeout is how long a stopping process waits for calls in flight; zero means
-	// LongestCall.
+	// DrainTimeout is how long a stopping agent waits for calls in flight; zero means
+	// CallTimeout.
 	DrainTimeout timekeeper.Span `toml:"longest-drain"`
 	// FirstByteTimeout is how long a caller waits for the first byte of the answer;
 	// zero means 30 seconds.
--- a/internal/resolver/diff.go
+++ b/internal/resolver/diff.go
@@ -31,9 +31,10 @@
 	return "~ " + location + " = " + diff.Before + " -> " + diff.After
 }
 
-// Diff returns the differences between the values of two bundles: first those of
-// the base files, then for each site those that are not among them. It ignores
-// layout, comments, the order of tables and which file holds a value.
+// Diff returns the differences between the values of two bundles: first the
+// differences of the base files, then for each site the differences that the base
+// files don't have. It ignores layout, comments, the order of tables and which file
+// holds a value.
 func Diff(before, after Bundle) ([]Difference, error) {
 	common, err := diffSite("", before, after)
 	if err != nil {
@@ -67,22 +68,22 @@
 }
 
 func diffSite(site string, before, after Bundle) ([]Difference, error) {
-	old, faults := before.Sources().Resolve(site)
+	resolvedBefore, faults := before.Sources().Resolve(site)
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	current, faults := after.Sources().Resolve(site)
+	resolvedAfter, faults := after.Sources().Resolve(site)
 	if len(faults) > 0 {
 		return nil, faults
 	}
 	var out []Difference
-	for _, value := range old.Document.values {
-		if newValue, ok := current.Document.find(value.Path); !ok || newValue.Text != value.Text {
+	for _, value := range resolvedBefore.Document.values {
+		if newValue, ok := resolvedAfter.Document.find(value.Path); !ok || newValue.Text != value.Text {
 			out = append(out, Difference{Site: site, Path: value.Path.String(), Before: displayText(value), After: displayText(newValue)})
 		}
 	}
-	for _, value := range current.Document.values {
-		if _, ok := old.Document.find(value.Path); !ok {
+	for _, value := range resolvedAfter.Document.values {
+		if _, ok := resolvedBefore.Document.find(value.Path); !ok {
 			out = append(out, Difference{Site: site, Path: value.Path.String(), After: displayText(value)})
 		}
 	}
--- a/internal/resolver/document.go
+++ b/internal/resolver/document.go
@@ -14,13 +14,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// routesKey is the only list of tables; pathKey identifies its members.
+// routesKey is the key of the only list of tables. The value under pathKey identifies
+// each member.
 const (
 	routesKey = "routes"
 	pathKey   = "path"
 )
 
-// teamsKey is the table of the teams; it has thousands of members.
+// teamsKey is the key of the table of teams, which has thousands of members.
 const teamsKey = "teams"
 
 // Path is the sequence of keys that lead to a value, such as services, planner,
@@ -68,8 +69,8 @@
 	Origin Origin
 }
 
-// Document holds the values of a file, each with its origin. It is an immutable
-// value.
+// Document holds values, each with its origin: those of a file, or of a base with an
+// overlay. It is an immutable value.
 type Document struct {
 	values []Value
 	index  map[string]int
@@ -84,8 +85,8 @@
 	return doc.values[i], true
 }
 
-// originOf returns the origin of a path, or of the innermost table around it that
-// is written.
+// originOf returns the origin of the value at a path, or of the innermost enclosing
+// table in the document.
 func (doc Document) originOf(path Path) Origin {
 	for ; len(path) > 0; path = path.parent() {
 		if value, ok := doc.find(path); ok {
--- a/internal/resolver/merge.go
+++ b/internal/resolver/merge.go
@@ -18,7 +18,7 @@
 	Text []byte
 }
 
-// Overlay is the file of values that apply to one site only.
+// Overlay is a file whose values apply at one site only, over those of the base.
 type Overlay struct {
 	Site string
 	Source
@@ -36,10 +36,10 @@
 	Document Document
 }
 
-// tunable reports whether an overlay may change a value that the base defines.
-// These are the values that depend on a site's machines and network distances.
-// What callers rely on (kind, models, keys, routes, whether a call may run twice)
-// is the same at every site, so that a chat or an order may move between sites.
+// tunable reports whether an overlay may change the value at path although the base
+// defines it. Tunable values depend on a site's machines and network distances. What
+// callers rely on (kind, models, keys, routes, whether a call may run twice) is the
+// same at every site, so that a chat or an order may move between sites.
 func tunable(path Path) bool {
 	if len(path) == 2 && path[0] == "limits" {
 		return true
@@ -59,7 +59,8 @@
 	return false
 }
 
-// addable reports whether an overlay may add members to the table of the path.
+// addable reports whether an overlay may define the value at path if the base doesn't
+// define the team, service or route that the value belongs to.
 func addable(path Path) bool {
 	return path[0] == teamsKey || path[0] == "services" || path[0] == routesKey
 }
--- a/internal/resolver/parse.go
+++ b/internal/resolver/parse.go
@@ -32,13 +32,13 @@
 	return doc, faults
 }
 
-// Line returns the line of a dotted key, or of the innermost table around it that is
-// written; 1 if there is none.
+// Line returns the line of a dotted key, or of the innermost enclosing table in the
+// document; 1 if the document has neither.
 func (doc Document) Line(key string) int {
 	return max(1, doc.originOf(pathOf(key)).Line)
 }
 
-// Has reports whether a dotted key is written.
+// Has reports whether the document has a dotted key.
 func (doc Document) Has(key string) bool {
 	_, found := doc.find(pathOf(key))
 	return found
@@ -53,7 +53,8 @@
 	return len(doc.values) == 0
 }
 
-// Parse reads and checks a base file without overlays.
+// Parse returns the configuration of a base file without overlays, or all faults of
+// the file.
 func Parse(file string, text []byte) (Config, Faults) {
 	sources := Sources{Base: Source{File: file, Text: text}}
 	if faults := sources.Check(); len(faults) > 0 {
--- a/internal/resolver/site.go
+++ b/internal/resolver/site.go
@@ -50,9 +50,11 @@
 	PollInterval timekeeper.Span `toml:"poll-every"`
 	// OrderLease is the duration of a planner's lease; zero means 30 seconds.
 	OrderLease timekeeper.Span `toml:"order-lease"`
-	// StoreReads is the maximum number of reads per second; zero means 20.
+	// StoreReads is the maximum number of reads per second by a process for each
+	// background cause (see storekeeper.Rates); zero means 20.
 	StoreReads int `toml:"store-reads"`
-	// StoreWrites is the maximum number of writes per second; zero means 50.
+	// StoreWrites is the maximum number of writes per second, counted in the same way;
+	// zero means 50.
 	StoreWrites int `toml:"store-writes"`
 }
 
--- a/internal/resolver/team_chunks_test.go
+++ b/internal/resolver/team_chunks_test.go
@@ -24,9 +24,9 @@
 			bundle := Bundle{Base: text.String(), Overlays: map[string]string{"bole": weights.String()}}
 			resolved, faults := bundle.Sources().Resolve("bole")
 			So(faults, ShouldBeEmpty)
-			var whole Config
-			So(toml.Unmarshal([]byte(resolved.Document.text(false)), &whole), ShouldBeNil)
-			So(resolved.Config, ShouldResemble, whole)
+			var decodedAtOnce Config
+			So(toml.Unmarshal([]byte(resolved.Document.text(false)), &decodedAtOnce), ShouldBeNil)
+			So(resolved.Config, ShouldResemble, decodedAtOnce)
 			So(len(resolved.Config.Teams), ShouldEqual, count)
 		})
 	}
