--- a/internal/loader/check.go
+++ b/internal/loader/check.go
@@ -17,8 +17,8 @@
 	file   string
 	doc    resolver.Document
 	faults resolver.Faults
-	// badLines are the lines on which decoding found a fault. Their keys aren't
-	// checked further, nor reported as missing.
+	// badLines are the lines on which decoding found a fault. Keys on these lines are
+	// neither checked further nor reported as missing.
 	badLines []int
 }
 
@@ -41,7 +41,7 @@
 	return value != ""
 }
 
-// process checks the settings that all processes have.
+// process checks the settings that entries and agents have in common.
 func (check *checker) process(process Process) {
 	check.require("name", process.Name)
 	check.require("site", process.Site)
--- a/internal/loader/direct.go
+++ b/internal/loader/direct.go
@@ -67,7 +67,7 @@
 	Window timekeeper.Span `toml:"window"`
 	// Ratio is how many retries each request allows; zero means 0.2.
 	Ratio float64 `toml:"ratio"`
-	// Extra is how many retries are allowed in addition; zero means 20.
+	// Extra is how many retries per Window are allowed beyond Ratio; zero means 20.
 	Extra float64 `toml:"extra"`
 }
 
--- a/internal/loader/process.go
+++ b/internal/loader/process.go
@@ -23,9 +23,9 @@
 	// Peers are the addresses of agents that the process asks for the configuration
 	// and the live members if the platform doesn't answer when the process starts.
 	Peers []string `toml:"peers"`
-	// MembershipInterval is the time between two rounds in which the process exchanges
-	// membership with others; zero means one second. The timeout of a silent member is
-	// a multiple of it.
+	// MembershipInterval is the interval at which the process exchanges membership with
+	// other processes; zero means one second. The timeout of a silent member is a
+	// multiple of it.
 	MembershipInterval timekeeper.Span `toml:"membership-round"`
 	// LogLevel is a log level of logrus; empty means "info".
 	LogLevel string `toml:"log-level"`
