--- a/internal/storekeeper/budget.go
+++ b/internal/storekeeper/budget.go
@@ -35,11 +35,11 @@
 	return ForOther
 }
 
-// background reports whether calls of a cause are background work, which no caller
-// waits for and which is retried automatically. Only such calls are limited by a
-// budget. Claims and strikes decide about a caller's call: if the budget of the
-// process refused them, the caller of an order would be refused, or a request could
-// crash one more engine. Their number is bounded by that of the admitted calls.
+// background reports whether calls of a cause are background work: no caller waits
+// for them, and they are retried automatically. A budget limits only such calls.
+// Claims and strikes decide about a caller's call: if the budget refused them, the
+// process would refuse the caller of an order, or let a request crash one more
+// engine. The number of admitted calls bounds them.
 func (cause Cause) background() bool {
 	switch cause {
 	case ForConfig, ForInstances, ForRecord, ForOrders:
@@ -57,9 +57,10 @@
 const (
 	// failuresBeforePause is how many consecutive failures start a pause.
 	failuresBeforePause = 3
-	// minPause and maxPause bound the pause, in which no call is sent.
-	minPause = 200 * timekeeper.Millisecond
-	maxPause = 4 * timekeeper.Second
+	// initialPause and maxPause bound the backoff before jitter, which shortens it by
+	// up to a half. No call is sent during the pause.
+	initialPause = 200 * timekeeper.Millisecond
+	maxPause     = 4 * timekeeper.Second
 )
 
 // Budget is a rate limiter and circuit breaker for the calls of one cause to the
@@ -75,8 +76,8 @@
 // Allow reports whether a call may be sent, and returns the budget after it.
 //
 // All processes of the fleet share a store that serves some two thousand reads
-// and several hundred writes a second. If a fault made one cause call it in a
-// tight loop, the store would refuse the claims of orders. The limit is per cause
+// and several hundred writes a second. If a fault made one cause call the store in
+// a tight loop, the store would refuse the claims of orders. The limit is per cause
 // and process, so a cause can only starve itself. It applies to background causes
 // only; see background.
 func (budget Budget) Allow(write bool, rates Rates, now timekeeper.Instant) (Budget, bool) {
@@ -94,11 +95,12 @@
 	return budget, budget.reads <= rates.Reads
 }
 
-// Record returns the budget after a call ended, given whether the store answered.
-// jitter is a random number from [0, 1).
+// Record returns the budget after a call has ended. answered is false if the store
+// gave no answer or refused the call for its rate. jitter is a random number from
+// [0, 1).
 //
 // A slow store would block each caller for the whole timeout, and a store that
-// recovers would get the calls of all who waited at the same time. After a few
+// recovers would get the calls of all waiting processes at the same time. After a few
 // consecutive failures, calls therefore fail immediately until a pause with
 // jitter is over.
 func (budget Budget) Record(answered bool, jitter float64, now timekeeper.Instant) Budget {
@@ -110,7 +112,7 @@
 	if budget.failures < failuresBeforePause {
 		return budget
 	}
-	pause := min(minPause<<min(budget.failures-failuresBeforePause, 8), maxPause)
+	pause := min(initialPause<<min(budget.failures-failuresBeforePause, 8), maxPause)
 	budget.pausedUntil = now.Add(timekeeper.Span(float64(pause) * (0.5 + jitter/2)))
 	return budget
 }
--- a/internal/storekeeper/meter.go
+++ b/internal/storekeeper/meter.go
@@ -23,11 +23,11 @@
 	Failed int `json:"failed"`
 }
 
-// Outcome is the result of a call as it is named in the metrics.
+// Outcome is the label of a call's result in the metrics.
 type Outcome string
 
-// The outcomes. A failed call is counted twice: as Read or Written when it is sent,
-// and as Failed.
+// The outcomes. A call that is sent counts as Read or Written, and also as Failed if
+// it fails.
 const (
 	Read    Outcome = "read"
 	Written Outcome = "written"
@@ -54,14 +54,15 @@
 type MeterSettings struct {
 	Clock timekeeper.Clock
 	Seed  uint64
-	// Rates returns the limits that apply to each cause; nil means no limits.
+	// Rates returns the limits of each background cause; nil means no limits.
 	Rates func() Rates
 	// Count is called with each outcome, for the metrics; it may be nil.
 	Count func(cause Cause, outcome Outcome)
 }
 
-// Meter wraps the platform for a process. It counts reads and writes by cause,
-// limits the rate of each background cause, and pauses its calls after failures.
+// Meter wraps the platform for a process. It counts reads and writes by cause. For
+// each background cause it limits the rate, and pauses calls after consecutive
+// failures.
 type Meter struct {
 	settings MeterSettings
 
--- a/internal/storekeeper/meter_test.go
+++ b/internal/storekeeper/meter_test.go
@@ -10,7 +10,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// stub returns a platform on which every call returns the error of fail.
+// stub returns a platform whose calls all return the error that fail returns.
 func stub(fail func() error) Platform {
 	return Platform{
 		Table: Table{
@@ -29,7 +29,8 @@
 
 func TestMeterCountsAndLimitsByCause(t *testing.T) {
 	// Guards against a cause that calls the store in a tight loop, and against a store
-	// that doesn't answer: neither may load the store or delay other causes.
+	// that doesn't answer. In both cases the store gets a bounded number of calls, and
+	// other causes keep theirs.
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	var failure error
 	sent := 0
--- a/internal/storekeeper/platform.go
+++ b/internal/storekeeper/platform.go
@@ -13,9 +13,11 @@
 	// ErrConflict means that a row did not have the expected version, or that the
 	// object exists; nothing was written.
 	ErrConflict = eris.New("changed since it was read")
-	// ErrBusy means that the rate limit was exceeded; nothing was done.
+	// ErrBusy means that the store refused the call for its rate, or that the process's
+	// Meter held it back; nothing was done.
 	ErrBusy = eris.New("over the store's rate")
-	// ErrUnknown means that the store did not answer; a write may have taken effect.
+	// ErrUnknown means that the call got no complete answer, or one with an unexpected
+	// status; a write may have taken effect.
 	ErrUnknown = eris.New("no answer from the store")
 )
 
--- a/internal/storekeeper/remote.go
+++ b/internal/storekeeper/remote.go
@@ -14,8 +14,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// CallTimeout is the timeout of a call to the platform. It makes a slow store an
-// outage for its callers instead of blocking them.
+// CallTimeout is the timeout of a call to the platform, so that calls to a slow store
+// fail instead of blocking their callers.
 const CallTimeout = 2 * timekeeper.Second
 
 // maxAnswerBytes limits how much of an answer of the platform is read.
@@ -91,7 +91,8 @@
 	return eris.Wrap(json.Unmarshal(body, out), "decode the platform's answer")
 }
 
-// call makes one call. It returns ErrUnknown if it gets no complete answer.
+// call makes one call. It returns ErrUnknown if it gets no complete answer, or one
+// with an unexpected status.
 func (remote remote) call(ctx context.Context, method, path string, query url.Values, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, remote.base+path+"?"+query.Encode(), bytes.NewReader(body))
 	if err != nil {
