--- a/internal/assembler/watch.go
+++ b/internal/assembler/watch.go
@@ -42,8 +42,8 @@
 	return storekeeper.NewMeter(storekeeper.MeterSettings{
 		Clock: env.Clock,
 		Seed:  newIncarnation(),
-		Count: func(cause storekeeper.Cause, use storekeeper.Outcome) {
-			scope.Tagged(map[string]string{labelCause: string(cause), "use": string(use)}).Counter("store-calls").Inc(1)
+		Count: func(cause storekeeper.Cause, outcome storekeeper.Outcome) {
+			scope.Tagged(map[string]string{labelCause: string(cause), "use": string(outcome)}).Counter("store-calls").Inc(1)
 		},
 		Rates: func() storekeeper.Rates {
 			var limits resolver.Limits
