--- a/internal/assembler/control.go
+++ b/internal/assembler/control.go
@@ -57,7 +57,7 @@
 		Site:     settings.process.Site,
 		Seeds:    settings.process.Peers,
 		Self:     settings.self,
-		Interval: settings.process.MembershipRound,
+		Interval: settings.process.MembershipInterval,
 	})
 	return ctrl
 }
@@ -67,7 +67,7 @@
 // at any length of the round.
 func rulesOf(settings controlSettings) reporter.Rules {
 	const silenceRounds, retryRounds = 8, 10
-	round := settings.process.MembershipRound
+	round := settings.process.MembershipInterval
 	return reporter.Rules{Indirect: settings.self == nil, SilenceTimeout: silenceRounds * round, RetryAfter: retryRounds * round}
 }
 
--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -124,8 +124,8 @@
 		return nil, nil, err
 	}
 	direct.fleet = balancer.Guard(balancer.New(balancer.Settings{
-		DataCentre: settings.DataCentre, Seed: newIncarnation(), LoadFactor: settings.Bound, TransferPrice: settings.MovePrice,
-		ColdRateFactor: settings.Cold.Over, ColdSlack: settings.Cold.Slack,
+		DataCentre: settings.DataCentre, Seed: newIncarnation(), LoadFactor: settings.LoadFactor, TransferPrice: settings.MovePrice,
+		ColdRateFactor: settings.Cold.RateFactor, ColdSlack: settings.Cold.Slack,
 	}))
 	direct.pool, release = connector.NewPool(connector.Settings{
 		Clock: direct.clock, OnOpen: func() { direct.scope.Counter("connections-opened").Inc(1) },
@@ -149,7 +149,7 @@
 func (direct *Direct) Address() string { return addressOf(direct.listeners.frontend) }
 
 func limitMemory(settings loader.Direct) {
-	megabytes := settings.Memory
+	megabytes := settings.MemoryMegabytes
 	if megabytes == 0 {
 		megabytes = defaultMegabytes
 	}
@@ -168,7 +168,7 @@
 }
 
 func (direct *Direct) frontendSettings() relayer.Settings {
-	megabytes := direct.settings.Memory
+	megabytes := direct.settings.MemoryMegabytes
 	if megabytes == 0 {
 		megabytes = defaultMegabytes
 	}
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -25,7 +25,7 @@
 	entry.logPlacement(call, plan.Ranked())
 	entry.budgets.earn(call.service)
 	attempts := attempts{last: classifier.New(classifier.NoUpstream, call.service)}
-	deadline := entry.settings.Clock.Now().Add(call.settings.FirstByte)
+	deadline := entry.settings.Clock.Now().Add(call.settings.FirstByteTimeout)
 	for i := uint32(0); ; i++ {
 		call.remaining = deadline.Since(entry.settings.Clock.Now())
 		planned, ok := plan.Next()
--- a/internal/forwarder/call.go
+++ b/internal/forwarder/call.go
@@ -107,7 +107,7 @@
 	}
 	classified.service = route.Service
 	classified.settings, _ = config.Service(route.Service)
-	classified.idempotent = route.Repeatable(r.Method)
+	classified.idempotent = route.IsIdempotent(r.Method)
 	if !classified.idempotent && route.RequireKey && classified.key == "" {
 		return call{}, classifier.New(classifier.KeyRequired, "")
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -81,10 +81,10 @@
 	service, ok := config.Service(planner.settings.Service)
 	terms := Terms{
 		Span:              config.Limits.WithDefaults().OrderLease,
-		OrderTimeout:      service.LongestOrder,
+		OrderTimeout:      service.OrderTimeout,
 		EnginesCheckFence: service.ChecksOrders,
 	}
-	return terms, service, ok && service.Ordered()
+	return terms, service, ok && service.ReceivesOrders()
 }
 
 // Step checks the lease once, gives the orders that are due, and returns the time to the
--- a/internal/publisher/fleet_test.go
+++ b/internal/publisher/fleet_test.go
@@ -129,7 +129,7 @@
 		return false
 	}
 	answers := !fleet.down && !fleet.isolated[i]
-	proc.budget = proc.budget.Settle(answers, fleet.random.Float64(), fleet.now)
+	proc.budget = proc.budget.Record(answers, fleet.random.Float64(), fleet.now)
 	if answers {
 		fleet.reads++
 	}
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -193,7 +193,7 @@
 
 // drawDelay returns the delay that rule gives for the poll interval and a random draw.
 func (watcher *Watcher) drawDelay(rule func(state RevisionState, interval timekeeper.Span, draw float64) timekeeper.Span) timekeeper.Span {
-	interval := watcher.Current().Limits.WithDefaults().PollEvery
+	interval := watcher.Current().Limits.WithDefaults().PollInterval
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	return rule(watcher.state, interval, watcher.random.Float64())
--- a/internal/resolver/pieces_test.go
+++ b/internal/resolver/team_chunks_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestTeamsInPiecesAreTheTeamsAsAWhole(t *testing.T) {
-	for _, count := range []int{0, 1, teamsAPiece, teamsAPiece + 1, 5*teamsAPiece - 1} {
+func TestTeamsDecodedInChunksEqualTeamsDecodedAtOnce(t *testing.T) {
+	for _, count := range []int{0, 1, teamsPerChunk, teamsPerChunk + 1, 5*teamsPerChunk - 1} {
 		Convey(fmt.Sprintf("%d teams, each written in two places", count), t, func() {
 			var text strings.Builder
 			text.WriteString("[services.orders]\nkind = \"plain\"\n")
@@ -24,9 +24,9 @@
 			bundle := Bundle{Base: text.String(), Overlays: map[string]string{"bole": weights.String()}}
 			resolved, faults := bundle.Sources().Resolve("bole")
 			So(faults, ShouldBeEmpty)
-			var whole Config
-			So(toml.Unmarshal([]byte(resolved.Document.text(false)), &whole), ShouldBeNil)
-			So(resolved.Config, ShouldResemble, whole)
+			var decodedAtOnce Config
+			So(toml.Unmarshal([]byte(resolved.Document.text(false)), &decodedAtOnce), ShouldBeNil)
+			So(resolved.Config, ShouldResemble, decodedAtOnce)
 			So(len(resolved.Config.Teams), ShouldEqual, count)
 		})
 	}
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -28,7 +28,7 @@
 		Attempt:         int(offer.GetAttempt()),
 		Ranked:          offer.GetCandidates(),
 		OnlyIfCached:    offer.GetSeek(),
-		RecentlyStarted: now.Since(agent.startedAt) < *agent.service.SettleTime,
+		RecentlyStarted: now.Since(agent.startedAt) < *agent.service.RecentStartPeriod,
 		CanFetch:        agent.canFetch(),
 	}
 }
--- a/internal/runner/fetch.go
+++ b/internal/runner/fetch.go
@@ -30,7 +30,7 @@
 func (agent *Agent) fetch(ctx context.Context, offer *encoder.Offer, arrived timekeeper.Instant) <-chan struct{} {
 	done := make(chan struct{})
 	agent.mu.Lock()
-	source, timeout := "", agent.service.LongestFetch
+	source, timeout := "", agent.service.FetchTimeout
 	if agent.canFetch() {
 		source = agent.directory.FetchSource(agent.chatOffer(offer, arrived))
 	}
--- a/internal/runner/handover.go
+++ b/internal/runner/handover.go
@@ -37,7 +37,7 @@
 	agent.mu.Lock()
 	enabled := agent.canFetch()
 	job := &handOverJob{agent: agent}
-	job.bytesLeft.Store(agent.service.HandOverBytes)
+	job.bytesLeft.Store(agent.service.MaxHandOverBytes)
 	agent.mu.Unlock()
 	if !enabled {
 		return func() {}
--- a/internal/runner/orders.go
+++ b/internal/runner/orders.go
@@ -104,7 +104,7 @@
 	}
 	agent.orders.sending.Lock()
 	defer agent.orders.sending.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, agent.currentService().LongestOrder.Duration())
+	ctx, cancel := context.WithTimeout(ctx, agent.currentService().OrderTimeout.Duration())
 	defer cancel()
 	if failure, ok := agent.checkFence(order); !ok {
 		return engineState{}, failure, false
--- a/internal/runner/prefix.go
+++ b/internal/runner/prefix.go
@@ -116,7 +116,7 @@
 func (agent *Agent) servePrefix(ctx context.Context, ask *encoder.PrefixAsk) *encoder.PrefixBody {
 	agent.mu.Lock()
 	holder, tokens := agent.directory.Locate(ask.GetChat()), agent.directory.PrefixTokens(ask.GetChat())
-	timeout, enabled := agent.service.LongestFetch, agent.upstream.service.CachePath != ""
+	timeout, enabled := agent.service.FetchTimeout, agent.upstream.service.CachePath != ""
 	agent.mu.Unlock()
 	none := &encoder.PrefixBody{Chat: ask.GetChat(), Kind: classifier.NotFound.String()}
 	if holder != agent.settings.Name {
@@ -155,7 +155,7 @@
 	agent.mu.Lock()
 	enabled := agent.upstream.service.CachePath != "" && !agent.draining && agent.directory.Fits(body.GetTokens())
 	held := agent.directory.Locate(body.GetChat()) == agent.settings.Name
-	timeout := agent.service.LongestFetch
+	timeout := agent.service.FetchTimeout
 	if enabled {
 		// Recorded before the import, so that concurrent hand-overs don't all count on the
 		// same free space.
--- a/internal/runner/run.go
+++ b/internal/runner/run.go
@@ -41,7 +41,7 @@
 func (agent *Agent) startRun(offer *encoder.Offer, commit *encoder.Run) (*run, classifier.Failure, bool) {
 	// The run outlives its stream: a caller whose connection broke finds it by look-up.
 	// The longest call bounds it.
-	ctx, cancel := context.WithTimeout(context.Background(), agent.currentService().LongestCall.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), agent.currentService().CallTimeout.Duration())
 	started := &run{
 		id:         offer.GetRequestId(),
 		team:       offer.GetTeam(),
--- a/internal/runner/slot.go
+++ b/internal/runner/slot.go
@@ -25,7 +25,7 @@
 		UrgentSlots: *service.UrgentSlots,
 		LoadFactor:  service.LoadFactor,
 		FreeCalls:   service.FreeCalls,
-		MaxMeanAge:  service.OldestMean,
+		MaxMeanAge:  service.MaxMeanAge,
 		Ageing:      service.Ageing,
 		Backoff:     admitter.Backoff{Draw: draw},
 	}
