--- a/internal/forwarder/entry.go
+++ b/internal/forwarder/entry.go
@@ -73,7 +73,7 @@
 		settings.Locate = func(string) (string, bool) { return "", false }
 	}
 	if settings.Record == nil {
-		settings.Record = recorder.Drop
+		settings.Record = recorder.Discard
 	}
 	return settings
 }
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -53,7 +53,7 @@
 		settings.Peers = func() []string { return nil }
 	}
 	if settings.Record == nil {
-		settings.Record = recorder.Drop
+		settings.Record = recorder.Discard
 	}
 	return &Watcher{
 		settings: settings,
--- a/internal/recorder/event.go
+++ b/internal/recorder/event.go
@@ -103,8 +103,8 @@
 	Last  uint64 `json:"last,omitempty"`
 }
 
-// Drop is a Record function that keeps nothing.
-func Drop(Event) {}
+// Discard is a Record function that keeps nothing.
+func Discard(Event) {}
 
 // KeyHash returns the hash under which a caller's Idempotency-Key stands in the
 // record, and zero when there is none. Team and service are part of it, since
--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -94,7 +94,7 @@
 		settings.Configuration = func(*encoder.ConfigAsk) *encoder.ConfigBody { return &encoder.ConfigBody{} }
 	}
 	if settings.Record == nil {
-		settings.Record = recorder.Drop
+		settings.Record = recorder.Discard
 	}
 	return settings
 }
