--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -80,7 +80,7 @@
 	}
 	agent.callRunner = callRunner
 	agent.onRelease(release)
-	agent.record.SetPulse(callRunner.Sample)
+	agent.record.SetHeartbeat(callRunner.Sample)
 	return agent, agent.release, nil
 }
 
--- a/internal/assembler/entry.go
+++ b/internal/assembler/entry.go
@@ -56,7 +56,7 @@
 		entry.release()
 		return nil, nil, err
 	}
-	entry.record.SetPulse(entry.aliveEvent)
+	entry.record.SetHeartbeat(entry.aliveEvent)
 	entry.frontend = forwarder.New(forwarder.Settings{
 		Name:        settings.Name,
 		Site:        settings.Site,
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -109,7 +109,7 @@
 		stopping: make(chan struct{}),
 		backlog:  NewBacklog(settings.BacklogBytes),
 	}
-	made.SetPulse(func() Event { return Event{Kind: Alive} })
+	made.SetHeartbeat(func() Event { return Event{Kind: Alive} })
 	started.Kind = Started
 	made.Record(started)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -156,9 +156,9 @@
 	}
 }
 
-// SetPulse sets the function whose event tells the process's state. It is
+// SetHeartbeat sets the function whose event tells the process's state. It is
 // recorded every PulseEvery, so that a quiet process is known to have lived.
-func (made *Recorder) SetPulse(pulse func() Event) {
+func (made *Recorder) SetHeartbeat(pulse func() Event) {
 	made.pulse.Store(&pulse)
 }
 
