--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -22,8 +22,8 @@
 	Objects storekeeper.Objects
 	Clock   timekeeper.Clock
 	Log     logrus.FieldLogger
-	// PulseEvery is the time between two pulses; zero means 5 seconds.
-	PulseEvery timekeeper.Span
+	// HeartbeatInterval is the time between two pulses; zero means 5 seconds.
+	HeartbeatInterval timekeeper.Span
 	// FlushEvery is the longest that a record waits for its segment to be
 	// sealed; zero means 5 seconds.
 	FlushEvery timekeeper.Span
@@ -65,7 +65,7 @@
 }
 
 func (settings Settings) withDefaults() Settings {
-	settings.PulseEvery = cmp.Or(settings.PulseEvery, 5*timekeeper.Second)
+	settings.HeartbeatInterval = cmp.Or(settings.HeartbeatInterval, 5*timekeeper.Second)
 	settings.FlushEvery = cmp.Or(settings.FlushEvery, shortestFlush)
 	settings.SegmentBytes = cmp.Or(settings.SegmentBytes, 256<<10)
 	settings.BacklogBytes = cmp.Or(settings.BacklogBytes, 8<<20)
@@ -137,7 +137,7 @@
 func (made *Recorder) collect() {
 	chain := NewChain(made.settings.Origin)
 	flush, stopFlush := made.settings.Clock.After(made.settings.flushEvery())
-	pulse, stopPulse := made.settings.Clock.After(made.settings.PulseEvery)
+	pulse, stopPulse := made.settings.Clock.After(made.settings.HeartbeatInterval)
 	defer func() { stopFlush(); stopPulse() }()
 	for {
 		select {
@@ -145,7 +145,7 @@
 			made.add(chain, event)
 		case <-pulse:
 			made.add(chain, made.beat())
-			pulse, stopPulse = made.settings.Clock.After(made.settings.PulseEvery)
+			pulse, stopPulse = made.settings.Clock.After(made.settings.HeartbeatInterval)
 		case <-flush:
 			made.seal(chain)
 			flush, stopFlush = made.settings.Clock.After(made.settings.flushEvery())
