--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -24,9 +24,9 @@
 	Log     logrus.FieldLogger
 	// HeartbeatInterval is the time between two pulses; zero means 5 seconds.
 	HeartbeatInterval timekeeper.Span
-	// FlushEvery is the longest that a record waits for its segment to be
+	// FlushInterval is the longest that a record waits for its segment to be
 	// sealed; zero means 5 seconds.
-	FlushEvery timekeeper.Span
+	FlushInterval timekeeper.Span
 	// Processes returns how many processes write records now, which stretches
 	// the time between flushes; nil means that it isn't known.
 	Processes func() int
@@ -66,7 +66,7 @@
 
 func (settings Settings) withDefaults() Settings {
 	settings.HeartbeatInterval = cmp.Or(settings.HeartbeatInterval, 5*timekeeper.Second)
-	settings.FlushEvery = cmp.Or(settings.FlushEvery, shortestFlush)
+	settings.FlushInterval = cmp.Or(settings.FlushInterval, shortestFlush)
 	settings.SegmentBytes = cmp.Or(settings.SegmentBytes, 256<<10)
 	settings.BacklogBytes = cmp.Or(settings.BacklogBytes, 8<<20)
 	settings.QueueLength = cmp.Or(settings.QueueLength, 8192)
@@ -77,9 +77,9 @@
 // flushEvery returns the time to the next flush, by the size of the fleet now.
 func (settings Settings) flushEvery() timekeeper.Span {
 	if settings.Processes == nil {
-		return settings.FlushEvery
+		return settings.FlushInterval
 	}
-	return max(settings.FlushEvery, FlushEvery(settings.Processes()))
+	return max(settings.FlushInterval, FlushEvery(settings.Processes()))
 }
 
 // Recorder writes the record of one process.
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -22,7 +22,7 @@
 	log.SetOutput(io.Discard)
 	return recorder.Settings{
 		Origin: origin, Objects: platform.Seams().Objects, Clock: timekeeper.Wall(), Log: log,
-		FlushEvery: 5 * timekeeper.Millisecond,
+		FlushInterval: 5 * timekeeper.Millisecond,
 	}
 }
 
