--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -53,14 +53,14 @@
 	putTimeout = 5 * timekeeper.Second
 )
 
-// FlushEvery returns how often a process should flush in a fleet of the given
+// FlushInterval returns how often a process should flush in a fleet of the given
 // number of processes.
 //
 // It is made for thousands of processes before one store: each write is small,
 // but their rate grows with the fleet, and the store serves several hundred a
 // second for everything. Past 500 processes the time between flushes grows, so
 // the record never takes more than 100 writes a second.
-func FlushEvery(processes int) timekeeper.Span {
+func FlushInterval(processes int) timekeeper.Span {
 	return max(shortestFlush, timekeeper.Span(processes)*flushShare)
 }
 
@@ -79,7 +79,7 @@
 	if settings.Processes == nil {
 		return settings.FlushInterval
 	}
-	return max(settings.FlushInterval, FlushEvery(settings.Processes()))
+	return max(settings.FlushInterval, FlushInterval(settings.Processes()))
 }
 
 // Recorder writes the record of one process.
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -151,7 +151,7 @@
 	tests := []struct{ processes, writes int }{{0, 1}, {15, 3}, {500, 100}, {3480, 100}, {20000, 100}}
 	for _, test := range tests {
 		Convey(strconv.Itoa(test.processes)+" processes", t, func() {
-			each := recorder.FlushEvery(test.processes)
+			each := recorder.FlushInterval(test.processes)
 			So(int64(test.processes)*1000/int64(each), ShouldBeLessThanOrEqualTo, test.writes)
 		})
 	}
