--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -36,8 +36,8 @@
 	BacklogBytes int
 	// QueueLength is how many events wait for the chain; zero means 8192.
 	QueueLength int
-	// StopWait bounds the last flush; zero means 5 seconds.
-	StopWait timekeeper.Span
+	// StopTimeout bounds the last flush; zero means 5 seconds.
+	StopTimeout timekeeper.Span
 }
 
 const (
@@ -70,7 +70,7 @@
 	settings.SegmentBytes = cmp.Or(settings.SegmentBytes, 256<<10)
 	settings.BacklogBytes = cmp.Or(settings.BacklogBytes, 8<<20)
 	settings.QueueLength = cmp.Or(settings.QueueLength, 8192)
-	settings.StopWait = cmp.Or(settings.StopWait, 5*timekeeper.Second)
+	settings.StopTimeout = cmp.Or(settings.StopTimeout, 5*timekeeper.Second)
 	return settings
 }
 
@@ -234,7 +234,7 @@
 		close(made.stopping)
 		chained.Wait()
 		close(made.wake)
-		late, release := made.settings.Clock.After(made.settings.StopWait)
+		late, release := made.settings.Clock.After(made.settings.StopTimeout)
 		defer release()
 		done := make(chan struct{})
 		go func() { stored.Wait(); close(done) }()
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -132,7 +132,7 @@
 	Convey("the stop ends and the tail is open", t, func() {
 		platform := imitator.NewPlatform(timekeeper.Wall())
 		setup := settings(platform)
-		setup.StopWait = 50 * timekeeper.Millisecond
+		setup.StopTimeout = 50 * timekeeper.Millisecond
 		record, stop := recorder.New(setup, recorder.Event{})
 		for platform.Counts().Writes == 0 {
 			So(timekeeper.Wall().Sleep(t.Context(), timekeeper.Millisecond), ShouldBeNil)
