--- a/internal/recorder/segment.go
+++ b/internal/recorder/segment.go
@@ -180,7 +180,7 @@
 	return true
 }
 
-// MarkOf returns the mark that stands before the record that a link ends with.
-func MarkOf(link Link) string {
+// LinkPrefix returns the mark that stands before the record that a link ends with.
+func LinkPrefix(link Link) string {
 	return hex.EncodeToString(link[:markBytes])
 }
