--- a/internal/recorder/segment.go
+++ b/internal/recorder/segment.go
@@ -102,8 +102,8 @@
 // Line is one record of a decoded segment.
 type Line struct {
 	Record
-	// Mark is the start of the link that was stored with the record.
-	Mark string
+	// StoredPrefix is the start of the link that was stored with the record.
+	StoredPrefix string
 	// Bytes are what the link is computed over.
 	Bytes []byte
 }
@@ -167,7 +167,7 @@
 	if !ok {
 		return Line{}, eris.New("a record without its mark")
 	}
-	line := Line{Mark: string(mark), Bytes: record}
+	line := Line{StoredPrefix: string(mark), Bytes: record}
 	return line, eris.Wrap(json.Unmarshal(record, &line.Record), "record")
 }
 
--- a/internal/verifier/reader.go
+++ b/internal/verifier/reader.go
@@ -86,7 +86,7 @@
 			return expected, fmt.Sprintf("a record was dropped or moved: number %d stands here", line.Sequence)
 		}
 		link = link.Next(line.Bytes)
-		if recorder.LinkPrefix(link) != line.Mark {
+		if recorder.LinkPrefix(link) != line.StoredPrefix {
 			return expected, "the record was changed: its hash doesn't follow"
 		}
 	}
