--- a/internal/assembler/memory_bench_test.go
+++ b/internal/assembler/memory_bench_test.go
@@ -102,7 +102,7 @@
 			Service: "orders", Team: "team", Instance: "orders-1", Incarnation: 1, Key: spreadHash(i / 3), Digest: spreadHash(i),
 		})
 		if i%perSegment == perSegment-1 {
-			if segment, ok := chain.Cut(); ok {
+			if segment, ok := chain.Seal(); ok {
 				backlog.Push(segment)
 			}
 		}
--- a/internal/recorder/chain.go
+++ b/internal/recorder/chain.go
@@ -118,8 +118,8 @@
 	return chain.open.size()
 }
 
-// Cut closes the open segment and returns it; false when it holds nothing.
-func (chain *Chain) Cut() (Segment, bool) {
+// Seal closes the open segment and returns it; false when it holds nothing.
+func (chain *Chain) Seal() (Segment, bool) {
 	if chain.open == nil {
 		return Segment{}, false
 	}
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -184,7 +184,7 @@
 
 // seal closes the open segment and hands it to the backlog.
 func (made *Recorder) seal(chain *Chain) {
-	segment, ok := chain.Cut()
+	segment, ok := chain.Seal()
 	if !ok {
 		return
 	}
@@ -222,7 +222,7 @@
 	// Sealing may drop segments and declare them, so that comes before Stopped.
 	made.seal(chain)
 	chain.Add(Event{At: made.settings.Clock.Now(), Kind: Stopped})
-	last, _ := chain.Cut()
+	last, _ := chain.Seal()
 	made.mu.Lock()
 	made.backlog.PushLast(last)
 	made.mu.Unlock()
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -195,8 +195,8 @@
 				chain.Add(event)
 			}
 		}
-		first, _ := entry.Cut()
-		second, _ := agent.Cut()
+		first, _ := entry.Seal()
+		second, _ := agent.Seal()
 		stored = len(first.Body) + len(second.Body)
 	}
 	each := float64(stored) / calls
@@ -243,7 +243,7 @@
 	event := callEvents(1)[1]
 	for b.Loop() {
 		if chain.Add(event) > 256<<10 {
-			chain.Cut()
+			chain.Seal()
 		}
 	}
 }
--- a/internal/verifier/judge_test.go
+++ b/internal/verifier/judge_test.go
@@ -91,7 +91,7 @@
 	if added%length != 0 && added != all {
 		return recorder.Segment{}, false
 	}
-	return chain.Cut()
+	return chain.Seal()
 }
 
 func (told story) judge() Report {
--- a/internal/verifier/trail_test.go
+++ b/internal/verifier/trail_test.go
@@ -108,7 +108,7 @@
 		var objects []Object
 		chain.Add(recorder.Event{Kind: recorder.Started})
 		push := func() {
-			segment, ok := chain.Cut()
+			segment, ok := chain.Seal()
 			if !ok {
 				return
 			}
