--- a/internal/recorder/backlog.go
+++ b/internal/recorder/backlog.go
@@ -77,8 +77,8 @@
 	return backlog.segments[0], true
 }
 
-// Stored notes that the store has the segment that starts with first.
-func (backlog *Backlog) Stored(first uint64) {
+// MarkStored notes that the store has the segment that starts with first.
+func (backlog *Backlog) MarkStored(first uint64) {
 	if len(backlog.segments) > 0 && backlog.segments[0].First == first {
 		backlog.remove()
 	}
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -291,7 +291,7 @@
 // kept elsewhere: a whole chain that is forged later ends in other links.
 func (made *Recorder) stored(segment Segment) {
 	made.mu.Lock()
-	made.backlog.Stored(segment.First)
+	made.backlog.MarkStored(segment.First)
 	made.mu.Unlock()
 	made.settings.Log.WithFields(logrus.Fields{
 		"segment": segment.Name(),
--- a/internal/verifier/trail_test.go
+++ b/internal/verifier/trail_test.go
@@ -119,7 +119,7 @@
 		deliver := func() {
 			if segment, ok := backlog.Oldest(); ok {
 				objects = append(objects, Object{segment.Name(), segment.Body})
-				backlog.Stored(segment.First)
+				backlog.MarkStored(segment.First)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
