--- a/cmd/trefoilseam/audit.go
+++ b/cmd/trefoilseam/audit.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	report := verifier.Judge(trail, settings)
+	report := verifier.Evaluate(trail, settings)
 	if page != "" {
 		if err := writePage(report, page); err != nil {
 			return err
--- a/internal/verifier/judge_test.go
+++ b/internal/verifier/judge_test.go
@@ -95,7 +95,7 @@
 }
 
 func (told story) judge() Report {
-	return Judge(Verify(told.objects(4)), Settings{From: 0, Until: timekeeper.Instant(timekeeper.Minute)})
+	return Evaluate(Verify(told.objects(4)), Settings{From: 0, Until: timekeeper.Instant(timekeeper.Minute)})
 }
 
 func TestEachPromiseIsJudged(t *testing.T) {
@@ -212,7 +212,7 @@
 	})
 	Convey("where nothing is recorded, nothing is shown", t, func() {
 		later := Settings{From: 70000, Until: 80000}
-		for _, verdict := range Judge(Verify(cleanStory().objects(4)), later).Verdicts {
+		for _, verdict := range Evaluate(Verify(cleanStory().objects(4)), later).Verdicts {
 			So(verdict.Outcome, ShouldEqual, NotProvable)
 			So(verdict.Doubts, ShouldContain, noRecord)
 		}
--- a/internal/verifier/report.go
+++ b/internal/verifier/report.go
@@ -163,8 +163,8 @@
 // Without it, a fleet that keeps no record would be shown to have held them all.
 const noRecord = "no record falls into this time"
 
-// Judge gives a verdict on each promise from a verified trail.
-func Judge(trail Trail, settings Settings) Report {
+// Evaluate gives a verdict on each promise from a verified trail.
+func Evaluate(trail Trail, settings Settings) Report {
 	settings = settings.withDefaults()
 	index := newEvidenceIndex(trail, settings)
 	report := Report{
