--- a/internal/verifier/evidence_index.go
+++ b/internal/verifier/evidence_index.go
@@ -200,7 +200,7 @@
 
 // hidden returns an offer whose fate a gap of an agent may hide.
 func (index *evidenceIndex) hidden(gap Gap, matters func(offered Evidence) bool) (Evidence, bool) {
-	from, until := gap.From.Add(-index.settings.Hidden), gap.Until.Add(index.settings.Skew)
+	from, until := gap.From.Add(-index.settings.GapLookback), gap.Until.Add(index.settings.Skew)
 	for _, evidence := range index.all {
 		near := evidence.At >= from && evidence.At <= until
 		if near && evidence.Kind == recorder.Offered && evidence.Instance == gap.Origin.Name &&
--- a/internal/verifier/report.go
+++ b/internal/verifier/report.go
@@ -20,16 +20,16 @@
 	LeaveWithin timekeeper.Span
 	// InForceWithin is how long an accepted configuration may take; zero means 13 seconds.
 	InForceWithin timekeeper.Span
-	// Hidden is how long before a gap a call may have been offered whose fate
+	// GapLookback is how long before a gap a call may have been offered whose fate
 	// the gap hides; zero means 1 minute.
-	Hidden timekeeper.Span
+	GapLookback timekeeper.Span
 }
 
 func (settings Settings) withDefaults() Settings {
 	settings.Skew = cmp.Or(settings.Skew, 500*timekeeper.Millisecond)
 	settings.LeaveWithin = cmp.Or(settings.LeaveWithin, 3*timekeeper.Second)
 	settings.InForceWithin = cmp.Or(settings.InForceWithin, 13*timekeeper.Second)
-	settings.Hidden = cmp.Or(settings.Hidden, timekeeper.Minute)
+	settings.GapLookback = cmp.Or(settings.GapLookback, timekeeper.Minute)
 	return settings
 }
 
--- a/internal/verifier/rules_calls.go
+++ b/internal/verifier/rules_calls.go
@@ -115,7 +115,7 @@
 	if run {
 		return
 	}
-	if gap, ok := index.gapOf(place{answer.Instance, answer.Incarnation}, answer.At.Add(-index.settings.Hidden)); ok && near == nil {
+	if gap, ok := index.gapOf(place{answer.Instance, answer.Incarnation}, answer.At.Add(-index.settings.GapLookback)); ok && near == nil {
 		verdict.doubt(fmt.Sprintf("no run is on record for %s; %s", answer, gap))
 		return
 	}
