--- a/cmd/trefoilseam/audit.go
+++ b/cmd/trefoilseam/audit.go
@@ -95,7 +95,7 @@
 			if err != nil {
 				return err
 			}
-			settings.Skew = timekeeper.Span(skew.Milliseconds())
+			settings.ClockSkew = timekeeper.Span(skew.Milliseconds())
 			settings.LeaveWithin = timekeeper.Span(leave.Milliseconds())
 			settings.InForceWithin = timekeeper.Span(inForce.Milliseconds())
 			return common.report(ctx, settings, *page)
--- a/internal/verifier/evidence_index.go
+++ b/internal/verifier/evidence_index.go
@@ -98,8 +98,8 @@
 		return true
 	}
 	first, last := incarnation.Records[0], incarnation.Records[len(incarnation.Records)-1]
-	ended := incarnation.Stopped && last.At.Add(index.settings.Skew) < at
-	return first.At <= at.Add(index.settings.Skew) && !ended
+	ended := incarnation.Stopped && last.At.Add(index.settings.ClockSkew) < at
+	return first.At <= at.Add(index.settings.ClockSkew) && !ended
 }
 
 func (index *evidenceIndex) offered(committed Evidence) bool {
@@ -155,7 +155,7 @@
 // gapOf returns a gap of one incarnation that reaches past an instant.
 func (index *evidenceIndex) gapOf(at place, after timekeeper.Instant) (Gap, bool) {
 	for _, gap := range index.gaps {
-		if gap.Origin.Name == at.name && gap.Origin.Incarnation == at.incarnation && gap.Until.Add(index.settings.Skew) >= after {
+		if gap.Origin.Name == at.name && gap.Origin.Incarnation == at.incarnation && gap.Until.Add(index.settings.ClockSkew) >= after {
 			return gap, true
 		}
 	}
@@ -200,7 +200,7 @@
 
 // hidden returns an offer whose fate a gap of an agent may hide.
 func (index *evidenceIndex) hidden(gap Gap, matters func(offered Evidence) bool) (Evidence, bool) {
-	from, until := gap.From.Add(-index.settings.GapLookback), gap.Until.Add(index.settings.Skew)
+	from, until := gap.From.Add(-index.settings.GapLookback), gap.Until.Add(index.settings.ClockSkew)
 	for _, evidence := range index.all {
 		near := evidence.At >= from && evidence.At <= until
 		if near && evidence.Kind == recorder.Offered && evidence.Instance == gap.Origin.Name &&
--- a/internal/verifier/report.go
+++ b/internal/verifier/report.go
@@ -13,8 +13,8 @@
 	// From and Until bound the time that is judged, both included.
 	From  timekeeper.Instant
 	Until timekeeper.Instant
-	// Skew is how far the clocks of two processes may differ; zero means 500 milliseconds.
-	Skew timekeeper.Span
+	// ClockSkew is how far the clocks of two processes may differ; zero means 500 milliseconds.
+	ClockSkew timekeeper.Span
 	// LeaveWithin is how long after Draining new work may still be granted;
 	// zero means 3 seconds.
 	LeaveWithin timekeeper.Span
@@ -26,7 +26,7 @@
 }
 
 func (settings Settings) withDefaults() Settings {
-	settings.Skew = cmp.Or(settings.Skew, 500*timekeeper.Millisecond)
+	settings.ClockSkew = cmp.Or(settings.ClockSkew, 500*timekeeper.Millisecond)
 	settings.LeaveWithin = cmp.Or(settings.LeaveWithin, 3*timekeeper.Second)
 	settings.InForceWithin = cmp.Or(settings.InForceWithin, 13*timekeeper.Second)
 	settings.GapLookback = cmp.Or(settings.GapLookback, timekeeper.Minute)
@@ -168,7 +168,7 @@
 	settings = settings.withDefaults()
 	index := newEvidenceIndex(trail, settings)
 	report := Report{
-		From: settings.From, Until: settings.Until, Skew: settings.Skew,
+		From: settings.From, Until: settings.Until, Skew: settings.ClockSkew,
 		Incarnations: len(trail.Incarnations), Segments: trail.Segments, Records: trail.Records,
 		Findings: trail.Findings, Gaps: index.gapsInRange(),
 		Skews: index.skews(), Answers: index.answers(),
--- a/internal/verifier/rules_lives.go
+++ b/internal/verifier/rules_lives.go
@@ -25,7 +25,7 @@
 				verdict.breach("a leaving replica took new work", draining, Evidence{draining.Origin, record})
 			}
 		}
-		if gap, ok := index.gapOf(at, latest); ok && gap.Until.Add(index.settings.Skew) >= latest {
+		if gap, ok := index.gapOf(at, latest); ok && gap.Until.Add(index.settings.ClockSkew) >= latest {
 			index.doubtLife(verdict, draining, gap)
 		}
 	})
@@ -112,7 +112,7 @@
 			verdict.breach("the stop ended a run", left, ended)
 		}
 		for _, answer := range index.about(record.Request, recorder.Answered) {
-			lost := answer.Reason == classifier.OutcomeUnknown.String() && answer.At.Add(index.settings.Skew) >= left.At
+			lost := answer.Reason == classifier.OutcomeUnknown.String() && answer.At.Add(index.settings.ClockSkew) >= left.At
 			if record.Complete && lost && !index.resumed(record.Request) {
 				verdict.breach("the run ended whole while the agent was leaving, and the caller's answer was cut", left, ended, answer)
 			}
@@ -164,7 +164,7 @@
 		switch {
 		case before.Revision == after.Revision && before.Detail != after.Detail:
 			verdict.breach("one revision was accepted twice", before, after)
-		case after.At.Add(index.settings.Skew) < before.At:
+		case after.At.Add(index.settings.ClockSkew) < before.At:
 			verdict.breach("a lower revision was accepted after a higher one", before, after)
 		}
 	}
@@ -204,7 +204,7 @@
 	if before.Origin == after.Origin {
 		return 0
 	}
-	return index.settings.Skew
+	return index.settings.ClockSkew
 }
 
 // states reports whether a kind says which revision is in force at its process.
@@ -227,7 +227,7 @@
 		return
 	}
 	first, last := incarnation.Records[serving], incarnation.Records[len(incarnation.Records)-1]
-	due := max(change.At, first.At).Add(index.settings.InForceWithin + index.settings.Skew)
+	due := max(change.At, first.At).Add(index.settings.InForceWithin + index.settings.ClockSkew)
 	for _, record := range incarnation.Records {
 		if states(record.Kind) && record.Revision >= change.Revision && record.At <= due {
 			return
