--- a/internal/verifier/report.go
+++ b/internal/verifier/report.go
@@ -91,7 +91,7 @@
 type Report struct {
 	From         timekeeper.Instant `json:"from"`
 	Until        timekeeper.Instant `json:"until"`
-	Skew         timekeeper.Span    `json:"skew"`
+	ClockSkew         timekeeper.Span    `json:"skew"`
 	Incarnations int                `json:"incarnations"`
 	Segments     int                `json:"segments"`
 	Records      int                `json:"records"`
@@ -168,7 +168,7 @@
 	settings = settings.withDefaults()
 	index := newEvidenceIndex(trail, settings)
 	report := Report{
-		From: settings.From, Until: settings.Until, Skew: settings.ClockSkew,
+		From: settings.From, Until: settings.Until, ClockSkew: settings.ClockSkew,
 		Incarnations: len(trail.Incarnations), Segments: trail.Segments, Records: trail.Records,
 		Findings: trail.Findings, Gaps: index.gapsInRange(),
 		Skews: index.skews(), Answers: index.answers(),
--- a/internal/verifier/text.go
+++ b/internal/verifier/text.go
@@ -12,7 +12,7 @@
 // WriteText writes the report for a terminal.
 func (report Report) WriteText(out io.Writer) {
 	fmt.Fprintf(out, "record of %d incarnations: %d segments, %d records\n", report.Incarnations, report.Segments, report.Records)
-	fmt.Fprintf(out, "judged from %s to %s, clocks may differ by %s\n\n", report.From, report.Until, report.Skew)
+	fmt.Fprintf(out, "judged from %s to %s, clocks may differ by %s\n\n", report.From, report.Until, report.ClockSkew)
 	for _, verdict := range report.Verdicts {
 		fmt.Fprintf(out, "%d. %-12s  %s (%s)\n", verdict.Number, verdict.Outcome, verdict.Promise, verdict.put())
 		for i, breach := range verdict.Breaches {
