--- a/internal/verifier/plot.go
+++ b/internal/verifier/plot.go
@@ -103,7 +103,7 @@
 	return plots
 }
 
-func skewPlot(report Report, skews []Skew, most float64) plot {
+func skewPlot(report Report, skews []LoadSkew, most float64) plot {
 	scale := axes{report.From, report.Until, math.Ceil(most)}
 	made := scale.frame(skews[0].Service, "highest load over mean load at the busiest moment of each part; no point where it was idle")
 	var line strings.Builder
--- a/internal/verifier/report.go
+++ b/internal/verifier/report.go
@@ -98,7 +98,7 @@
 	Verdicts     []Verdict          `json:"verdicts"`
 	Findings     []Finding          `json:"findings,omitempty"`
 	Gaps         []Gap              `json:"gaps,omitempty"`
-	Skews        []Skew             `json:"skews,omitempty"`
+	Skews        []LoadSkew             `json:"skews,omitempty"`
 	Answers      []AnswerCount      `json:"answers,omitempty"`
 }
 
--- a/internal/verifier/series.go
+++ b/internal/verifier/series.go
@@ -8,8 +8,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Skew is how far the busiest replica of a service is from the mean.
-type Skew struct {
+// LoadSkew is how far the busiest replica of a service is from the mean.
+type LoadSkew struct {
 	At      timekeeper.Instant `json:"at"`
 	Service string             `json:"service"`
 	// Ratio is the highest load over the mean load.
@@ -48,10 +48,10 @@
 // skews returns the skew of each service at the busiest moment of each part of
 // the range. The highest ratio would say little: one call at an idle service
 // makes its replica as many times the mean as there are replicas.
-func (index *evidenceIndex) skews() []Skew {
+func (index *evidenceIndex) skews() []LoadSkew {
 	loads := tally{}
 	busiest := map[spot]int64{}
-	found := map[spot]Skew{}
+	found := map[spot]LoadSkew{}
 	for _, evidence := range index.all {
 		loads.note(evidence)
 		service := evidence.Origin.Group
@@ -66,13 +66,13 @@
 		for _, load := range loads[service] {
 			top = max(top, load)
 		}
-		found[at] = Skew{At: at.at, Service: service, Ratio: float64(top) / mean, Max: top, Mean: mean}
+		found[at] = LoadSkew{At: at.at, Service: service, Ratio: float64(top) / mean, Max: top, Mean: mean}
 	}
-	skews := make([]Skew, 0, len(found))
+	skews := make([]LoadSkew, 0, len(found))
 	for _, skew := range found {
 		skews = append(skews, skew)
 	}
-	slices.SortFunc(skews, func(a, b Skew) int {
+	slices.SortFunc(skews, func(a, b LoadSkew) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.At, b.At))
 	})
 	return skews
