--- a/internal/recorder/backlog.go
+++ b/internal/recorder/backlog.go
@@ -1,6 +1,6 @@
 package recorder
 
-// Range is a run of sequence numbers, both ends included.
+// Range is a range of sequence numbers, both ends included.
 type Range struct {
 	First uint64
 	Last  uint64
@@ -8,11 +8,11 @@
 
 // Backlog holds sealed segments until the store has them.
 //
-// It is made for a store that is down for long: the harm is an agent that runs
-// out of memory because of its record. Past the limit the oldest segments go,
-// since the newest tell most about the incident under way, and what went is
-// declared in the chain. A declaration may itself go with its segment, so
-// every undelivered one is repeated by each later drop.
+// Its limit bounds the memory that the record takes while the store is down for
+// long. Past the limit it drops the oldest segments, since the newest say most
+// about the incident in progress, and the chain declares the dropped ranges. A
+// declaration may itself be dropped with its segment, so each later drop
+// declares all lost ranges again.
 type Backlog struct {
 	limit    int
 	bytes    int
@@ -25,13 +25,13 @@
 	return &Backlog{limit: limit}
 }
 
-// Push adds a segment. It returns the events that declare what was dropped,
-// which must go into the same chain.
+// Push adds a segment. It returns the Gap events that declare the segments dropped
+// so far; the caller must add them to the same chain.
 func (backlog *Backlog) Push(segment Segment) []Event {
 	backlog.PushLast(segment)
 	dropped := false
 	for backlog.bytes > backlog.limit && len(backlog.segments) > 1 {
-		backlog.drop()
+		backlog.dropOldest()
 		dropped = true
 	}
 	if !dropped {
@@ -47,29 +47,29 @@
 }
 
 // PushLast adds the last segment of a chain. It drops nothing, even past the
-// limit: no record could follow to declare it.
+// limit, since no later record could declare the loss.
 func (backlog *Backlog) PushLast(segment Segment) {
 	backlog.segments = append(backlog.segments, segment)
 	backlog.bytes += len(segment.Body)
 }
 
-func (backlog *Backlog) drop() {
+func (backlog *Backlog) dropOldest() {
 	oldest := backlog.segments[0]
-	backlog.remove()
-	end := len(backlog.lost) - 1
-	if end >= 0 && backlog.lost[end].Last+1 == oldest.First {
-		backlog.lost[end].Last = oldest.Last
+	backlog.removeOldest()
+	last := len(backlog.lost) - 1
+	if last >= 0 && backlog.lost[last].Last+1 == oldest.First {
+		backlog.lost[last].Last = oldest.Last
 		return
 	}
 	backlog.lost = append(backlog.lost, Range{oldest.First, oldest.Last})
 }
 
-func (backlog *Backlog) remove() {
+func (backlog *Backlog) removeOldest() {
 	backlog.bytes -= len(backlog.segments[0].Body)
 	backlog.segments = append([]Segment(nil), backlog.segments[1:]...)
 }
 
-// Oldest returns the segment to store next; false when there is none.
+// Oldest returns the segment to store next, or false when the backlog is empty.
 func (backlog *Backlog) Oldest() (Segment, bool) {
 	if len(backlog.segments) == 0 {
 		return Segment{}, false
@@ -77,14 +77,15 @@
 	return backlog.segments[0], true
 }
 
-// MarkStored notes that the store has the segment that starts with first.
+// MarkStored removes the oldest segment if it starts with sequence number first,
+// since the store has it.
 func (backlog *Backlog) MarkStored(first uint64) {
 	if len(backlog.segments) > 0 && backlog.segments[0].First == first {
-		backlog.remove()
+		backlog.removeOldest()
 	}
 }
 
-// Bytes returns what the waiting segments hold.
+// Bytes returns the total size of the segments that are not stored yet.
 func (backlog *Backlog) Bytes() int {
 	return backlog.bytes
 }
--- a/internal/recorder/chain.go
+++ b/internal/recorder/chain.go
@@ -9,39 +9,39 @@
 	"github.com/rotisserie/eris"
 )
 
-// Prefix begins the name of every segment.
+// Prefix is the start of every segment's object name.
 const Prefix = "record/"
 
-// EntryGroup stands in the place of the service in the names of entries' segments.
+// EntryGroup is the group of entries in segment names, where agents have their service.
 const EntryGroup = "entry"
 
-// OperatorGroup stands there in the names of segments of operators' commands.
+// OperatorGroup is the group of operators' commands in segment names.
 const OperatorGroup = "operator"
 
-// Origin names one incarnation of one process.
+// Origin identifies one incarnation of one process.
 type Origin struct {
-	// Group is the service of an agent, or EntryGroup.
+	// Group is the service of an agent, EntryGroup or OperatorGroup.
 	Group       string `json:"group"`
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// String returns the origin as it stands in the names of its segments.
+// String returns the origin as it appears in the names of its segments.
 func (origin Origin) String() string {
 	return fmt.Sprintf("%s/%s/%016x", origin.Group, origin.Name, origin.Incarnation)
 }
 
-// ObjectName returns the name of the segment whose first record is first.
+// ObjectName returns the name of the segment that starts with sequence number first.
 func (origin Origin) ObjectName(first uint64) string {
 	return fmt.Sprintf("%s%s/%012d", Prefix, origin, first)
 }
 
-// ParseObjectName returns the origin and the first sequence number in a
+// ParseObjectName returns the origin and the first sequence number from a
 // segment's name.
 func ParseObjectName(name string) (Origin, uint64, error) {
 	parts := strings.Split(strings.TrimPrefix(name, Prefix), "/")
-	const length = 4
-	if len(parts) != length {
+	const wantParts = 4
+	if len(parts) != wantParts {
 		return Origin{}, 0, eris.Errorf("%q is not the name of a segment", name)
 	}
 	origin := Origin{Group: parts[0], Name: parts[1]}
@@ -55,10 +55,10 @@
 	return origin, first, nil
 }
 
-// Link is a position in a chain: the hash over all records up to it.
+// Link is the hash over all records of a chain up to one position.
 type Link [sha256.Size]byte
 
-// Genesis returns the link before an origin's first record.
+// Genesis returns the link that precedes an origin's first record.
 func Genesis(origin Origin) Link {
 	return sha256.Sum256([]byte("trefoilseam record 1 " + origin.String()))
 }
@@ -73,14 +73,14 @@
 	return next
 }
 
-// Record is an event with its place in the chain.
+// Record is an event with its sequence number in the chain.
 type Record struct {
 	Sequence uint64 `json:"seq"`
 	Event
 }
 
-// bytes returns the record as it is hashed and stored. The order of fields is
-// that of the type, so one event always has the same bytes.
+// bytes returns the record as it is hashed and stored. Fields are encoded in the
+// order of the type, so equal records have equal bytes.
 func (record Record) bytes() []byte {
 	text, err := json.Marshal(record)
 	if err != nil {
@@ -91,8 +91,8 @@
 
 const unencodable = "recorder: an event holds a value that JSON can't write"
 
-// Chain builds the segments of one incarnation. It is an aggregate without
-// I/O; its owner serializes the calls.
+// Chain builds the segments of one incarnation. It does no I/O and is not safe
+// for concurrent use.
 type Chain struct {
 	origin   Origin
 	sequence uint64
@@ -105,8 +105,8 @@
 	return &Chain{origin: origin, link: Genesis(origin)}
 }
 
-// Add appends an event and returns how many bytes the open segment holds,
-// before compression.
+// Add appends an event and returns the size of the open segment in bytes, before
+// compression.
 func (chain *Chain) Add(event Event) int {
 	if chain.open == nil {
 		chain.open = newBuilder(chain.origin, chain.sequence+1, chain.link)
@@ -118,7 +118,7 @@
 	return chain.open.size()
 }
 
-// Seal closes the open segment and returns it; false when it holds nothing.
+// Seal closes the open segment and returns it, or false when it holds no record.
 func (chain *Chain) Seal() (Segment, bool) {
 	if chain.open == nil {
 		return Segment{}, false
--- a/internal/recorder/event.go
+++ b/internal/recorder/event.go
@@ -6,65 +6,67 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Kind says what an event is about.
+// Kind is the type of an event.
 type Kind string
 
-// The kinds of event. Records keep their names, so a name never changes its meaning.
+// The kinds of event. Stored records hold these names, so a name never changes its meaning.
 const (
 	// Started is the first event of an incarnation.
 	Started Kind = "started"
 	// Stopped is the last event of an incarnation that ended as planned.
 	Stopped Kind = "stopped"
-	// Offered says that an entry offered a call to a replica.
+	// Offered records that an entry offered a call to a replica.
 	Offered Kind = "offered"
-	// Granted says that an agent gave a slot; Load and Bound tell what it held.
+	// Granted records that an agent granted a slot. Load is the load with this call,
+	// Bound the limit.
 	Granted Kind = "granted"
-	// Refused says that a process told its peer or caller that a call was refused.
+	// Refused records that a process reported a call as refused to its peer or caller.
 	Refused Kind = "refused"
-	// Committed says that an agent took a Run frame: from here the call may run.
+	// Committed records that an agent received a Run frame; from then on the call may run.
 	Committed Kind = "committed"
-	// Ended says how a run ended at the agent.
+	// Ended records how a run ended at the agent.
 	Ended Kind = "ended"
-	// Answered says what an entry told the caller.
+	// Answered records the outcome that an entry reported to the caller.
 	Answered Kind = "answered"
-	// Buried says that an agent left a tombstone.
+	// Buried records that an agent set a tombstone for a request.
 	Buried Kind = "buried"
-	// Claimed says that a key was bound to a request.
+	// Claimed records that a key was bound to a request.
 	Claimed Kind = "claimed"
-	// Draining says that a replica or process began to leave.
+	// Draining records that a replica or process began to leave.
 	Draining Kind = "draining"
-	// Drained says that it had nothing left in flight.
+	// Drained records that a leaving replica or process has nothing left in flight.
 	Drained Kind = "drained"
-	// InForce says that a revision of the configuration came into force.
+	// InForce records that a revision of the configuration came into force.
 	InForce Kind = "in-force"
-	// Accepted says that an operator's change was accepted.
+	// Accepted records that an operator's change was accepted.
 	Accepted Kind = "accepted"
-	// Sampled is a sample of a replica's load beside the mean of its service.
+	// Sampled records a replica's load and the mean load of its service.
 	Sampled Kind = "sampled"
-	// Struck says that a request was in flight when an upstream crashed.
+	// Struck records that a request was in flight when an upstream crashed.
 	Struck Kind = "struck"
-	// Ordered says that an order went to an engine.
+	// Ordered records that an order was sent to an engine.
 	Ordered Kind = "ordered"
-	// Gap says that events were lost before they could be stored.
+	// Gap records that events were lost before they could be stored.
 	Gap Kind = "gap"
-	// Alive says that the process lived and had recorded all that happened before.
+	// Alive is the heartbeat: the process is running, and everything that happened
+	// before is recorded.
 	Alive Kind = "alive"
 )
 
-// Details that the verifier knows.
+// Values of Event.Detail that the verifier evaluates.
 const (
-	// Replayed marks an answer that was kept from an earlier run of the key.
+	// Replayed marks an answer that was stored by an earlier run of the key.
 	Replayed = "replayed"
-	// Resumed marks the rest of an answer, sent to a caller that has its start;
-	// it carries the whole length, and no digest.
+	// Resumed marks the rest of an answer whose start the caller already has. The
+	// event holds the length of the whole answer, and no digest.
 	Resumed = "resumed"
-	// LostInQueue marks a Gap of events that found the queue full.
+	// LostInQueue marks a Gap of events that were dropped because the queue was full.
 	LostInQueue = "queue"
-	// LostInOutage marks a Gap of segments dropped while the store was down.
+	// LostInOutage marks a Gap of segments that were dropped while the store was down.
 	LostInOutage = "store"
 )
 
-// Event is one entry of the record. Fields that don't apply stay zero.
+// Event is one event of the record. Fields that don't apply are zero.
 type Event struct {
 	At          timekeeper.Instant `json:"at"`
 	Kind        Kind               `json:"kind"`
@@ -77,9 +79,9 @@
 	Key         uint64 `json:"key,omitempty"`
 	Fingerprint uint64 `json:"fingerprint,omitempty"`
 	Idempotent  bool   `json:"idempotent,omitempty"`
-	// Reason is an error kind's name.
+	// Reason is the name of an error kind.
 	Reason string `json:"reason,omitempty"`
-	// Ran is what the peer or caller was told: "no", "unknown" or "yes".
+	// Ran is what was reported to the peer or caller: "no", "unknown" or "yes".
 	Ran      string `json:"ran,omitempty"`
 	Complete bool   `json:"complete,omitempty"`
 	Length   uint64 `json:"length,omitempty"`
@@ -87,28 +89,28 @@
 	Load     int64  `json:"load,omitempty"`
 	Bound    int64  `json:"bound,omitempty"`
 	Revision uint64 `json:"revision,omitempty"`
-	// Detail is a short word or hash, never contents.
+	// Detail is a short word or hash, never contents of a call.
 	Detail string `json:"detail,omitempty"`
-	// Count is a number of events or calls, by the kind's meaning.
+	// Count is a number of events or calls, depending on Kind.
 	Count int64 `json:"count,omitempty"`
-	// Work is the estimated work of the one call that the event is about.
+	// Work is the estimated work of the event's call.
 	Work int64 `json:"work,omitempty"`
-	// Factor is the multiple of the mean load that the service may reach.
+	// Factor is the multiple of the service's mean load that a replica may reach.
 	Factor float64 `json:"factor,omitempty"`
-	// Taken is when an offer was taken that got its slot only later, from the queue.
+	// Taken is when the agent accepted an offer that waited in the queue for its slot.
 	Taken timekeeper.Instant `json:"taken,omitempty"`
-	// First and Last are the sequence numbers that a Gap covers; zero when the
-	// lost events had none yet.
+	// First and Last are the range of sequence numbers that a Gap covers; zero when the
+	// lost events had no numbers yet.
 	First uint64 `json:"first,omitempty"`
 	Last  uint64 `json:"last,omitempty"`
 }
 
-// Discard is a Record function that keeps nothing.
+// Discard is a Record function that discards every event.
 func Discard(Event) {}
 
-// KeyHash returns the hash under which a caller's Idempotency-Key stands in the
-// record, and zero when there is none. Team and service are part of it, since
-// equal keys of two teams are two keys.
+// KeyHash returns the hash that stands for a caller's Idempotency-Key in the
+// record, or zero when there is no key. It covers team and service, since equal
+// keys of two teams are two keys.
 func KeyHash(team, service, key string) uint64 {
 	if key == "" {
 		return 0
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -16,57 +16,58 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Settings set up a recorder. All fields without a stated default must be set.
+// Settings configure a recorder. Fields without a stated default are required.
 type Settings struct {
 	Origin  Origin
 	Objects storekeeper.Objects
 	Clock   timekeeper.Clock
 	Log     logrus.FieldLogger
-	// HeartbeatInterval is the time between two pulses; zero means 5 seconds.
+	// HeartbeatInterval is the time between two heartbeats; zero means 5 seconds.
 	HeartbeatInterval timekeeper.Span
-	// FlushInterval is the longest that a record waits for its segment to be
+	// FlushInterval is the longest time that a record waits until its segment is
 	// sealed; zero means 5 seconds.
 	FlushInterval timekeeper.Span
-	// Processes returns how many processes write records now, which stretches
-	// the time between flushes; nil means that it isn't known.
+	// Processes returns how many processes write records now; the flush interval
+	// grows with it. Nil means that the number is unknown.
 	Processes func() int
-	// SegmentBytes seals a segment early, before compression; zero means 256 KiB.
+	// SegmentBytes is the size before compression at which a segment is sealed early;
+	// zero means 256 KiB.
 	SegmentBytes int
-	// BacklogBytes bounds the segments that wait for the store; zero means 8 MiB.
+	// BacklogBytes bounds the segments that wait to be stored; zero means 8 MiB.
 	BacklogBytes int
-	// QueueLength is how many events wait for the chain; zero means 8192.
+	// QueueLength is the capacity of the event queue; zero means 8192.
 	QueueLength int
 	// StopTimeout bounds the last flush; zero means 5 seconds.
 	StopTimeout timekeeper.Span
 }
 
 const (
-	// shortestFlush is how often a small fleet flushes.
-	shortestFlush = 5 * timekeeper.Second
-	// flushShare is the time in which the fleet as a whole writes one segment:
-	// at most 100 writes a second, out of the store's several hundred.
-	flushShare = 10 * timekeeper.Millisecond
-	// firstPause and longestPause bound the wait before a segment is tried again.
-	firstPause   = 200 * timekeeper.Millisecond
-	longestPause = 15 * timekeeper.Second
-	// putTimeout bounds one call of the store.
+	// minFlushInterval is the flush interval of a small fleet.
+	minFlushInterval = 5 * timekeeper.Second
+	// flushIntervalPerProcess limits the fleet to 100 segments a second, out of the
+	// several hundred writes a second that the store serves.
+	flushIntervalPerProcess = 10 * timekeeper.Millisecond
+	// minBackoff and maxBackoff bound the backoff before a segment is stored again.
+	minBackoff = 200 * timekeeper.Millisecond
+	maxBackoff = 15 * timekeeper.Second
+	// putTimeout bounds one attempt to store a segment.
 	putTimeout = 5 * timekeeper.Second
 )
 
-// FlushInterval returns how often a process should flush in a fleet of the given
-// number of processes.
+// FlushInterval returns the flush interval of each process in a fleet of the
+// given number of processes.
 //
-// It is made for thousands of processes before one store: each write is small,
-// but their rate grows with the fleet, and the store serves several hundred a
-// second for everything. Past 500 processes the time between flushes grows, so
-// the record never takes more than 100 writes a second.
+// Thousands of processes may share one store: each write is small, but the rate
+// grows with the fleet, and the store serves several hundred writes a second in
+// total. Above 500 processes the interval grows, so that the record never takes
+// more than 100 writes a second.
 func FlushInterval(processes int) timekeeper.Span {
-	return max(shortestFlush, timekeeper.Span(processes)*flushShare)
+	return max(minFlushInterval, timekeeper.Span(processes)*flushIntervalPerProcess)
 }
 
 func (settings Settings) withDefaults() Settings {
 	settings.HeartbeatInterval = cmp.Or(settings.HeartbeatInterval, 5*timekeeper.Second)
-	settings.FlushInterval = cmp.Or(settings.FlushInterval, shortestFlush)
+	settings.FlushInterval = cmp.Or(settings.FlushInterval, minFlushInterval)
 	settings.SegmentBytes = cmp.Or(settings.SegmentBytes, 256<<10)
 	settings.BacklogBytes = cmp.Or(settings.BacklogBytes, 8<<20)
 	settings.QueueLength = cmp.Or(settings.QueueLength, 8192)
@@ -74,8 +75,8 @@
 	return settings
 }
 
-// flushEvery returns the time to the next flush, by the size of the fleet now.
-func (settings Settings) flushEvery() timekeeper.Span {
+// flushInterval returns the time to the next flush for the current size of the fleet.
+func (settings Settings) flushInterval() timekeeper.Span {
 	if settings.Processes == nil {
 		return settings.FlushInterval
 	}
@@ -84,240 +85,241 @@
 
 // Recorder writes the record of one process.
 //
-// Lock order: mu alone; it is not held during I/O and never taken by Record.
+// mu is the only lock. It is not held during I/O, and Record never takes it.
 type Recorder struct {
-	settings Settings
-	events   chan Event
-	missed   atomic.Int64
-	pulse    atomic.Pointer[func() Event]
-	wake     chan struct{}
-	stopping chan struct{}
+	settings  Settings
+	events    chan Event
+	dropped   atomic.Int64
+	heartbeat atomic.Pointer[func() Event]
+	wake      chan struct{}
+	stopping  chan struct{}
 
-	mu      sync.Mutex
-	backlog *Backlog
-	closing sync.Once
+	mu       sync.Mutex
+	backlog  *Backlog
+	stopOnce sync.Once
 }
 
-// New returns a recorder whose record opens with started, and a function that
-// records Stopped, flushes, and waits for the store up to StopWait.
+// New returns a recorder whose record begins with started, and a function that
+// records Stopped, flushes, and waits up to StopTimeout for the store.
 func New(settings Settings, started Event) (*Recorder, func()) {
 	settings = settings.withDefaults()
-	made := &Recorder{
+	recorder := &Recorder{
 		settings: settings,
 		events:   make(chan Event, settings.QueueLength),
 		wake:     make(chan struct{}, 1),
 		stopping: make(chan struct{}),
 		backlog:  NewBacklog(settings.BacklogBytes),
 	}
-	made.SetHeartbeat(func() Event { return Event{Kind: Alive} })
+	recorder.SetHeartbeat(func() Event { return Event{Kind: Alive} })
 	started.Kind = Started
-	made.Record(started)
+	recorder.Record(started)
 	ctx, cancel := context.WithCancel(context.Background())
 	var chained, stored sync.WaitGroup
-	chained.Go(made.collect)
-	stored.Go(func() { made.store(ctx) })
-	return made, func() { made.stop(&chained, &stored, cancel) }
+	chained.Go(recorder.appendEvents)
+	stored.Go(func() { recorder.storeSegments(ctx) })
+	return recorder, func() { recorder.stop(&chained, &stored, cancel) }
 }
 
-// Record takes an event. It neither blocks nor allocates: the request path
-// pays for a copy into the queue. When the queue is full the event is counted,
-// and the count is declared as a Gap.
-func (made *Recorder) Record(event Event) {
+// Record queues an event. It neither blocks nor allocates: the request path
+// pays only for a copy into the queue. When the queue is full, Record drops and
+// counts the event, and a Gap event declares the count.
+func (recorder *Recorder) Record(event Event) {
 	if event.At == 0 {
-		event.At = made.settings.Clock.Now()
+		event.At = recorder.settings.Clock.Now()
 	}
 	select {
-	case made.events <- event:
+	case recorder.events <- event:
 	default:
-		made.missed.Add(1)
+		recorder.dropped.Add(1)
 	}
 }
 
-// collect is the one goroutine that owns the chain.
-func (made *Recorder) collect() {
-	chain := NewChain(made.settings.Origin)
-	flush, stopFlush := made.settings.Clock.After(made.settings.flushEvery())
-	pulse, stopPulse := made.settings.Clock.After(made.settings.HeartbeatInterval)
-	defer func() { stopFlush(); stopPulse() }()
+// appendEvents runs in the one goroutine that owns the chain.
+func (recorder *Recorder) appendEvents() {
+	chain := NewChain(recorder.settings.Origin)
+	flush, stopFlush := recorder.settings.Clock.After(recorder.settings.flushInterval())
+	heartbeat, stopHeartbeat := recorder.settings.Clock.After(recorder.settings.HeartbeatInterval)
+	defer func() { stopFlush(); stopHeartbeat() }()
 	for {
 		select {
-		case event := <-made.events:
-			made.add(chain, event)
-		case <-pulse:
-			made.add(chain, made.beat())
-			pulse, stopPulse = made.settings.Clock.After(made.settings.HeartbeatInterval)
+		case event := <-recorder.events:
+			recorder.add(chain, event)
+		case <-heartbeat:
+			recorder.add(chain, recorder.heartbeatEvent())
+			heartbeat, stopHeartbeat = recorder.settings.Clock.After(recorder.settings.HeartbeatInterval)
 		case <-flush:
-			made.seal(chain)
-			flush, stopFlush = made.settings.Clock.After(made.settings.flushEvery())
-		case <-made.stopping:
-			made.finish(chain)
+			recorder.seal(chain)
+			flush, stopFlush = recorder.settings.Clock.After(recorder.settings.flushInterval())
+		case <-recorder.stopping:
+			recorder.closeChain(chain)
 			return
 		}
 	}
 }
 
-// SetHeartbeat sets the function whose event tells the process's state. It is
-// recorded every PulseEvery, so that a quiet process is known to have lived.
-func (made *Recorder) SetHeartbeat(pulse func() Event) {
-	made.pulse.Store(&pulse)
+// SetHeartbeat sets the function that returns the heartbeat event, which holds the
+// process's state. It is recorded every HeartbeatInterval to show that an idle
+// process is running.
+func (recorder *Recorder) SetHeartbeat(heartbeat func() Event) {
+	recorder.heartbeat.Store(&heartbeat)
 }
 
-func (made *Recorder) beat() Event {
-	event := (*made.pulse.Load())()
-	event.At = made.settings.Clock.Now()
+func (recorder *Recorder) heartbeatEvent() Event {
+	event := (*recorder.heartbeat.Load())()
+	event.At = recorder.settings.Clock.Now()
 	return event
 }
 
-func (made *Recorder) add(chain *Chain, event Event) {
-	made.declare(chain)
-	if chain.Add(event) >= made.settings.SegmentBytes {
-		made.seal(chain)
+func (recorder *Recorder) add(chain *Chain, event Event) {
+	recorder.declareDropped(chain)
+	if chain.Add(event) >= recorder.settings.SegmentBytes {
+		recorder.seal(chain)
 	}
 }
 
-// declare records how many events found the queue full.
-func (made *Recorder) declare(chain *Chain) {
-	if missed := made.missed.Swap(0); missed > 0 {
-		chain.Add(Event{At: made.settings.Clock.Now(), Kind: Gap, Detail: LostInQueue, Count: missed})
+// declareDropped records how many events were dropped because the queue was full.
+func (recorder *Recorder) declareDropped(chain *Chain) {
+	if dropped := recorder.dropped.Swap(0); dropped > 0 {
+		chain.Add(Event{At: recorder.settings.Clock.Now(), Kind: Gap, Detail: LostInQueue, Count: dropped})
 	}
 }
 
-// seal closes the open segment and hands it to the backlog.
-func (made *Recorder) seal(chain *Chain) {
+// seal closes the open segment and adds it to the backlog.
+func (recorder *Recorder) seal(chain *Chain) {
 	segment, ok := chain.Seal()
 	if !ok {
 		return
 	}
-	made.mu.Lock()
-	gaps := made.backlog.Push(segment)
-	made.mu.Unlock()
+	recorder.mu.Lock()
+	gaps := recorder.backlog.Push(segment)
+	recorder.mu.Unlock()
 	for _, gap := range gaps {
-		gap.At = made.settings.Clock.Now()
+		gap.At = recorder.settings.Clock.Now()
 		chain.Add(gap)
-		made.settings.Log.WithFields(logrus.Fields{"first": gap.First, "last": gap.Last}).Error("records lost")
+		recorder.settings.Log.WithFields(logrus.Fields{"first": gap.First, "last": gap.Last}).Error("unstored records dropped, the backlog is full")
 	}
-	made.alert()
+	recorder.wakeStorer()
 }
 
-// alert wakes the goroutine that stores.
-func (made *Recorder) alert() {
+// wakeStorer wakes the goroutine that stores segments.
+func (recorder *Recorder) wakeStorer() {
 	select {
-	case made.wake <- struct{}{}:
+	case recorder.wake <- struct{}{}:
 	default:
 	}
 }
 
-// finish records what still waits, and Stopped, and seals the last segment.
-func (made *Recorder) finish(chain *Chain) {
+// closeChain records the queued events and Stopped, and seals the last segment.
+func (recorder *Recorder) closeChain(chain *Chain) {
 	for {
 		select {
-		case event := <-made.events:
-			made.add(chain, event)
+		case event := <-recorder.events:
+			recorder.add(chain, event)
 			continue
 		default:
 		}
 		break
 	}
-	made.declare(chain)
-	// Sealing may drop segments and declare them, so that comes before Stopped.
-	made.seal(chain)
-	chain.Add(Event{At: made.settings.Clock.Now(), Kind: Stopped})
+	recorder.declareDropped(chain)
+	// Sealing may drop segments and declare them, which must come before Stopped.
+	recorder.seal(chain)
+	chain.Add(Event{At: recorder.settings.Clock.Now(), Kind: Stopped})
 	last, _ := chain.Seal()
-	made.mu.Lock()
-	made.backlog.PushLast(last)
-	made.mu.Unlock()
-	made.alert()
+	recorder.mu.Lock()
+	recorder.backlog.PushLast(last)
+	recorder.mu.Unlock()
+	recorder.wakeStorer()
 }
 
-func (made *Recorder) stop(chained, stored *sync.WaitGroup, cancel func()) {
-	made.closing.Do(func() {
-		close(made.stopping)
+func (recorder *Recorder) stop(chained, stored *sync.WaitGroup, cancel func()) {
+	recorder.stopOnce.Do(func() {
+		close(recorder.stopping)
 		chained.Wait()
-		close(made.wake)
-		late, release := made.settings.Clock.After(made.settings.StopTimeout)
+		close(recorder.wake)
+		timeout, release := recorder.settings.Clock.After(recorder.settings.StopTimeout)
 		defer release()
 		done := make(chan struct{})
 		go func() { stored.Wait(); close(done) }()
 		select {
 		case <-done:
-		case <-late:
-			made.settings.Log.Error("the last segments of the record were not stored")
+		case <-timeout:
+			recorder.settings.Log.Error("recorder stopped before the last segments were stored")
 		}
 		cancel()
 		<-done
 	})
 }
 
-// store is the one goroutine that writes to the store.
-func (made *Recorder) store(ctx context.Context) {
-	jitter := rand.New(rand.NewPCG(made.settings.Origin.Incarnation, 0))
-	pause := firstPause
+// storeSegments runs in the one goroutine that writes to the store.
+func (recorder *Recorder) storeSegments(ctx context.Context) {
+	jitter := rand.New(rand.NewPCG(recorder.settings.Origin.Incarnation, 0))
+	backoff := minBackoff
 	for {
-		segment, ok := made.oldest()
+		segment, ok := recorder.oldest()
 		if !ok {
-			if _, open := <-made.wake; !open && made.empty() {
+			if _, open := <-recorder.wake; !open && recorder.backlogEmpty() {
 				return
 			}
 			continue
 		}
-		err := made.put(ctx, segment)
+		err := recorder.put(ctx, segment)
 		if err == nil {
-			made.stored(segment)
-			pause = firstPause
+			recorder.markStored(segment)
+			backoff = minBackoff
 			continue
 		}
-		made.settings.Log.WithError(err).WithField("segment", segment.Name()).Warn("segment not stored")
-		// Full jitter: thousands of processes that saw the same outage must not
-		// return in step and bring the store down again.
-		if made.settings.Clock.Sleep(ctx, 1+timekeeper.Span(jitter.Int64N(int64(pause)))) != nil {
+		recorder.settings.Log.WithError(err).WithField("segment", segment.Name()).Warn("segment not stored")
+		// Full jitter: after an outage, thousands of processes must not retry in
+		// step and overload the store again.
+		if recorder.settings.Clock.Sleep(ctx, 1+timekeeper.Span(jitter.Int64N(int64(backoff)))) != nil {
 			return
 		}
-		pause = min(2*pause, longestPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (made *Recorder) oldest() (Segment, bool) {
-	made.mu.Lock()
-	defer made.mu.Unlock()
-	return made.backlog.Oldest()
+func (recorder *Recorder) oldest() (Segment, bool) {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	return recorder.backlog.Oldest()
 }
 
-func (made *Recorder) empty() bool {
-	_, more := made.oldest()
+func (recorder *Recorder) backlogEmpty() bool {
+	_, more := recorder.oldest()
 	return !more
 }
 
-// stored takes a segment off the backlog. Its link goes to the log, which is
-// kept elsewhere: a whole chain that is forged later ends in other links.
-func (made *Recorder) stored(segment Segment) {
-	made.mu.Lock()
-	made.backlog.MarkStored(segment.First)
-	made.mu.Unlock()
-	made.settings.Log.WithFields(logrus.Fields{
+// markStored removes a segment from the backlog. It logs the segment's link, since
+// the log is kept elsewhere: a chain that is forged as a whole has other links.
+func (recorder *Recorder) markStored(segment Segment) {
+	recorder.mu.Lock()
+	recorder.backlog.MarkStored(segment.First)
+	recorder.mu.Unlock()
+	recorder.settings.Log.WithFields(logrus.Fields{
 		"segment": segment.Name(),
 		"records": segment.Records(),
 		"link":    hex.EncodeToString(segment.Link[:]),
 	}).Info("segment stored")
 }
 
-// put stores a segment. The failure: the answer to a write is lost after the
-// write took effect. The symptom would be a segment tried for ever, since its
-// name is taken, and a backlog that overflows. The name is this incarnation's
-// own, so reading back settles it.
-func (made *Recorder) put(ctx context.Context, segment Segment) error {
+// put stores a segment. If the response to a write is lost after the write took
+// effect, each retry finds the name taken; without the read back the segment
+// would be retried forever and the backlog would overflow. The name is unique to
+// this incarnation, so the object under it shows whether the segment is stored.
+func (recorder *Recorder) put(ctx context.Context, segment Segment) error {
 	ctx, cancel := context.WithTimeout(ctx, putTimeout.Duration())
 	defer cancel()
-	err := made.settings.Objects.Put(ctx, segment.Name(), segment.Body)
-	settle := eris.Is(err, storekeeper.ErrUnknown) || eris.Is(err, storekeeper.ErrConflict)
-	if !settle {
+	err := recorder.settings.Objects.Put(ctx, segment.Name(), segment.Body)
+	uncertain := eris.Is(err, storekeeper.ErrUnknown) || eris.Is(err, storekeeper.ErrConflict)
+	if !uncertain {
 		return err
 	}
-	there, readErr := made.settings.Objects.Get(ctx, segment.Name())
+	existing, readErr := recorder.settings.Objects.Get(ctx, segment.Name())
 	if readErr != nil {
 		return err
 	}
-	if !bytes.Equal(there, segment.Body) {
-		made.settings.Log.WithField("segment", segment.Name()).Error("another segment has this name")
+	if !bytes.Equal(existing, segment.Body) {
+		recorder.settings.Log.WithField("segment", segment.Name()).Error("a different segment is stored under this name")
 	}
 	return nil
 }
--- a/internal/recorder/segment.go
+++ b/internal/recorder/segment.go
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Segment is a run of records, sealed for the object store.
+// Segment is a range of consecutive records, sealed for the object store.
 type Segment struct {
 	Origin Origin
 	First  uint64
@@ -33,11 +33,11 @@
 
 const (
 	magic = "trefoilseam-record 1\n"
-	// markBytes is how much of a link stands before each record.
-	markBytes = 8
-	// longestText bounds a segment after decompression, so that a forged one
+	// linkPrefixBytes is how many bytes of its link precede each record.
+	linkPrefixBytes = 8
+	// maxTextBytes bounds a segment after decompression, so that a forged one
 	// can't make the reader allocate without bound.
-	longestText = 16 << 20
+	maxTextBytes = 16 << 20
 )
 
 // header is the first line of a segment.
@@ -55,61 +55,61 @@
 }
 
 func newBuilder(origin Origin, first uint64, previous Link) *builder {
-	made := &builder{origin: origin, first: first}
+	open := &builder{origin: origin, first: first}
 	line, err := json.Marshal(header{Origin: origin, First: first, Previous: hex.EncodeToString(previous[:])})
 	if err != nil {
 		panic(unencodable)
 	}
-	made.text.Write(line)
-	made.text.WriteByte('\n')
-	return made
+	open.text.Write(line)
+	open.text.WriteByte('\n')
+	return open
 }
 
-func (made *builder) size() int {
-	return made.text.Len()
+func (open *builder) size() int {
+	return open.text.Len()
 }
 
-func (made *builder) add(line []byte, link Link) {
-	made.text.WriteString(hex.EncodeToString(link[:markBytes]))
-	made.text.WriteByte(' ')
-	made.text.Write(line)
-	made.text.WriteByte('\n')
+func (open *builder) add(line []byte, link Link) {
+	open.text.WriteString(hex.EncodeToString(link[:linkPrefixBytes]))
+	open.text.WriteByte(' ')
+	open.text.Write(line)
+	open.text.WriteByte('\n')
 }
 
-func (made *builder) seal(last uint64, link Link) Segment {
-	made.text.WriteString(hex.EncodeToString(link[:]))
-	made.text.WriteByte('\n')
+func (open *builder) seal(last uint64, link Link) Segment {
+	open.text.WriteString(hex.EncodeToString(link[:]))
+	open.text.WriteByte('\n')
 	var packed bytes.Buffer
 	writer, err := flate.NewWriter(&packed, flate.DefaultCompression)
 	if err != nil {
-		panic(badLevel)
+		panic(invalidLevel)
 	}
-	_, _ = writer.Write(made.text.Bytes())
+	_, _ = writer.Write(open.text.Bytes())
 	_ = writer.Close()
 	sum := sha256.Sum256(packed.Bytes())
 	body := append([]byte(magic), sum[:]...)
 	return Segment{
-		Origin: made.origin,
-		First:  made.first,
+		Origin: open.origin,
+		First:  open.first,
 		Last:   last,
 		Link:   link,
 		Body:   append(body, packed.Bytes()...),
 	}
 }
 
-const badLevel = "recorder: unknown level of compression"
+const invalidLevel = "recorder: unknown level of compression"
 
 // Line is one record of a decoded segment.
 type Line struct {
 	Record
 	// StoredPrefix is the start of the link that was stored with the record.
 	StoredPrefix string
-	// Bytes are what the link is computed over.
+	// Bytes is the encoded record, over which the link is computed.
 	Bytes []byte
 }
 
-// Decoded is what a segment's body says. Nothing of it has been verified but
-// the sum of the body.
+// Decoded is the content of a segment's body. Only the checksum of the body has
+// been verified.
 type Decoded struct {
 	Origin   Origin
 	First    uint64
@@ -118,7 +118,7 @@
 	Link     Link
 }
 
-// Decode reads a segment's body. It returns an error when the body is not
+// Decode parses a segment's body. It returns an error when the body is not
 // exactly what the recorder stored.
 func Decode(body []byte) (Decoded, error) {
 	rest, ok := bytes.CutPrefix(body, []byte(magic))
@@ -128,11 +128,11 @@
 	if sha256.Sum256(rest[sha256.Size:]) != [sha256.Size]byte(rest[:sha256.Size]) {
 		return Decoded{}, eris.New("the body doesn't match its sum")
 	}
-	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(rest[sha256.Size:])), longestText+1))
+	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(rest[sha256.Size:])), maxTextBytes+1))
 	if err != nil {
 		return Decoded{}, eris.Wrap(err, "decompress")
 	}
-	if len(text) > longestText {
+	if len(text) > maxTextBytes {
 		return Decoded{}, eris.New("the segment is longer than any that a recorder writes")
 	}
 	return decodeText(text)
@@ -140,16 +140,16 @@
 
 func decodeText(text []byte) (Decoded, error) {
 	lines := bytes.Split(text, []byte("\n"))
-	const fewest = 3
-	if len(lines) < fewest || len(lines[len(lines)-1]) > 0 {
+	const minLines = 3
+	if len(lines) < minLines || len(lines[len(lines)-1]) > 0 {
 		return Decoded{}, eris.New("the segment is cut short")
 	}
-	var head header
-	if err := json.Unmarshal(lines[0], &head); err != nil {
+	var parsed header
+	if err := json.Unmarshal(lines[0], &parsed); err != nil {
 		return Decoded{}, eris.Wrap(err, "header")
 	}
-	decoded := Decoded{Origin: head.Origin, First: head.First}
-	if !readLink(head.Previous, &decoded.Previous) || !readLink(string(lines[len(lines)-2]), &decoded.Link) {
+	decoded := Decoded{Origin: parsed.Origin, First: parsed.First}
+	if !parseLink(parsed.Previous, &decoded.Previous) || !parseLink(string(lines[len(lines)-2]), &decoded.Link) {
 		return Decoded{}, eris.New("a link is malformed")
 	}
 	for _, text := range lines[1 : len(lines)-2] {
@@ -163,15 +163,15 @@
 }
 
 func decodeLine(text []byte) (Line, error) {
-	mark, record, ok := bytes.Cut(text, []byte(" "))
+	prefix, record, ok := bytes.Cut(text, []byte(" "))
 	if !ok {
 		return Line{}, eris.New("a record without its mark")
 	}
-	line := Line{StoredPrefix: string(mark), Bytes: record}
+	line := Line{StoredPrefix: string(prefix), Bytes: record}
 	return line, eris.Wrap(json.Unmarshal(record, &line.Record), "record")
 }
 
-func readLink(text string, link *Link) bool {
+func parseLink(text string, link *Link) bool {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(link) {
 		return false
@@ -180,7 +180,8 @@
 	return true
 }
 
-// LinkPrefix returns the mark that stands before the record that a link ends with.
+// LinkPrefix returns the start of a record's link, as it is stored before the
+// record.
 func LinkPrefix(link Link) string {
-	return hex.EncodeToString(link[:markBytes])
+	return hex.EncodeToString(link[:linkPrefixBytes])
 }
