--- a/internal/verifier/doc.go
+++ b/internal/verifier/doc.go
@@ -1,23 +1,23 @@
-// Package verifier checks the fleet's record and says, promise by promise,
+// Package verifier checks the fleet's record and reports for each promise
 // whether it held.
 //
-// Verify checks the chains themselves: each incarnation's records must be
-// numbered without a hole and linked by their hashes, from Started to Stopped.
-// What is missing is either declared by the chain, and then a gap, or it is a
-// finding: somebody changed, dropped or moved records. Records of a segment
-// with a finding are not believed; they count as missing.
+// Verify checks the chains: each incarnation's records must be numbered without a
+// hole and linked by their hashes, from Started to Stopped. Missing records are a
+// gap if the chain declares them; otherwise they are a finding: records were
+// changed, dropped or moved. The records of a segment with a finding are ignored
+// and count as missing.
 //
-// Judge then reads the records that stand and gives one verdict for each
-// promise. Broken needs records that contradict the promise. Held needs that
-// no record contradicts it and that nothing is missing which could. Between
-// the two the verdict is not provable, and names the gap.
+// Evaluate then gives one verdict for each promise from the verified records.
+// Broken means that records contradict the promise. Held means that no record
+// contradicts it and that no missing record could. Otherwise the verdict is not
+// provable, and names the gap.
 //
-// A gap in an agent's record hides only what entries offered to that agent
-// around it: entries and agents write about the same calls independently, so
-// one record bounds what the other may hide.
+// A gap in an agent's record can hide only the calls that entries offered to that
+// agent around that time: entries and agents record the same calls independently,
+// so each record limits what the other can hide.
 //
-// Clocks of different processes may disagree by Settings.Skew. Within one
-// incarnation the sequence decides, not the clock.
+// Clocks of different processes may differ by Settings.ClockSkew. Within one
+// incarnation the sequence numbers give the order, not the clock.
 //
-// Verify and Judge are pure functions; Fetch reads the store.
+// Verify and Evaluate are pure functions; Fetch reads the store.
 package verifier
--- a/internal/verifier/fetch.go
+++ b/internal/verifier/fetch.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// page is how many names one listing returns.
-	page = 1000
-	// tries bounds how often one read is tried; a reader waits between.
-	tries = 5
-	// pause is the wait before a read is tried again.
-	pause = 300 * timekeeper.Millisecond
+	// pageSize is how many names one List call returns.
+	pageSize = 1000
+	// maxAttempts bounds the attempts of one read.
+	maxAttempts = 5
+	// retryDelay is the wait before the first retry of a read; it grows linearly.
+	retryDelay = 300 * timekeeper.Millisecond
 )
 
-// Fetch reads every segment in the store.
+// Fetch reads all segments from the store.
 func Fetch(ctx context.Context, objects storekeeper.Objects, clock timekeeper.Clock) ([]Object, error) {
 	var all []Object
 	after := ""
 	for {
-		names, err := retry(ctx, clock, func() ([]string, error) { return objects.List(ctx, recorder.Prefix, after, page) })
+		names, err := retry(ctx, clock, func() ([]string, error) { return objects.List(ctx, recorder.Prefix, after, pageSize) })
 		if err != nil {
-			return nil, eris.Wrap(err, "list the record")
+			return nil, eris.Wrap(err, "list segments")
 		}
 		if len(names) == 0 {
 			return all, nil
@@ -45,10 +45,10 @@
 func retry[Out any](ctx context.Context, clock timekeeper.Clock, read func() (Out, error)) (Out, error) {
 	for i := 1; ; i++ {
 		out, err := read()
-		if err == nil || i == tries || eris.Is(err, storekeeper.ErrAbsent) {
+		if err == nil || i == maxAttempts || eris.Is(err, storekeeper.ErrAbsent) {
 			return out, err
 		}
-		if err := clock.Sleep(ctx, timekeeper.Span(i)*pause); err != nil {
+		if err := clock.Sleep(ctx, timekeeper.Span(i)*retryDelay); err != nil {
 			return out, err
 		}
 	}
--- a/internal/verifier/page.go
+++ b/internal/verifier/page.go
@@ -15,26 +15,26 @@
 	"class": classOf,
 	"skews": skewPlots,
 	"told":  answerPlot,
-	"tally": tallies,
-	"few":   func(count int) bool { return count <= unfolded },
+	"tally": countOutcomes,
+	"few":   func(count int) bool { return count <= maxOpenItems },
 }).Parse(pageText))
 
-// WriteHTML writes the report as one page that needs nothing else.
+// WriteHTML writes the report as one self-contained HTML page.
 func (report Report) WriteHTML(out io.Writer) error {
-	return eris.Wrap(pageTemplate.Execute(out, report), "write the page")
+	return eris.Wrap(pageTemplate.Execute(out, report), "write the HTML page")
 }
 
-// unfolded is how long a list the page shows without a click.
-const unfolded = 6
+// maxOpenItems is the length of the longest list that the page shows expanded.
+const maxOpenItems = 6
 
-// outcomeCount is how many promises have one outcome.
+// outcomeCount is the number of promises with one outcome.
 type outcomeCount struct {
 	Class string
 	Count int
 	Text  Outcome
 }
 
-func tallies(report Report) []outcomeCount {
+func countOutcomes(report Report) []outcomeCount {
 	outcomes := [...]Outcome{Held, Broken, NotProvable}
 	counts := make([]outcomeCount, 0, len(outcomes))
 	for _, outcome := range outcomes {
--- a/internal/verifier/plot.go
+++ b/internal/verifier/plot.go
@@ -19,7 +19,7 @@
 	bottom     = 28.0
 )
 
-// plot is one picture of the page, with everything placed in pixels.
+// plot is one figure of the page; all positions are in pixels.
 type plot struct {
 	Title  string
 	Note   string
@@ -35,7 +35,7 @@
 	Bars   []bar
 }
 
-// tick is a mark of an axis.
+// tick is a mark on an axis.
 type tick struct {
 	At   float64
 	Text string
@@ -54,11 +54,11 @@
 	Text                string
 }
 
-// axes is the scale of a plot.
+// axes is the scale of a plot: its time range and its highest value.
 type axes struct {
-	from  timekeeper.Instant
-	until timekeeper.Instant
-	most  float64
+	from     timekeeper.Instant
+	until    timekeeper.Instant
+	maxValue float64
 }
 
 func (axes axes) x(at timekeeper.Instant) float64 {
@@ -67,65 +67,65 @@
 }
 
 func (axes axes) y(value float64) float64 {
-	return plotHeight - bottom - (plotHeight-top-bottom)*value/axes.most
+	return plotHeight - bottom - (plotHeight-top-bottom)*value/axes.maxValue
 }
 
-// frame returns an empty plot with its axes.
-func (axes axes) frame(title, note string) plot {
-	made := plot{
+// emptyPlot returns a plot with its axes and no data.
+func (axes axes) emptyPlot(title, note string) plot {
+	empty := plot{
 		Title: title, Note: note, Width: plotWidth, Height: plotHeight,
 		Left: left, Right: plotWidth - right, Base: plotHeight - bottom,
 	}
-	const marks = 4
-	for i := range marks + 1 {
-		share := float64(i) / marks
-		value := axes.most * share
-		made.Ticks = append(made.Ticks, tick{axes.y(value), strconv.FormatFloat(value, 'g', 3, 64)})
-		at := axes.from.Add(timekeeper.Span(share * float64(axes.until.Since(axes.from))))
-		made.Times = append(made.Times, tick{axes.x(at), at.Time().Format("15:04:05")})
+	const intervals = 4
+	for i := range intervals + 1 {
+		fraction := float64(i) / intervals
+		value := axes.maxValue * fraction
+		empty.Ticks = append(empty.Ticks, tick{axes.y(value), strconv.FormatFloat(value, 'g', 3, 64)})
+		at := axes.from.Add(timekeeper.Span(fraction * float64(axes.until.Since(axes.from))))
+		empty.Times = append(empty.Times, tick{axes.x(at), at.Time().Format("15:04:05")})
 	}
-	return made
+	return empty
 }
 
-// skewPlots returns one plot for each service.
+// skewPlots returns one plot of the load skew for each service.
 func skewPlots(report Report) []plot {
 	var plots []plot
 	for start := 0; start < len(report.Skews); {
 		end := start
-		most := 1.0
+		maxValue := 1.0
 		for end < len(report.Skews) && report.Skews[end].Service == report.Skews[start].Service {
-			most = max(most, report.Skews[end].Ratio)
+			maxValue = max(maxValue, report.Skews[end].Ratio)
 			end++
 		}
-		plots = append(plots, skewPlot(report, report.Skews[start:end], most))
+		plots = append(plots, skewPlot(report, report.Skews[start:end], maxValue))
 		start = end
 	}
 	return plots
 }
 
-func skewPlot(report Report, skews []LoadSkew, most float64) plot {
-	scale := axes{report.From, report.Until, math.Ceil(most)}
-	made := scale.frame(skews[0].Service, "highest load over mean load at the busiest moment of each part; no point where it was idle")
+func skewPlot(report Report, skews []LoadSkew, maxValue float64) plot {
+	scale := axes{report.From, report.Until, math.Ceil(maxValue)}
+	figure := scale.emptyPlot(skews[0].Service, "highest load over mean load at the busiest moment of each part; no point where it was idle")
 	var line strings.Builder
 	for _, skew := range skews {
 		point := dot{scale.x(skew.At), scale.y(skew.Ratio), fmt.Sprintf("%s: %.2f (highest %d, mean %.1f)", skew.At, skew.Ratio, skew.Max, skew.Mean)}
-		made.Dots = append(made.Dots, point)
+		figure.Dots = append(figure.Dots, point)
 		fmt.Fprintf(&line, "%.1f,%.1f ", point.X, point.Y)
 	}
-	made.Line = line.String()
-	return made
+	figure.Line = line.String()
+	return figure
 }
 
-// answerPlot returns the plot of what callers were told.
+// answerPlot returns the plot of the outcomes reported to callers.
 func answerPlot(report Report) plot {
-	most := 1
+	maxValue := 1
 	for _, count := range report.Answers {
-		most = max(most, count.Whole+count.NotRun+count.Unknown)
+		maxValue = max(maxValue, count.Whole+count.NotRun+count.Unknown)
 	}
-	const marks = 4
-	scale := axes{report.From, report.Until, float64((most + marks - 1) / marks * marks)}
-	made := scale.frame("Answers", "calls answered in each part of the time")
-	width := max(2, (plotWidth-left-right)/parts-1)
+	const intervals = 4
+	scale := axes{report.From, report.Until, float64((maxValue + intervals - 1) / intervals * intervals)}
+	figure := scale.emptyPlot("Answers", "calls answered in each part of the time")
+	width := max(2, (plotWidth-left-right)/maxParts-1)
 	for _, count := range report.Answers {
 		floor := 0
 		add := func(class, text string, value int) {
@@ -133,7 +133,7 @@
 				return
 			}
 			upper := scale.y(float64(floor + value))
-			made.Bars = append(made.Bars, bar{
+			figure.Bars = append(figure.Bars, bar{
 				scale.x(count.At), upper, width, scale.y(float64(floor)) - upper, class,
 				fmt.Sprintf("%s: %d %s", count.At, value, text),
 			})
@@ -143,5 +143,5 @@
 		add("not-run", "refused, not run", count.NotRun)
 		add("unknown", "outcome unknown or cut", count.Unknown)
 	}
-	return made
+	return figure
 }
--- a/internal/verifier/reader.go
+++ b/internal/verifier/reader.go
@@ -7,68 +7,70 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// hole is a run of sequence numbers whose records can't be read.
+// hole is a range of sequence numbers without readable records.
 type hole struct {
 	recorder.Range
 	object string
 	from   timekeeper.Instant
 	until  timekeeper.Instant
-	// found says that a finding tells of it already.
-	found bool
+	// reported says that a finding covers the hole already.
+	reported bool
 }
 
-// reader follows one chain, segment by segment in order of their names.
-type reader struct {
+// chainReader verifies one chain, segment by segment in order of their names.
+type chainReader struct {
 	incarnation Incarnation
 	findings    []Finding
 	next        uint64
 	link        recorder.Link
-	last        timekeeper.Instant
+	lastAt      timekeeper.Instant
 	holes       []hole
 	declared    []recorder.Range
-	// suspect says that a segment in the place of the next hole was refused.
-	suspect bool
+	// segmentRejected says that a segment within the next hole was rejected.
+	segmentRejected bool
 }
 
-func newReader(origin recorder.Origin) *reader {
-	return &reader{
+func newChainReader(origin recorder.Origin) *chainReader {
+	return &chainReader{
 		incarnation: Incarnation{Origin: origin},
 		next:        1,
 		link:        recorder.Genesis(origin),
 	}
 }
 
-func (chain *reader) find(object string, sequence uint64, reason string) {
+func (chain *chainReader) addFinding(object string, sequence uint64, reason string) {
 	chain.findings = append(chain.findings, Finding{Object: object, Sequence: sequence, Reason: reason})
 }
 
-// take verifies one segment and believes its records only when all is well.
-func (chain *reader) take(object Object, first uint64) {
+// readSegment verifies one segment and adds its records only if the whole segment
+// is valid.
+func (chain *chainReader) readSegment(object Object, first uint64) {
 	decoded, err := recorder.Decode(object.Body)
 	if err != nil {
-		chain.find(object.Name, first, "the segment can't be read: "+err.Error())
-		chain.suspect = true
+		chain.addFinding(object.Name, first, "the segment can't be read: "+err.Error())
+		chain.segmentRejected = true
 		return
 	}
-	if sequence, reason := chain.fault(decoded, first); reason != "" {
-		chain.find(object.Name, sequence, reason)
-		chain.suspect = true
+	if sequence, reason := chain.checkSegment(decoded, first); reason != "" {
+		chain.addFinding(object.Name, sequence, reason)
+		chain.segmentRejected = true
 		return
 	}
 	if decoded.First > chain.next {
-		chain.open(object.Name, decoded)
+		chain.addHole(object.Name, decoded)
 	}
-	chain.suspect = false
+	chain.segmentRejected = false
 	for _, line := range decoded.Lines {
-		chain.believe(object.Name, line.Record)
+		chain.accept(object.Name, line.Record)
 	}
 	chain.link = decoded.Link
 	chain.incarnation.Link = decoded.Link
 	chain.next = decoded.First + uint64(len(decoded.Lines))
 }
 
-// fault returns what is wrong with a segment, or an empty reason.
-func (chain *reader) fault(decoded recorder.Decoded, first uint64) (sequence uint64, reason string) {
+// checkSegment returns what is wrong with a segment and at which record, or an empty
+// reason.
+func (chain *chainReader) checkSegment(decoded recorder.Decoded, first uint64) (sequence uint64, reason string) {
 	switch {
 	case decoded.Origin != chain.incarnation.Origin || decoded.First != first:
 		return first, fmt.Sprintf("the segment is a copy or was renamed: it says %s", decoded.Origin.ObjectName(decoded.First))
@@ -96,76 +98,76 @@
 	return 0, ""
 }
 
-// open notes the hole before a segment.
-func (chain *reader) open(object string, decoded recorder.Decoded) {
+// addHole adds the hole before a segment.
+func (chain *chainReader) addHole(object string, decoded recorder.Decoded) {
 	chain.holes = append(chain.holes, hole{
-		Range:  recorder.Range{First: chain.next, Last: decoded.First - 1},
-		object: object,
-		from:   chain.last,
-		until:  decoded.Lines[0].At,
-		found:  chain.suspect,
+		Range:    recorder.Range{First: chain.next, Last: decoded.First - 1},
+		object:   object,
+		from:     chain.lastAt,
+		until:    decoded.Lines[0].At,
+		reported: chain.segmentRejected,
 	})
 }
 
-func (chain *reader) believe(object string, record recorder.Record) {
+func (chain *chainReader) accept(object string, record recorder.Record) {
 	incarnation := &chain.incarnation
 	if incarnation.Stopped {
-		chain.find(object, record.Sequence, "a record stands after stopped")
+		chain.addFinding(object, record.Sequence, "a record stands after stopped")
 	}
 	if record.Sequence == 1 && record.Kind != recorder.Started {
-		chain.find(object, record.Sequence, "the record doesn't open with started")
+		chain.addFinding(object, record.Sequence, "the record doesn't open with started")
 	}
 	if record.Kind == recorder.Gap {
-		chain.declare(record)
+		chain.addDeclared(record)
 	}
 	incarnation.Stopped = record.Kind == recorder.Stopped
 	incarnation.Records = append(incarnation.Records, record)
-	chain.last = max(chain.last, record.At)
+	chain.lastAt = max(chain.lastAt, record.At)
 }
 
-// declare notes what the chain itself says it lost.
-func (chain *reader) declare(record recorder.Record) {
+// addDeclared adds a loss that the chain itself declares.
+func (chain *chainReader) addDeclared(record recorder.Record) {
 	if record.First > 0 {
 		chain.declared = append(chain.declared, recorder.Range{First: record.First, Last: record.Last})
 		return
 	}
 	chain.incarnation.Gaps = append(chain.incarnation.Gaps, Gap{
 		Origin: chain.incarnation.Origin,
-		From:   chain.last,
+		From:   chain.lastAt,
 		Until:  record.At,
 		Reason: fmt.Sprintf("declared: %d events found the queue full before record %d", record.Count, record.Sequence),
 	})
 }
 
-// finish turns holes into declared gaps or findings, and states an open tail.
-func (chain *reader) finish() {
+// finish turns holes into declared gaps or findings, and reports an open tail.
+func (chain *chainReader) finish() {
 	for _, hole := range chain.holes {
 		reason := fmt.Sprintf("records %d to %d are missing", hole.First, hole.Last)
 		switch {
 		case chain.covers(hole.Range):
 			reason = "declared: " + reason + ", dropped while the store was down"
-		case !hole.found && chain.incarnation.Stopped:
-			chain.find(hole.object, hole.First, reason+" before this segment, and no gap declares them")
-		case !hole.found:
-			chain.find(hole.object, hole.First, reason+" before this segment; the record ends without stopped, "+
+		case !hole.reported && chain.incarnation.Stopped:
+			chain.addFinding(hole.object, hole.First, reason+" before this segment, and no gap declares them")
+		case !hole.reported:
+			chain.addFinding(hole.object, hole.First, reason+" before this segment; the record ends without stopped, "+
 				"so a gap that declared them may be lost with its end")
 		}
-		chain.gap(hole.from, hole.until, reason)
+		chain.addGap(hole.from, hole.until, reason)
 	}
 	incarnation := &chain.incarnation
 	if !incarnation.Stopped {
-		chain.gap(chain.last, never, fmt.Sprintf("open tail: the record ends after %d records without stopped", chain.next-1))
+		chain.addGap(chain.lastAt, never, fmt.Sprintf("open tail: the record ends after %d records without stopped", chain.next-1))
 		incarnation.Gaps[len(incarnation.Gaps)-1].Open = true
 	}
 }
 
-func (chain *reader) gap(from, until timekeeper.Instant, reason string) {
+func (chain *chainReader) addGap(from, until timekeeper.Instant, reason string) {
 	gap := Gap{Origin: chain.incarnation.Origin, From: from, Until: until, Reason: reason}
 	chain.incarnation.Gaps = append(chain.incarnation.Gaps, gap)
 }
 
-// covers reports whether declared gaps cover all of a range.
-func (chain *reader) covers(missing recorder.Range) bool {
+// covers reports whether the declared gaps cover a whole range.
+func (chain *chainReader) covers(missing recorder.Range) bool {
 	next := missing.First
 	for range len(chain.declared) + 1 {
 		if next > missing.Last {
--- a/internal/verifier/report.go
+++ b/internal/verifier/report.go
@@ -8,9 +8,9 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Settings say what is judged. Fields without a stated default must be set.
+// Settings say what is evaluated. Fields without a stated default are required.
 type Settings struct {
-	// From and Until bound the time that is judged, both included.
+	// From and Until bound the evaluated time, both included.
 	From  timekeeper.Instant
 	Until timekeeper.Instant
 	// ClockSkew is how far the clocks of two processes may differ; zero means 500 milliseconds.
@@ -20,7 +20,7 @@
 	LeaveWithin timekeeper.Span
 	// InForceWithin is how long an accepted configuration may take; zero means 13 seconds.
 	InForceWithin timekeeper.Span
-	// GapLookback is how long before a gap a call may have been offered whose fate
+	// GapLookback is how long before a gap a call may have been offered whose outcome
 	// the gap hides; zero means 1 minute.
 	GapLookback timekeeper.Span
 }
@@ -33,7 +33,7 @@
 	return settings
 }
 
-// Outcome is the verdict on a promise.
+// Outcome is the result for a promise.
 type Outcome string
 
 // The outcomes.
@@ -43,13 +43,13 @@
 	NotProvable Outcome = "not provable"
 )
 
-// Evidence is one record of one incarnation.
+// Evidence is one record with the incarnation that wrote it.
 type Evidence struct {
 	Origin recorder.Origin `json:"origin"`
 	recorder.Record
 }
 
-// String names the record.
+// String identifies the record.
 func (evidence Evidence) String() string {
 	return fmt.Sprintf("%s record %d (%s at %s)", evidence.Origin, evidence.Sequence, evidence.Kind, evidence.At)
 }
@@ -66,43 +66,43 @@
 	Promise string  `json:"promise"`
 	Rule    string  `json:"rule"`
 	Outcome Outcome `json:"outcome"`
-	// Checked is how many records the rule was put to.
+	// Checked is the number of records that the rule was applied to.
 	Checked  int      `json:"checked"`
 	Breaches []Breach `json:"breaches,omitempty"`
-	// Doubts name what is missing that could hide a breach.
+	// Doubts describe missing records that could hide a breach.
 	Doubts []string `json:"doubts,omitempty"`
 }
 
-func (verdict *Verdict) breach(reason string, records ...Evidence) {
+func (verdict *Verdict) addBreach(reason string, records ...Evidence) {
 	verdict.Breaches = append(verdict.Breaches, Breach{Reason: reason, Records: records})
 }
 
-// doubt adds a reason once.
-func (verdict *Verdict) doubt(reason string) {
-	for _, known := range verdict.Doubts {
-		if known == reason {
+// addDoubt adds a reason unless it is listed already.
+func (verdict *Verdict) addDoubt(reason string) {
+	for _, doubt := range verdict.Doubts {
+		if doubt == reason {
 			return
 		}
 	}
 	verdict.Doubts = append(verdict.Doubts, reason)
 }
 
-// Report is the verdict on each promise over a time.
+// Report holds the verdict on each promise over a time range.
 type Report struct {
 	From         timekeeper.Instant `json:"from"`
 	Until        timekeeper.Instant `json:"until"`
-	ClockSkew         timekeeper.Span    `json:"skew"`
+	ClockSkew    timekeeper.Span    `json:"skew"`
 	Incarnations int                `json:"incarnations"`
 	Segments     int                `json:"segments"`
 	Records      int                `json:"records"`
 	Verdicts     []Verdict          `json:"verdicts"`
 	Findings     []Finding          `json:"findings,omitempty"`
 	Gaps         []Gap              `json:"gaps,omitempty"`
-	Skews        []LoadSkew             `json:"skews,omitempty"`
+	Skews        []LoadSkew         `json:"skews,omitempty"`
 	Answers      []AnswerCount      `json:"answers,omitempty"`
 }
 
-// Held reports whether every promise held and the record is untouched.
+// Held reports whether every promise held and the record has no finding.
 func (report Report) Held() bool {
 	for _, verdict := range report.Verdicts {
 		if verdict.Outcome != Held {
@@ -159,8 +159,8 @@
 	},
 }
 
-// noRecord is the doubt about every promise where nothing at all is recorded.
-// Without it, a fleet that keeps no record would be shown to have held them all.
+// noRecord is the doubt about every promise when no record lies in the range.
+// Without it, a fleet that keeps no record would appear to have held them all.
 const noRecord = "no record falls into this time"
 
 // Evaluate gives a verdict on each promise from a verified trail.
@@ -177,7 +177,7 @@
 		verdict := Verdict{Number: i + 1, Promise: rule.promise, Rule: rule.text, Outcome: Held}
 		rule.check(index, &verdict)
 		if index.empty() {
-			verdict.doubt(noRecord)
+			verdict.addDoubt(noRecord)
 		}
 		switch {
 		case len(verdict.Breaches) > 0:
--- a/internal/verifier/series.go
+++ b/internal/verifier/series.go
@@ -8,7 +8,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// LoadSkew is how far the busiest replica of a service is from the mean.
+// LoadSkew is how far the load of a service's busiest replica exceeds the mean.
 type LoadSkew struct {
 	At      timekeeper.Instant `json:"at"`
 	Service string             `json:"service"`
@@ -18,7 +18,7 @@
 	Mean  float64 `json:"mean"`
 }
 
-// AnswerCount is what callers were told in one part of the range.
+// AnswerCount counts the outcomes reported to callers in one part of the range.
 type AnswerCount struct {
 	At      timekeeper.Instant `json:"at"`
 	Whole   int                `json:"whole"`
@@ -26,47 +26,47 @@
 	Unknown int                `json:"unknown"`
 }
 
-// parts is how many points a plot has at most.
-const parts = 120
+// maxParts is the number of points that a plot has at most.
+const maxParts = 120
 
-// step returns the length of one part of the range.
-func (index *evidenceIndex) step() timekeeper.Span {
-	return max(1, (index.settings.Until.Since(index.settings.From)+parts-1)/parts)
+// partLength returns the length of one part of the range.
+func (index *evidenceIndex) partLength() timekeeper.Span {
+	return max(1, (index.settings.Until.Since(index.settings.From)+maxParts-1)/maxParts)
 }
 
-func (index *evidenceIndex) part(at timekeeper.Instant) timekeeper.Instant {
-	step := index.step()
-	return index.settings.From.Add(at.Since(index.settings.From) / step * step)
+func (index *evidenceIndex) partStart(at timekeeper.Instant) timekeeper.Instant {
+	partLength := index.partLength()
+	return index.settings.From.Add(at.Since(index.settings.From) / partLength * partLength)
 }
 
-// spot is one part of the range at one service.
-type spot struct {
+// servicePart is one service in one part of the range.
+type servicePart struct {
 	at      timekeeper.Instant
 	service string
 }
 
-// skews returns the skew of each service at the busiest moment of each part of
-// the range. The highest ratio would say little: one call at an idle service
-// makes its replica as many times the mean as there are replicas.
+// skews returns the load skew of each service at the busiest moment of each part of
+// the range. The highest ratio would mislead: at an idle service one call makes the
+// ratio equal to the number of replicas.
 func (index *evidenceIndex) skews() []LoadSkew {
-	loads := tally{}
-	busiest := map[spot]int64{}
-	found := map[spot]LoadSkew{}
+	loads := fleetLoads{}
+	busiest := map[servicePart]int64{}
+	found := map[servicePart]LoadSkew{}
 	for _, evidence := range index.all {
-		loads.note(evidence)
+		loads.update(evidence)
 		service := evidence.Origin.Group
 		total, replicas := loads[service].sum()
-		at := spot{index.part(evidence.At), service}
+		at := servicePart{index.partStart(evidence.At), service}
 		if !index.inRange(evidence) || replicas == 0 || total <= busiest[at] {
 			continue
 		}
 		busiest[at] = total
 		mean := float64(total) / float64(replicas)
-		top := int64(0)
+		highest := int64(0)
 		for _, load := range loads[service] {
-			top = max(top, load)
+			highest = max(highest, load)
 		}
-		found[at] = LoadSkew{At: at.at, Service: service, Ratio: float64(top) / mean, Max: top, Mean: mean}
+		found[at] = LoadSkew{At: at.at, Service: service, Ratio: float64(highest) / mean, Max: highest, Mean: mean}
 	}
 	skews := make([]LoadSkew, 0, len(found))
 	for _, skew := range found {
@@ -78,11 +78,11 @@
 	return skews
 }
 
-// answers counts what callers were told in each part of the range.
+// answers counts the outcomes reported to callers in each part of the range.
 func (index *evidenceIndex) answers() []AnswerCount {
 	var counts []AnswerCount
-	index.each(recorder.Answered, func(answer Evidence) {
-		at := index.part(answer.At)
+	index.forEach(recorder.Answered, func(answer Evidence) {
+		at := index.partStart(answer.At)
 		if len(counts) == 0 || counts[len(counts)-1].At != at {
 			counts = append(counts, AnswerCount{At: at})
 		}
@@ -90,7 +90,7 @@
 		switch {
 		case answer.Complete:
 			count.Whole++
-		case answer.Ran == toldNo:
+		case answer.Ran == ranNo:
 			count.NotRun++
 		default:
 			count.Unknown++
--- a/internal/verifier/text.go
+++ b/internal/verifier/text.go
@@ -5,19 +5,19 @@
 	"io"
 )
 
-// shown is how many records or gaps of one verdict the text prints; the JSON
+// maxLines is how many records or gaps of one verdict the text prints; the JSON
 // report has them all.
-const shown = 10
+const maxLines = 10
 
 // WriteText writes the report for a terminal.
 func (report Report) WriteText(out io.Writer) {
 	fmt.Fprintf(out, "record of %d incarnations: %d segments, %d records\n", report.Incarnations, report.Segments, report.Records)
 	fmt.Fprintf(out, "judged from %s to %s, clocks may differ by %s\n\n", report.From, report.Until, report.ClockSkew)
 	for _, verdict := range report.Verdicts {
-		fmt.Fprintf(out, "%d. %-12s  %s (%s)\n", verdict.Number, verdict.Outcome, verdict.Promise, verdict.put())
+		fmt.Fprintf(out, "%d. %-12s  %s (%s)\n", verdict.Number, verdict.Outcome, verdict.Promise, verdict.coverage())
 		for i, breach := range verdict.Breaches {
-			if i == shown {
-				fmt.Fprintf(out, "     and %d more\n", len(verdict.Breaches)-shown)
+			if i == maxLines {
+				fmt.Fprintf(out, "     and %d more\n", len(verdict.Breaches)-maxLines)
 				break
 			}
 			fmt.Fprintf(out, "     broken: %s\n", breach.Reason)
@@ -32,17 +32,17 @@
 	}
 }
 
-func writeLines(out io.Writer, lead string, lines []string) {
+func writeLines(out io.Writer, prefix string, lines []string) {
 	for i, line := range lines {
-		if i == shown {
-			fmt.Fprintf(out, "%sand %d more\n", lead, len(lines)-shown)
+		if i == maxLines {
+			fmt.Fprintf(out, "%sand %d more\n", prefix, len(lines)-maxLines)
 			return
 		}
-		fmt.Fprintf(out, "%s%s\n", lead, line)
+		fmt.Fprintf(out, "%s%s\n", prefix, line)
 	}
 }
 
-// WriteText writes what the verification of the chains found.
+// WriteText writes the result of verifying the chains.
 func (trail Trail) WriteText(out io.Writer) {
 	fmt.Fprintf(out, "%d incarnations, %d segments, %d records, %d bytes\n", len(trail.Incarnations), trail.Segments, trail.Records, trail.Bytes)
 	for _, finding := range trail.Findings {
@@ -56,8 +56,8 @@
 	}
 }
 
-// put tells how far the promise was put to the test.
-func (verdict Verdict) put() string {
+// coverage says on how many records the promise was checked.
+func (verdict Verdict) coverage() string {
 	if verdict.Checked == 0 {
 		return "nothing in this time put it to the test"
 	}
--- a/internal/verifier/trail.go
+++ b/internal/verifier/trail.go
@@ -17,7 +17,7 @@
 	Body []byte
 }
 
-// Finding says that the record was changed, or is not as a recorder writes it.
+// Finding is a fault of the record: it was changed, or is not as a recorder writes it.
 type Finding struct {
 	Object   string `json:"object"`
 	Sequence uint64 `json:"sequence,omitempty"`
@@ -32,16 +32,17 @@
 	return fmt.Sprintf("%s: record %d: %s", finding.Object, finding.Sequence, finding.Reason)
 }
 
-// never is the end of a gap that nothing closes; a span can be added to it.
+// never is the end of a gap that nothing closes. It leaves room to add a span
+// without overflow.
 const never = timekeeper.Instant(math.MaxInt64 / 2)
 
-// Gap is a stretch of an incarnation's life of which records are missing.
+// Gap is a time for which records of an incarnation are missing.
 type Gap struct {
 	Origin recorder.Origin    `json:"origin"`
 	From   timekeeper.Instant `json:"from"`
 	Until  timekeeper.Instant `json:"until"`
 	Reason string             `json:"reason"`
-	// Open says that the record just ends, without Stopped.
+	// Open says that the record ends without Stopped.
 	Open bool `json:"open,omitempty"`
 }
 
@@ -63,27 +64,27 @@
 	Origin  recorder.Origin
 	Records []recorder.Record
 	Gaps    []Gap
-	// Stopped says that the record ends as a planned stop ends it.
+	// Stopped says that the record ends with a planned stop.
 	Stopped bool
 	// Link is the link after the last record that was verified.
 	Link recorder.Link
 }
 
-// Trail is the whole record, verified.
+// Trail is the verified record of all processes.
 type Trail struct {
 	Incarnations []Incarnation
 	Findings     []Finding
 	Segments     int
 	Records      int
-	// Bytes is what the segments take in the store.
+	// Bytes is the size of the segments in the store.
 	Bytes int
 }
 
-// Verify checks every chain among the objects.
+// Verify checks the chains of all objects.
 func Verify(objects []Object) Trail {
 	var trail Trail
-	chains := map[recorder.Origin]*reader{}
-	var order []*reader
+	chains := map[recorder.Origin]*chainReader{}
+	var order []*chainReader
 	sorted := slices.SortedFunc(slices.Values(objects), func(a, b Object) int { return cmp.Compare(a.Name, b.Name) })
 	for i, object := range sorted {
 		if i > 0 && sorted[i-1].Name == object.Name {
@@ -99,11 +100,11 @@
 		}
 		chain := chains[origin]
 		if chain == nil {
-			chain = newReader(origin)
+			chain = newChainReader(origin)
 			chains[origin] = chain
 			order = append(order, chain)
 		}
-		chain.take(object, first)
+		chain.readSegment(object, first)
 	}
 	for _, chain := range order {
 		chain.finish()
@@ -123,7 +124,7 @@
 	return gaps
 }
 
-// Head is where one incarnation's chain ends.
+// Head is the end of one incarnation's chain.
 type Head struct {
 	Origin  recorder.Origin `json:"origin"`
 	Records int             `json:"records"`
@@ -133,7 +134,7 @@
 	Link string `json:"link"`
 }
 
-// Summary is what a verification says as JSON.
+// Summary is the result of a verification as JSON.
 type Summary struct {
 	Segments int       `json:"segments"`
 	Records  int       `json:"records"`
--- a/internal/verifier/trail_test.go
+++ b/internal/verifier/trail_test.go
@@ -12,16 +12,17 @@
 	"github.com/trefoilseam/trefoilseam/internal/recorder"
 )
 
-// longStory is one incarnation with many like records.
-func longStory(count int) story {
+// longLog returns one incarnation with many similar records.
+func longLog(count int) eventLogs {
 	events := []recorder.Event{{At: 1, Kind: recorder.Started}}
 	for i := range count {
 		events = append(events, recorder.Event{At: 2, Kind: recorder.Granted, Request: "r" + strconv.Itoa(i), Load: int64(i)})
 	}
-	return story{orders: append(events, recorder.Event{At: 3, Kind: recorder.Stopped})}
+	return eventLogs{firstReplica: append(events, recorder.Event{At: 3, Kind: recorder.Stopped})}
 }
 
-// tamperings change objects in one way each; at is a segment, pick any number.
+// tamperings change the objects in one way each; at is the index of a segment, pick
+// any number.
 var tamperings = map[string]func(objects []Object, at, pick int) []Object{
 	"a byte flipped": func(objects []Object, at, pick int) []Object {
 		body := slices.Clone(objects[at].Body)
@@ -42,23 +43,23 @@
 		return objects
 	},
 	"a segment stored again under another name": func(objects []Object, at, pick int) []Object {
-		return append(objects, Object{orders.ObjectName(uint64(1000 + pick)), objects[at].Body})
+		return append(objects, Object{firstReplica.ObjectName(uint64(1000 + pick)), objects[at].Body})
 	},
 	"a segment twice": func(objects []Object, at, _ int) []Object {
 		return append(objects, objects[at])
 	},
 	"a record changed and its own segment sealed again": func(_ []Object, at, _ int) []Object {
 		const length = 5
-		told, forged := longStory(30), longStory(30)
-		forged[orders][at*length].Load++
-		objects, other := sortedObjects(told, length), sortedObjects(forged, length)
+		logs, forged := longLog(30), longLog(30)
+		forged[firstReplica][at*length].Load++
+		objects, other := sortedObjects(logs, length), sortedObjects(forged, length)
 		objects[at].Body = other[at].Body
 		return objects
 	},
 }
 
-func sortedObjects(told story, length int) []Object {
-	objects := told.objects(length)
+func sortedObjects(logs eventLogs, length int) []Object {
+	objects := logs.objects(length)
 	slices.SortFunc(objects, func(a, b Object) int {
 		if a.Name < b.Name {
 			return -1
@@ -69,13 +70,13 @@
 }
 
 func TestAnySingleTamperingIsFound(t *testing.T) {
-	// Somebody changes one thing in the stored record. Verification names an
-	// object and a reason, or states the open tail when the end is gone; it
-	// never reports a whole chain, since each hash covers all before it.
+	// One thing in the stored record is changed. Verify must report an object and a
+	// reason, or the open tail when the end is missing; it never reports a whole
+	// chain, since each hash covers all earlier records.
 	rapid.Check(t, func(t *rapid.T) {
 		names := slices.Sorted(maps.Keys(tamperings))
 		name := rapid.SampledFrom(names).Draw(t, "tampering")
-		objects := sortedObjects(longStory(30), 5)
+		objects := sortedObjects(longLog(30), 5)
 		at := rapid.IntRange(0, len(objects)-2).Draw(t, "segment")
 		pick := rapid.IntRange(0, 1<<20).Draw(t, "pick")
 		trail := Verify(tamperings[name](objects, at, pick))
@@ -83,15 +84,15 @@
 			t.Fatalf("%s in segment %d was not found", name, at)
 		}
 	})
-	Convey("an end that is gone is an open tail", t, func() {
-		objects := sortedObjects(longStory(30), 5)
+	Convey("a missing end is an open tail", t, func() {
+		objects := sortedObjects(longLog(30), 5)
 		trail := Verify(objects[:len(objects)-1])
 		So(trail.Findings, ShouldBeEmpty)
 		So(trail.Gaps(), ShouldHaveLength, 1)
 		So(trail.Gaps()[0].Open, ShouldBeTrue)
 	})
-	Convey("an untouched record has neither", t, func() {
-		trail := Verify(sortedObjects(longStory(30), 5))
+	Convey("an unchanged record has neither finding nor gap", t, func() {
+		trail := Verify(sortedObjects(longLog(30), 5))
 		So(trail.Findings, ShouldBeEmpty)
 		So(trail.Gaps(), ShouldBeEmpty)
 		So(trail.Records, ShouldEqual, 32)
@@ -99,11 +100,12 @@
 }
 
 func TestDroppedSegmentsAreAlwaysDeclared(t *testing.T) {
-	// The store is down at random; segments wait, and past the limit the oldest
-	// go. Whatever was lost, also a declaration itself, the chain that reached
-	// the store declares it: no finding, and every missing record in a gap.
+	// The store is down at random; segments wait, and past the limit the backlog
+	// drops the oldest. The chain that reaches the store must declare every loss,
+	// also that of an earlier declaration: no finding, and each missing record in
+	// a gap.
 	rapid.Check(t, func(t *rapid.T) {
-		chain := recorder.NewChain(orders)
+		chain := recorder.NewChain(firstReplica)
 		backlog := recorder.NewBacklog(1500)
 		var objects []Object
 		chain.Add(recorder.Event{Kind: recorder.Started})
@@ -143,14 +145,14 @@
 }
 
 func FuzzVerify(f *testing.F) {
-	for _, object := range sortedObjects(longStory(8), 5) {
+	for _, object := range sortedObjects(longLog(8), 5) {
 		f.Add(object.Body)
 	}
 	f.Add([]byte("trefoilseam-record 1\n"))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		// Whatever the body holds, reading it neither panics nor allocates
-		// without bound, and only what a recorder wrote is believed.
-		trail := Verify([]Object{{orders.ObjectName(1), body}})
+		// For any body, Verify neither panics nor allocates without bound, and
+		// accepts only what a recorder wrote.
+		trail := Verify([]Object{{firstReplica.ObjectName(1), body}})
 		if trail.Records == 0 && len(trail.Findings) == 0 {
 			t.Fatal("nothing was read and nothing was found")
 		}
