--- a/internal/verifier/fetch.go
+++ b/internal/verifier/fetch.go
@@ -26,7 +26,7 @@
 	for {
 		names, err := retry(ctx, clock, func() ([]string, error) { return objects.List(ctx, recorder.Prefix, after, pageSize) })
 		if err != nil {
-			return nil, eris.Wrap(err, "list segments")
+			return nil, eris.Wrap(err, "list the record")
 		}
 		if len(names) == 0 {
 			return all, nil
--- a/internal/verifier/page.go
+++ b/internal/verifier/page.go
@@ -21,7 +21,7 @@
 
 // WriteHTML writes the report as one self-contained HTML page.
 func (report Report) WriteHTML(out io.Writer) error {
-	return eris.Wrap(pageTemplate.Execute(out, report), "write the HTML page")
+	return eris.Wrap(pageTemplate.Execute(out, report), "write the page")
 }
 
 // maxOpenItems is the length of the longest list that the page shows expanded.
