--- a/internal/recorder/chain.go
+++ b/internal/recorder/chain.go
@@ -9,8 +9,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Prefix is the start of every segment's object name.
-const Prefix = "record/"
+// ObjectPrefix is the start of every segment's object name.
+const ObjectPrefix = "record/"
 
 // EntryGroup is the group of entries in segment names, where agents have their service.
 const EntryGroup = "entry"
@@ -33,13 +33,13 @@
 
 // ObjectName returns the name of the segment that starts with sequence number first.
 func (origin Origin) ObjectName(first uint64) string {
-	return fmt.Sprintf("%s%s/%012d", Prefix, origin, first)
+	return fmt.Sprintf("%s%s/%012d", ObjectPrefix, origin, first)
 }
 
 // ParseObjectName returns the origin and the first sequence number from a
 // segment's name.
 func ParseObjectName(name string) (Origin, uint64, error) {
-	parts := strings.Split(strings.TrimPrefix(name, Prefix), "/")
+	parts := strings.Split(strings.TrimPrefix(name, ObjectPrefix), "/")
 	const wantParts = 4
 	if len(parts) != wantParts {
 		return Origin{}, 0, eris.Errorf("%q is not the name of a segment", name)
--- a/internal/verifier/fetch.go
+++ b/internal/verifier/fetch.go
@@ -24,7 +24,7 @@
 	var all []Object
 	after := ""
 	for {
-		names, err := retry(ctx, clock, func() ([]string, error) { return objects.List(ctx, recorder.Prefix, after, pageSize) })
+		names, err := retry(ctx, clock, func() ([]string, error) { return objects.List(ctx, recorder.ObjectPrefix, after, pageSize) })
 		if err != nil {
 			return nil, eris.Wrap(err, "list the record")
 		}
