--- a/internal/recorder/segment.go
+++ b/internal/recorder/segment.go
@@ -102,8 +102,8 @@
 // Line is one record of a decoded segment.
 type Line struct {
 	Record
-	// StoredPrefix is the start of the link that was stored with the record.
-	StoredPrefix string
+	// StoredLinkPrefix is the start of the link that was stored with the record.
+	StoredLinkPrefix string
 	// Bytes is the encoded record, over which the link is computed.
 	Bytes []byte
 }
@@ -167,7 +167,7 @@
 	if !ok {
 		return Line{}, eris.New("a record without its mark")
 	}
-	line := Line{StoredPrefix: string(prefix), Bytes: record}
+	line := Line{StoredLinkPrefix: string(prefix), Bytes: record}
 	return line, eris.Wrap(json.Unmarshal(record, &line.Record), "record")
 }
 
--- a/internal/verifier/reader.go
+++ b/internal/verifier/reader.go
@@ -88,7 +88,7 @@
 			return expected, fmt.Sprintf("a record was dropped or moved: number %d stands here", line.Sequence)
 		}
 		link = link.Next(line.Bytes)
-		if recorder.LinkPrefix(link) != line.StoredPrefix {
+		if recorder.LinkPrefix(link) != line.StoredLinkPrefix {
 			return expected, "the record was changed: its hash doesn't follow"
 		}
 	}
