--- a/internal/recorder/backlog.go
+++ b/internal/recorder/backlog.go
@@ -8,11 +8,11 @@
 
 // Backlog holds sealed segments until the store has them.
 //
-// Its limit bounds the memory that the record takes while the store is down for
-// long. Past the limit it drops the oldest segments, since the newest say most
-// about the incident in progress, and the chain declares the dropped ranges. A
-// declaration may itself be dropped with its segment, so each later drop
-// declares all lost ranges again.
+// Its limit keeps an agent from running out of memory because of its record while
+// the store is down for long. Past the limit it drops the oldest segments, since
+// the newest say most about the incident in progress, and the chain declares the
+// dropped ranges. A declaration may itself be dropped with its segment, so each
+// later drop declares all lost ranges again.
 type Backlog struct {
 	limit    int
 	bytes    int
--- a/internal/recorder/chain.go
+++ b/internal/recorder/chain.go
@@ -40,8 +40,8 @@
 // segment's name.
 func ParseObjectName(name string) (Origin, uint64, error) {
 	parts := strings.Split(strings.TrimPrefix(name, ObjectPrefix), "/")
-	const wantParts = 4
-	if len(parts) != wantParts {
+	const nameParts = 4
+	if len(parts) != nameParts {
 		return Origin{}, 0, eris.Errorf("%q is not the name of a segment", name)
 	}
 	origin := Origin{Group: parts[0], Name: parts[1]}
--- a/internal/recorder/doc.go
+++ b/internal/recorder/doc.go
@@ -16,7 +16,7 @@
 //
 // Records are stored in segments, immutable objects named
 //
-//	record/<service, or "entry">/<name>/<incarnation>/<first sequence number>
+//	record/<service, "entry" or "operator">/<name>/<incarnation>/<first sequence number>
 //
 // A segment is a magic line, the SHA-256 sum of the rest, and the rest: a
 // header, one line for each record, and the last link, compressed by DEFLATE.
--- a/internal/recorder/event.go
+++ b/internal/recorder/event.go
@@ -20,7 +20,7 @@
 	// Granted records that an agent granted a slot. Load is the load with this call,
 	// Bound the limit.
 	Granted Kind = "granted"
-	// Refused records that a process reported a call as refused to its peer or caller.
+	// Refused records that a process reported a call as refused to an entry or caller.
 	Refused Kind = "refused"
 	// Committed records that an agent received a Run frame; from then on the call may run.
 	Committed Kind = "committed"
@@ -40,7 +40,8 @@
 	InForce Kind = "in-force"
 	// Accepted records that an operator's change was accepted.
 	Accepted Kind = "accepted"
-	// Sampled records a replica's load and the mean load of its service.
+	// Sampled records a replica's load and the bound that its service's mean load
+	// sets. It is an agent's heartbeat.
 	Sampled Kind = "sampled"
 	// Struck records that a request was in flight when an upstream crashed.
 	Struck Kind = "struck"
@@ -48,8 +49,8 @@
 	Ordered Kind = "ordered"
 	// Gap records that events were lost before they could be stored.
 	Gap Kind = "gap"
-	// Alive is the heartbeat: the process is running, and everything that happened
-	// before is recorded.
+	// Alive records that the process is running and that everything that happened
+	// before is recorded. It is the heartbeat of every process that is not an agent.
 	Alive Kind = "alive"
 )
 
@@ -81,7 +82,7 @@
 	Idempotent  bool   `json:"idempotent,omitempty"`
 	// Reason is the name of an error kind.
 	Reason string `json:"reason,omitempty"`
-	// Ran is what was reported to the peer or caller: "no", "unknown" or "yes".
+	// Ran is what was reported to the entry or caller: "no", "unknown" or "yes".
 	Ran      string `json:"ran,omitempty"`
 	Complete bool   `json:"complete,omitempty"`
 	Length   uint64 `json:"length,omitempty"`
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -28,7 +28,7 @@
 	// sealed; zero means 5 seconds.
 	FlushInterval timekeeper.Span
 	// Processes returns how many processes write records now; the flush interval
-	// grows with it. Nil means that the number is unknown.
+	// grows with this number. Nil means that the number is unknown.
 	Processes func() int
 	// SegmentBytes is the size before compression at which a segment is sealed early;
 	// zero means 256 KiB.
@@ -44,12 +44,14 @@
 const (
 	// minFlushInterval is the flush interval of a small fleet.
 	minFlushInterval = 5 * timekeeper.Second
-	// flushIntervalPerProcess limits the fleet to 100 segments a second, out of the
-	// several hundred writes a second that the store serves.
+	// flushIntervalPerProcess times the number of processes is the least flush
+	// interval. It limits the fleet to 100 segments a second, out of the several
+	// hundred writes a second that the store serves.
 	flushIntervalPerProcess = 10 * timekeeper.Millisecond
-	// minBackoff and maxBackoff bound the backoff before a segment is stored again.
-	minBackoff = 200 * timekeeper.Millisecond
-	maxBackoff = 15 * timekeeper.Second
+	// initialBackoff is the longest wait before the first retry of a segment. It
+	// doubles with each failure, up to maxBackoff.
+	initialBackoff = 200 * timekeeper.Millisecond
+	maxBackoff     = 15 * timekeeper.Second
 	// putTimeout bounds one attempt to store a segment.
 	putTimeout = 5 * timekeeper.Second
 )
@@ -134,7 +136,8 @@
 	}
 }
 
-// appendEvents runs in the one goroutine that owns the chain.
+// appendEvents adds queued events and heartbeats to the chain and seals its segments
+// until the recorder stops. It runs in the one goroutine that owns the chain.
 func (recorder *Recorder) appendEvents() {
 	chain := NewChain(recorder.settings.Origin)
 	flush, stopFlush := recorder.settings.Clock.After(recorder.settings.flushInterval())
@@ -221,7 +224,8 @@
 		break
 	}
 	recorder.declareDropped(chain)
-	// Sealing may drop segments and declare them, which must come before Stopped.
+	// Sealing may drop segments; the Gap events that declare them must come before
+	// Stopped.
 	recorder.seal(chain)
 	chain.Add(Event{At: recorder.settings.Clock.Now(), Kind: Stopped})
 	last, _ := chain.Seal()
@@ -250,10 +254,11 @@
 	})
 }
 
-// storeSegments runs in the one goroutine that writes to the store.
+// storeSegments stores the segments of the backlog, the oldest first, until the
+// recorder has stopped. It runs in the one goroutine that writes to the store.
 func (recorder *Recorder) storeSegments(ctx context.Context) {
 	jitter := rand.New(rand.NewPCG(recorder.settings.Origin.Incarnation, 0))
-	backoff := minBackoff
+	backoff := initialBackoff
 	for {
 		segment, ok := recorder.oldest()
 		if !ok {
@@ -265,12 +270,12 @@
 		err := recorder.put(ctx, segment)
 		if err == nil {
 			recorder.markStored(segment)
-			backoff = minBackoff
+			backoff = initialBackoff
 			continue
 		}
 		recorder.settings.Log.WithError(err).WithField("segment", segment.Name()).Warn("segment not stored")
 		// Full jitter: after an outage, thousands of processes must not retry in
-		// step and overload the store again.
+		// step and bring the store down again.
 		if recorder.settings.Clock.Sleep(ctx, 1+timekeeper.Span(jitter.Int64N(int64(backoff)))) != nil {
 			return
 		}
--- a/internal/recorder/segment.go
+++ b/internal/recorder/segment.go
@@ -33,7 +33,8 @@
 
 const (
 	magic = "trefoilseam-record 1\n"
-	// linkPrefixBytes is how many bytes of its link precede each record.
+	// linkPrefixBytes is how many bytes of its link precede each record. Findings
+	// call these bytes the record's mark.
 	linkPrefixBytes = 8
 	// maxTextBytes bounds a segment after decompression, so that a forged one
 	// can't make the reader allocate without bound.
@@ -55,42 +56,42 @@
 }
 
 func newBuilder(origin Origin, first uint64, previous Link) *builder {
-	open := &builder{origin: origin, first: first}
+	lines := &builder{origin: origin, first: first}
 	line, err := json.Marshal(header{Origin: origin, First: first, Previous: hex.EncodeToString(previous[:])})
 	if err != nil {
 		panic(unencodable)
 	}
-	open.text.Write(line)
-	open.text.WriteByte('\n')
-	return open
+	lines.text.Write(line)
+	lines.text.WriteByte('\n')
+	return lines
 }
 
-func (open *builder) size() int {
-	return open.text.Len()
+func (lines *builder) size() int {
+	return lines.text.Len()
 }
 
-func (open *builder) add(line []byte, link Link) {
-	open.text.WriteString(hex.EncodeToString(link[:linkPrefixBytes]))
-	open.text.WriteByte(' ')
-	open.text.Write(line)
-	open.text.WriteByte('\n')
+func (lines *builder) add(line []byte, link Link) {
+	lines.text.WriteString(hex.EncodeToString(link[:linkPrefixBytes]))
+	lines.text.WriteByte(' ')
+	lines.text.Write(line)
+	lines.text.WriteByte('\n')
 }
 
-func (open *builder) seal(last uint64, link Link) Segment {
-	open.text.WriteString(hex.EncodeToString(link[:]))
-	open.text.WriteByte('\n')
+func (lines *builder) seal(last uint64, link Link) Segment {
+	lines.text.WriteString(hex.EncodeToString(link[:]))
+	lines.text.WriteByte('\n')
 	var packed bytes.Buffer
 	writer, err := flate.NewWriter(&packed, flate.DefaultCompression)
 	if err != nil {
 		panic(invalidLevel)
 	}
-	_, _ = writer.Write(open.text.Bytes())
+	_, _ = writer.Write(lines.text.Bytes())
 	_ = writer.Close()
 	sum := sha256.Sum256(packed.Bytes())
 	body := append([]byte(magic), sum[:]...)
 	return Segment{
-		Origin: open.origin,
-		First:  open.first,
+		Origin: lines.origin,
+		First:  lines.first,
 		Last:   last,
 		Link:   link,
 		Body:   append(body, packed.Bytes()...),
@@ -102,7 +103,7 @@
 // Line is one record of a decoded segment.
 type Line struct {
 	Record
-	// StoredLinkPrefix is the start of the link that was stored with the record.
+	// StoredLinkPrefix is the link prefix that was stored with the record.
 	StoredLinkPrefix string
 	// Bytes is the encoded record, over which the link is computed.
 	Bytes []byte
@@ -118,8 +119,8 @@
 	Link     Link
 }
 
-// Decode parses a segment's body. It returns an error when the body is not
-// exactly what the recorder stored.
+// Decode parses a segment's body. It returns an error when the checksum or the
+// format is wrong.
 func Decode(body []byte) (Decoded, error) {
 	rest, ok := bytes.CutPrefix(body, []byte(magic))
 	if !ok || len(rest) < sha256.Size {
