--- a/internal/verifier/doc.go
+++ b/internal/verifier/doc.go
@@ -3,9 +3,9 @@
 //
 // Verify checks the chains: each incarnation's records must be numbered without a
 // hole and linked by their hashes, from Started to Stopped. Missing records are a
-// gap if the chain declares them; otherwise they are a finding: records were
-// changed, dropped or moved. The records of a segment with a finding are ignored
-// and count as missing.
+// gap if the chain declares them or the record ends without Stopped; otherwise they
+// are a finding: records were changed, dropped or moved. The records of a segment
+// with a finding are ignored and count as missing.
 //
 // Evaluate then gives one verdict for each promise from the verified records.
 // Broken means that records contradict the promise. Held means that no record
--- a/internal/verifier/evidence_index.go
+++ b/internal/verifier/evidence_index.go
@@ -15,7 +15,7 @@
 	incarnation uint64
 }
 
-// evidenceIndex indexes the evidence for the rules.
+// evidenceIndex holds the evidence sorted by time, by request and by process.
 type evidenceIndex struct {
 	settings     Settings
 	incarnations []Incarnation
@@ -24,8 +24,8 @@
 	byRequest map[string][]Evidence
 	byProcess map[processID]*Incarnation
 	gaps      []Gap
-	// unrecorded describes requests that ran though no entry's record offers them.
-	unrecorded []string
+	// unofferedRuns describes runs that no entry's record offers.
+	unofferedRuns []string
 }
 
 func newEvidenceIndex(trail Trail, settings Settings) *evidenceIndex {
@@ -54,13 +54,13 @@
 }
 
 // findMissing adds a gap for each incarnation that entries' records name and that
-// has no record itself, which no chain can show. It also lists the requests that
-// ran though no entry's record offers them.
+// has no record itself: dropping all records of an incarnation is the one loss that
+// no chain can show. It also lists the runs that no entry's record offers.
 func (index *evidenceIndex) findMissing() {
 	reported := map[processID]bool{}
 	for _, evidence := range index.all {
 		process := processID{evidence.Instance, evidence.Incarnation}
-		if index.namesUnrecorded(evidence) && !reported[process] {
+		if index.namesMissingAgent(evidence) && !reported[process] {
 			reported[process] = true
 			index.gaps = append(index.gaps, Gap{
 				Origin: recorder.Origin{Group: evidence.Service, Name: process.name, Incarnation: process.incarnation},
@@ -70,14 +70,14 @@
 			})
 		}
 		if evidence.Kind == recorder.Committed && !index.wasOffered(evidence) && index.inRange(evidence) {
-			index.unrecorded = append(index.unrecorded, fmt.Sprintf("%s ran, and no entry's record offers it: %s", evidence.Request, evidence))
+			index.unofferedRuns = append(index.unofferedRuns, fmt.Sprintf("%s ran, and no entry's record offers it: %s", evidence.Request, evidence))
 		}
 	}
 }
 
-// namesUnrecorded reports whether an entry's record names an agent that has no
+// namesMissingAgent reports whether an entry's record names an agent that has no
 // record, by its incarnation or, if that is unknown, by its instance.
-func (index *evidenceIndex) namesUnrecorded(evidence Evidence) bool {
+func (index *evidenceIndex) namesMissingAgent(evidence Evidence) bool {
 	if evidence.Kind != recorder.Answered && evidence.Kind != recorder.Offered {
 		return false
 	}
@@ -86,15 +86,16 @@
 	}
 	if evidence.Kind == recorder.Offered {
 		return !slices.ContainsFunc(index.incarnations, func(incarnation Incarnation) bool {
-			return incarnation.Origin.Name == evidence.Instance && index.mayHaveRun(incarnation, evidence.At)
+			return incarnation.Origin.Name == evidence.Instance && index.mayCover(incarnation, evidence.At)
 		})
 	}
 	return false
 }
 
-// mayHaveRun reports whether an incarnation's record covers an instant. A record
-// with an open tail covers every later instant; its gap says what that hides.
-func (index *evidenceIndex) mayHaveRun(incarnation Incarnation, at timekeeper.Instant) bool {
+// mayCover reports whether an incarnation's record may cover an instant, within the
+// clock skew. A record with an open tail covers every later instant; its gap says what
+// that hides.
+func (index *evidenceIndex) mayCover(incarnation Incarnation, at timekeeper.Instant) bool {
 	if len(incarnation.Records) == 0 {
 		return true
 	}
@@ -153,9 +154,9 @@
 	return gap.Origin.Group == recorder.EntryGroup
 }
 
-// gapAfter returns a gap of one incarnation that ends at or after an instant, within
-// the clock skew.
-func (index *evidenceIndex) gapAfter(process processID, after timekeeper.Instant) (Gap, bool) {
+// gapEndingAfter returns a gap of one incarnation that ends at or after an instant,
+// within the clock skew.
+func (index *evidenceIndex) gapEndingAfter(process processID, after timekeeper.Instant) (Gap, bool) {
 	for _, gap := range index.gaps {
 		if gap.Origin.Name == process.name && gap.Origin.Incarnation == process.incarnation && gap.Until.Add(index.settings.ClockSkew) >= after {
 			return gap, true
@@ -172,15 +173,15 @@
 			verdict.addDoubt(gap.String())
 		}
 	}
-	for _, reason := range index.unrecorded {
+	for _, reason := range index.unofferedRuns {
 		verdict.addDoubt(reason)
 	}
 }
 
 // addAgentDoubts adds doubts to a verdict that depends on agents' records. A gap
 // counts when an entry offered that agent a relevant call around it and the agent's
-// record doesn't show the outcome, or when an entry's own record has a gap at that
-// time.
+// record doesn't show what became of the offer, or when an entry's own record has a
+// gap at that time.
 func (index *evidenceIndex) addAgentDoubts(verdict *Verdict, relevant func(offered Evidence) bool) {
 	gaps := index.gapsInRange()
 	for _, gap := range gaps {
@@ -200,21 +201,22 @@
 	}
 }
 
-// hiddenOffer returns an offer whose outcome a gap of an agent may hide.
+// hiddenOffer returns an offer if a gap of its agent may hide what became of it.
 func (index *evidenceIndex) hiddenOffer(gap Gap, relevant func(offered Evidence) bool) (Evidence, bool) {
 	from, until := gap.From.Add(-index.settings.GapLookback), gap.Until.Add(index.settings.ClockSkew)
 	for _, evidence := range index.all {
 		near := evidence.At >= from && evidence.At <= until
 		if near && evidence.Kind == recorder.Offered && evidence.Instance == gap.Origin.Name &&
-			relevant(evidence) && !index.outcomeKnown(evidence) {
+			relevant(evidence) && !index.offerAnswered(evidence) {
 			return evidence, true
 		}
 	}
 	return Evidence{}, false
 }
 
-// outcomeKnown reports whether the agent's record shows what became of an offer.
-func (index *evidenceIndex) outcomeKnown(offered Evidence) bool {
+// offerAnswered reports whether the agent's record shows that the agent committed or
+// refused an offer.
+func (index *evidenceIndex) offerAnswered(offered Evidence) bool {
 	return slices.ContainsFunc(index.byRequest[offered.Request], func(other Evidence) bool {
 		if other.Origin.Name != offered.Instance {
 			return false
--- a/internal/verifier/plot.go
+++ b/internal/verifier/plot.go
@@ -116,7 +116,7 @@
 	return figure
 }
 
-// answerPlot returns the plot of the outcomes reported to callers.
+// answerPlot returns the plot of the answers to callers, by result.
 func answerPlot(report Report) plot {
 	maxValue := 1
 	for _, count := range report.Answers {
--- a/internal/verifier/report.go
+++ b/internal/verifier/report.go
@@ -8,7 +8,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Settings say what is evaluated. Fields without a stated default are required.
+// Settings configure an evaluation. Fields without a stated default are required.
 type Settings struct {
 	// From and Until bound the evaluated time, both included.
 	From  timekeeper.Instant
@@ -18,10 +18,11 @@
 	// LeaveWithin is how long after Draining new work may still be granted;
 	// zero means 3 seconds.
 	LeaveWithin timekeeper.Span
-	// InForceWithin is how long an accepted configuration may take; zero means 13 seconds.
+	// InForceWithin is how long an accepted configuration may take to be in force at a
+	// process; zero means 13 seconds.
 	InForceWithin timekeeper.Span
-	// GapLookback is how long before a gap a call may have been offered whose outcome
-	// the gap hides; zero means 1 minute.
+	// GapLookback is how long before a gap a call may have been offered if the gap may
+	// hide what became of the offer; zero means 1 minute.
 	GapLookback timekeeper.Span
 }
 
--- a/internal/verifier/rules_calls.go
+++ b/internal/verifier/rules_calls.go
@@ -10,10 +10,10 @@
 )
 
 // loadBound checks promise 1. A call is admitted when the load before it is at
-// or under the bound, so one call more than the bound may run, which is the bound
-// rounded up (Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded
-// Loads", 2018). A grant without a known mean is checked against the mean of the
-// loads that all agents recorded.
+// or under the bound, so one call more than the bound may run: this is the rounding
+// up of the bound in Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with
+// Bounded Loads", 2018. A grant without a known mean is checked against the mean of
+// the loads that all agents recorded.
 func (index *evidenceIndex) loadBound(verdict *Verdict) {
 	loads := fleetLoads{}
 	for _, evidence := range index.all {
@@ -95,14 +95,15 @@
 }
 
 func (index *evidenceIndex) checkAnswer(verdict *Verdict, answer Evidence) {
-	// Any entry may resume a stream, and the agent that holds the key replays the
-	// answer. Neither needs an offer on record, since the agent checks the owner.
+	// Any entry may resume a stream, and the agent that holds a key replays its
+	// answer. Neither needs an offer by this entry, since the agent checks whose
+	// stream or key it is.
 	offered := answer.Detail != ""
 	for _, offer := range index.ofRequest(answer.Request, recorder.Offered) {
 		offered = offered || offer.Origin == answer.Origin && offer.Instance == answer.Instance
 	}
 	from := processID{answer.Origin.Name, answer.Origin.Incarnation}
-	gap, entryGap := index.gapAfter(from, 0)
+	gap, entryGap := index.gapEndingAfter(from, 0)
 	switch {
 	case !offered && entryGap:
 		verdict.addDoubt(fmt.Sprintf("no offer is on record for %s; %s", answer, gap))
@@ -111,19 +112,19 @@
 		verdict.addBreach("the entry answered a request that it did not offer to that replica", answer)
 		return
 	}
-	run, closest := index.matchingRun(answer)
-	if run {
+	matched, lastRun := index.matchingRun(answer)
+	if matched {
 		return
 	}
-	if gap, ok := index.gapAfter(processID{answer.Instance, answer.Incarnation}, answer.At.Add(-index.settings.GapLookback)); ok && closest == nil {
+	if gap, ok := index.gapEndingAfter(processID{answer.Instance, answer.Incarnation}, answer.At.Add(-index.settings.GapLookback)); ok && lastRun == nil {
 		verdict.addDoubt(fmt.Sprintf("no run is on record for %s; %s", answer, gap))
 		return
 	}
-	verdict.addBreach("an answer told as whole did not end whole at its agent with this length and digest", append([]Evidence{answer}, closest...)...)
+	verdict.addBreach("an answer told as whole did not end whole at its agent with this length and digest", append([]Evidence{answer}, lastRun...)...)
 }
 
-// matchingRun reports whether a run ended whole with the same body as an answer. If
-// none did, it returns the last run of the same call.
+// matchingRun reports whether a run of the answer's call ended whole with the same
+// body. If none did, it returns the last ended run of that call.
 func (index *evidenceIndex) matchingRun(answer Evidence) (bool, []Evidence) {
 	replayed := answer.Detail == recorder.Replayed
 	process := processID{answer.Instance, answer.Incarnation}
@@ -131,7 +132,7 @@
 	if incarnation == nil {
 		return false, nil
 	}
-	var closest []Evidence
+	var lastRun []Evidence
 	for _, record := range incarnation.Records {
 		sameCall := record.Request == answer.Request || replayed && answer.Key != 0 && record.Key == answer.Key
 		if record.Kind != recorder.Ended || !sameCall {
@@ -141,12 +142,12 @@
 		if record.Complete && record.Length == answer.Length && sameBody {
 			return true, nil
 		}
-		closest = []Evidence{{Origin: incarnation.Origin, Record: record}}
+		lastRun = []Evidence{{Origin: incarnation.Origin, Record: record}}
 	}
-	return false, closest
+	return false, lastRun
 }
 
-// ranNo is the outcome reported to a caller or entry for a request that did not run.
+// ranNo is the value of Event.Ran for a request that did not run.
 const ranNo = string(classifier.RanNo)
 
 // notRun checks promise 3. An entry's "not run" to a caller is checked against every
@@ -187,8 +188,8 @@
 	})
 }
 
-// checkAgentRefusals checks each "not run" from an agent to an entry against that
-// agent's own runs.
+// checkAgentRefusals checks each tombstone of an agent, and each refusal that says
+// "not run", against that agent's own runs.
 func (index *evidenceIndex) checkAgentRefusals(verdict *Verdict) {
 	check := func(refusal Evidence) {
 		if refusal.Origin.Group == recorder.EntryGroup {
@@ -216,10 +217,10 @@
 }
 
 // offeredAgain reports whether a run after a refusal by the same agent belongs to
-// another offer. An entry that learns that a chat has moved looks it up and may
-// return to the same agent with the same request; the refusal was true when it was
-// sent. A tombstone is permanent, and a refusal after the run is false whatever
-// was offered.
+// another offer than the refused one. An entry that learns that a chat has moved
+// looks it up and may return to the same agent with the same request; the refusal
+// was true when it was sent. A tombstone is permanent, and a refusal after the run
+// is false whatever was offered.
 func (index *evidenceIndex) offeredAgain(refusal, run Evidence) bool {
 	if refusal.Kind != recorder.Refused || run.Sequence < refusal.Sequence {
 		return false
--- a/internal/verifier/rules_processes.go
+++ b/internal/verifier/rules_processes.go
@@ -10,8 +10,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// leaving checks promise 5. Both records are of one incarnation, so clock skew
-// doesn't matter.
+// leaving checks promise 5. It compares a Draining and a Granted record of one
+// incarnation, so clock skew doesn't matter.
 func (index *evidenceIndex) leaving(verdict *Verdict) {
 	index.forEach(recorder.Draining, func(draining Evidence) {
 		process := processID{draining.Origin.Name, draining.Origin.Incarnation}
@@ -25,7 +25,7 @@
 				verdict.addBreach("a leaving replica took new work", draining, Evidence{draining.Origin, record})
 			}
 		}
-		if gap, ok := index.gapAfter(process, latest); ok && gap.Until.Add(index.settings.ClockSkew) >= latest {
+		if gap, ok := index.gapEndingAfter(process, latest); ok && gap.Until.Add(index.settings.ClockSkew) >= latest {
 			index.addStopDoubt(verdict, draining, gap)
 		}
 	})
@@ -58,7 +58,7 @@
 		}
 		verdict.Checked++
 		process := processID{incarnation.Origin.Name, incarnation.Origin.Incarnation}
-		if gap, ok := index.gapAfter(process, 0); ok {
+		if gap, ok := index.gapEndingAfter(process, 0); ok {
 			index.addStopDoubt(verdict, leaving, gap)
 			continue
 		}
@@ -73,7 +73,8 @@
 	}
 }
 
-// plannedStop returns the record by which a process began a planned stop.
+// plannedStop returns the first Draining or Stopped record of an incarnation, which
+// begins its planned stop.
 func plannedStop(incarnation *Incarnation) (Evidence, bool) {
 	for _, record := range incarnation.Records {
 		if record.Kind == recorder.Draining || record.Kind == recorder.Stopped {
@@ -239,7 +240,7 @@
 		return
 	}
 	process := processID{incarnation.Origin.Name, incarnation.Origin.Incarnation}
-	if gap, ok := index.gapAfter(process, change.At); ok && gap.From < due {
+	if gap, ok := index.gapEndingAfter(process, change.At); ok && gap.From < due {
 		verdict.addDoubt(fmt.Sprintf("%s: not seen in force at %s; %s", change, incarnation.Origin, gap))
 		return
 	}
@@ -248,7 +249,7 @@
 
 // addUnacceptedDoubts adds a doubt for each revision that came into force though no
 // record accepts it. The lowest revision in the range may have been accepted
-// before it.
+// before the range.
 func (index *evidenceIndex) addUnacceptedDoubts(verdict *Verdict, accepted []Evidence, lowest uint64) {
 	known := map[uint64]bool{lowest: true, 0: true}
 	for _, change := range accepted {
--- a/internal/verifier/series.go
+++ b/internal/verifier/series.go
@@ -18,7 +18,7 @@
 	Mean  float64 `json:"mean"`
 }
 
-// AnswerCount counts the outcomes reported to callers in one part of the range.
+// AnswerCount counts the answers to callers by result in one part of the range.
 type AnswerCount struct {
 	At      timekeeper.Instant `json:"at"`
 	Whole   int                `json:"whole"`
@@ -78,7 +78,7 @@
 	return skews
 }
 
-// answers counts the outcomes reported to callers in each part of the range.
+// answers counts the answers to callers in each part of the range, by result.
 func (index *evidenceIndex) answers() []AnswerCount {
 	var counts []AnswerCount
 	index.forEach(recorder.Answered, func(answer Evidence) {
--- a/internal/verifier/trail.go
+++ b/internal/verifier/trail.go
@@ -36,7 +36,7 @@
 // without overflow.
 const never = timekeeper.Instant(math.MaxInt64 / 2)
 
-// Gap is a time for which records of an incarnation are missing.
+// Gap is a time range in which records of an incarnation are missing.
 type Gap struct {
 	Origin recorder.Origin    `json:"origin"`
 	From   timekeeper.Instant `json:"from"`
@@ -64,7 +64,7 @@
 	Origin  recorder.Origin
 	Records []recorder.Record
 	Gaps    []Gap
-	// Stopped says that the record ends with a planned stop.
+	// Stopped says that the last record is Stopped.
 	Stopped bool
 	// Link is the link after the last record that was verified.
 	Link recorder.Link
--- a/internal/verifier/trail_test.go
+++ b/internal/verifier/trail_test.go
@@ -12,13 +12,13 @@
 	"github.com/trefoilseam/trefoilseam/internal/recorder"
 )
 
-// longLog returns one incarnation with many similar records.
-func longLog(count int) eventLogs {
+// longEvents returns one incarnation with many similar records.
+func longEvents(count int) processEvents {
 	events := []recorder.Event{{At: 1, Kind: recorder.Started}}
 	for i := range count {
 		events = append(events, recorder.Event{At: 2, Kind: recorder.Granted, Request: "r" + strconv.Itoa(i), Load: int64(i)})
 	}
-	return eventLogs{firstReplica: append(events, recorder.Event{At: 3, Kind: recorder.Stopped})}
+	return processEvents{firstReplica: append(events, recorder.Event{At: 3, Kind: recorder.Stopped})}
 }
 
 // tamperings change the objects in one way each; at is the index of a segment, pick
@@ -50,16 +50,16 @@
 	},
 	"a record changed and its own segment sealed again": func(_ []Object, at, _ int) []Object {
 		const length = 5
-		logs, forged := longLog(30), longLog(30)
+		processes, forged := longEvents(30), longEvents(30)
 		forged[firstReplica][at*length].Load++
-		objects, other := sortedObjects(logs, length), sortedObjects(forged, length)
+		objects, other := sortedObjects(processes, length), sortedObjects(forged, length)
 		objects[at].Body = other[at].Body
 		return objects
 	},
 }
 
-func sortedObjects(logs eventLogs, length int) []Object {
-	objects := logs.objects(length)
+func sortedObjects(processes processEvents, length int) []Object {
+	objects := processes.objects(length)
 	slices.SortFunc(objects, func(a, b Object) int {
 		if a.Name < b.Name {
 			return -1
@@ -76,7 +76,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		names := slices.Sorted(maps.Keys(tamperings))
 		name := rapid.SampledFrom(names).Draw(t, "tampering")
-		objects := sortedObjects(longLog(30), 5)
+		objects := sortedObjects(longEvents(30), 5)
 		at := rapid.IntRange(0, len(objects)-2).Draw(t, "segment")
 		pick := rapid.IntRange(0, 1<<20).Draw(t, "pick")
 		trail := Verify(tamperings[name](objects, at, pick))
@@ -85,14 +85,14 @@
 		}
 	})
 	Convey("a missing end is an open tail", t, func() {
-		objects := sortedObjects(longLog(30), 5)
+		objects := sortedObjects(longEvents(30), 5)
 		trail := Verify(objects[:len(objects)-1])
 		So(trail.Findings, ShouldBeEmpty)
 		So(trail.Gaps(), ShouldHaveLength, 1)
 		So(trail.Gaps()[0].Open, ShouldBeTrue)
 	})
 	Convey("an unchanged record has neither finding nor gap", t, func() {
-		trail := Verify(sortedObjects(longLog(30), 5))
+		trail := Verify(sortedObjects(longEvents(30), 5))
 		So(trail.Findings, ShouldBeEmpty)
 		So(trail.Gaps(), ShouldBeEmpty)
 		So(trail.Records, ShouldEqual, 32)
@@ -145,7 +145,7 @@
 }
 
 func FuzzVerify(f *testing.F) {
-	for _, object := range sortedObjects(longLog(8), 5) {
+	for _, object := range sortedObjects(longEvents(8), 5) {
 		f.Add(object.Body)
 	}
 	f.Add([]byte("trefoilseam-record 1\n"))
