--- a/cmd/trefoilseam/audit.go
+++ b/cmd/trefoilseam/audit.go
@@ -95,7 +95,7 @@
 			if err != nil {
 				return err
 			}
-			settings.Skew = timekeeper.Span(skew.Milliseconds())
+			settings.ClockSkew = timekeeper.Span(skew.Milliseconds())
 			settings.LeaveWithin = timekeeper.Span(leave.Milliseconds())
 			settings.InForceWithin = timekeeper.Span(inForce.Milliseconds())
 			return common.report(ctx, settings, *page)
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	report := verifier.Judge(trail, settings)
+	report := verifier.Evaluate(trail, settings)
 	if page != "" {
 		if err := writePage(report, page); err != nil {
 			return err
--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -95,7 +95,7 @@
 		settings.AnswerConfig = func(*encoder.ConfigAsk) *encoder.ConfigBody { return &encoder.ConfigBody{} }
 	}
 	if settings.Record == nil {
-		settings.Record = recorder.Drop
+		settings.Record = recorder.Discard
 	}
 	return settings
 }
