--- a/test/load/cache_test.go
+++ b/test/load/cache_test.go
@@ -2,11 +2,11 @@
 
 import "container/list"
 
-// cache is a bounded cache of chats' prefixes, in tokens.
+// cache is a cache of chat prefixes, bounded in tokens.
 type cache struct {
-	room, used int64
-	byChat     map[uint64]*list.Element
-	byUsage    *list.List
+	tokenCapacity, used int64
+	byChat              map[uint64]*list.Element
+	byUsage             *list.List
 }
 
 type prefix struct {
@@ -14,8 +14,8 @@
 	tokens int64
 }
 
-func newCache(room int64) *cache {
-	return &cache{room: room, byChat: map[uint64]*list.Element{}, byUsage: list.New()}
+func newCache(tokenCapacity int64) *cache {
+	return &cache{tokenCapacity: tokenCapacity, byChat: map[uint64]*list.Element{}, byUsage: list.New()}
 }
 
 func (cache *cache) tokens(chat uint64) int64 {
@@ -32,12 +32,12 @@
 	}
 	cache.byChat[chat] = cache.byUsage.PushFront(prefix{chat, tokens})
 	cache.used += tokens
-	for cache.used > cache.room {
+	for cache.used > cache.tokenCapacity {
 		cache.drop(cache.byUsage.Back().Value.(prefix).chat)
 	}
 }
 
-// demote makes the chat's prefix the next to be evicted.
+// demote makes the chat's prefix the next one to be evicted.
 func (cache *cache) demote(chat uint64) {
 	if element := cache.byChat[chat]; element != nil {
 		cache.byUsage.MoveToBack(element)
--- a/test/load/doc.go
+++ b/test/load/doc.go
@@ -1,5 +1,5 @@
-// Package load puts the decisions about placement, admission and retries
-// through whole workloads in virtual time, beside simpler policies under the
-// same seed. Replicas are a controller, a directory and a small cache of prefixes;
-// everything that decides is the code that entries and agents run.
+// Package load simulates whole workloads in virtual time and compares the
+// placement, admission and retry code with simpler policies under the same seed.
+// A simulated replica is an admission controller, a directory and a small prefix
+// cache; every decision is made by the code that entries and agents run.
 package load
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -14,35 +14,35 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// member is one replica of the fleet.
+// member is a simulated replica.
 type member struct {
-	name       string
-	controller *admitter.Controller
-	cache      *cache
-	known      *placer.Directory
-	born       timekeeper.Instant
-	life       int
-	slow       float64
-	// busy counts the calls of each chat that wait or run here.
-	busy map[uint64]int
+	name        string
+	controller  *admitter.Controller
+	cache       *cache
+	directory   *placer.Directory
+	startedAt   timekeeper.Instant
+	incarnation int
+	slowdown    float64
+	// activeCalls counts the calls of each chat that wait or run at this replica.
+	activeCalls map[uint64]int
 }
 
-func (request request) work() int64 { return request.prompt + request.made }
+func (request request) work() int64 { return request.promptTokens + request.outputTokens }
 
-// policy is a way to choose replicas. Order is nil for the system's own way.
+// policy chooses replicas. Order is nil for the policy of the product itself.
 type policy struct {
-	name   string
-	limits admitter.Limits
-	order  func(fleet *fleet, request request) []string
-	plain  bool
-	// fetch lets a replica fetch the prefix of a call that it took.
+	name     string
+	limits   admitter.Limits
+	order    func(fleet *fleet, request request) []string
+	baseline bool
+	// fetch lets a replica fetch the prefix of a call that it accepted.
 	fetch bool
-	// report is how often agents learn the load of the whole service; zero
-	// means that they always know it.
-	report timekeeper.Span
+	// reportInterval is how often agents learn the load of the whole service; at
+	// zero they always know the current one.
+	reportInterval timekeeper.Span
 }
 
-// result is what became of a request.
+// result is the outcome of a request.
 type result struct {
 	request
 	served bool
@@ -50,82 +50,85 @@
 	offers int
 }
 
-// event is something that happens at an instant.
+// event is an action at an instant; events of one instant run in sequence.
 type event struct {
-	at   timekeeper.Instant
-	turn int
-	do   func()
+	at       timekeeper.Instant
+	sequence int
+	action   func()
 }
 
-type agenda []event
+type eventQueue []event
 
-func (agenda agenda) Len() int { return len(agenda) }
-func (agenda agenda) Less(i, j int) bool {
-	return agenda[i].at < agenda[j].at || agenda[i].at == agenda[j].at && agenda[i].turn < agenda[j].turn
+func (eventQueue eventQueue) Len() int { return len(eventQueue) }
+func (eventQueue eventQueue) Less(i, j int) bool {
+	return eventQueue[i].at < eventQueue[j].at || eventQueue[i].at == eventQueue[j].at && eventQueue[i].sequence < eventQueue[j].sequence
 }
-func (agenda agenda) Swap(i, j int) { agenda[i], agenda[j] = agenda[j], agenda[i] }
-func (agenda *agenda) Push(x any)   { *agenda = append(*agenda, x.(event)) }
-func (agenda *agenda) Pop() any {
-	last := (*agenda)[len(*agenda)-1]
-	*agenda = (*agenda)[:len(*agenda)-1]
+func (eventQueue eventQueue) Swap(i, j int) {
+	eventQueue[i], eventQueue[j] = eventQueue[j], eventQueue[i]
+}
+func (eventQueue *eventQueue) Push(x any) { *eventQueue = append(*eventQueue, x.(event)) }
+func (eventQueue *eventQueue) Pop() any {
+	last := (*eventQueue)[len(*eventQueue)-1]
+	*eventQueue = (*eventQueue)[:len(*eventQueue)-1]
 	return last
 }
 
-// fleet is one service under one policy.
+// fleet simulates one service under one policy.
 type fleet struct {
-	policy  policy
-	random  *rand.Rand
-	now     timekeeper.Instant
-	turn    int
-	agenda  agenda
-	room    int64
-	members map[string]*member
-	roster  placer.Roster
-	// far is the roster of every other entry, which learns of a change so much
-	// later; zero means that all entries learn together.
-	far    placer.Roster
-	farLag timekeeper.Span
-	// believed is the room that agents take their engine's cache to have.
-	believed int64
-	// lag is how late entries learn of a change; settle is the agents' time.
-	lag, settle timekeeper.Span
-	// told is the total that agents were told last, at toldAt.
-	told     int64
-	toldAt   timekeeper.Instant
-	budget   *retrier.Budget
-	waiting  map[string]request
-	results  map[string]*result
-	cached   int64
-	fetched  int64
-	prompted int64
-	// worst is the most that a replica held at an admission, over the mean.
-	worst float64
+	policy        policy
+	random        *rand.Rand
+	now           timekeeper.Instant
+	sequence      int
+	eventQueue    eventQueue
+	tokenCapacity int64
+	members       map[string]*member
+	roster        placer.Roster
+	// laggingRoster is what half of the entries use: they learn of each change
+	// extraLag later than the others; at zero all entries learn of it together.
+	laggingRoster placer.Roster
+	extraLag      timekeeper.Span
+	// assumedCapacity is the cache capacity that agents assume of their engine.
+	assumedCapacity int64
+	// lag is the delay until entries learn of a change. A replica counts as
+	// recently started for recentStart after its start.
+	lag, recentStart timekeeper.Span
+	// reportedWork is the total that agents last received, at reportedAt.
+	reportedWork      int64
+	reportedAt        timekeeper.Instant
+	budget            *retrier.Budget
+	waiting           map[string]request
+	results           map[string]*result
+	cachedTokens      int64
+	fetchedTokens     int64
+	totalPromptTokens int64
+	// maxOverMean is the highest load of a replica at an admission, over the mean.
+	maxOverMean float64
 }
 
-func newFleet(policy policy, replicas int, room int64) *fleet {
+func newFleet(policy policy, replicas int, tokenCapacity int64) *fleet {
 	fleet := &fleet{
-		policy: policy, random: rand.New(rand.NewPCG(11, 13)), room: room,
-		believed: room, members: map[string]*member{}, budget: retrier.NewBudget(retrier.Settings{}),
-		waiting: map[string]request{}, results: map[string]*result{}, settle: 10 * timekeeper.Minute,
+		policy: policy, random: rand.New(rand.NewPCG(11, 13)), tokenCapacity: tokenCapacity,
+		assumedCapacity: tokenCapacity, members: map[string]*member{}, budget: retrier.NewBudget(retrier.Settings{}),
+		waiting: map[string]request{}, results: map[string]*result{}, recentStart: 10 * timekeeper.Minute,
 	}
 	for i := range replicas {
 		fleet.join(fmt.Sprintf("replica-%d", i+1))
-		fleet.members[fmt.Sprintf("replica-%d", i+1)].born = -timekeeper.Instant(timekeeper.Hour)
+		fleet.members[fmt.Sprintf("replica-%d", i+1)].startedAt = -timekeeper.Instant(timekeeper.Hour)
 	}
-	fleet.look()
+	fleet.updateRosters()
 	return fleet
 }
 
-func (fleet *fleet) at(at timekeeper.Instant, do func()) {
-	fleet.turn++
-	heap.Push(&fleet.agenda, event{at, fleet.turn, do})
+func (fleet *fleet) at(at timekeeper.Instant, action func()) {
+	fleet.sequence++
+	heap.Push(&fleet.eventQueue, event{at, fleet.sequence, action})
 }
 
 func (fleet *fleet) run() {
-	for len(fleet.agenda) > 0 {
-		next := heap.Pop(&fleet.agenda).(event)
+	for len(fleet.eventQueue) > 0 {
+		next := heap.Pop(&fleet.eventQueue).(event)
 		fleet.now = next.at
-		next.do()
+		next.action()
 	}
 }
 
@@ -138,102 +141,102 @@
 	return names
 }
 
-// look brings the entries' view up to date.
-func (fleet *fleet) look() {
+// updateRosters brings the entries' rosters up to date.
+func (fleet *fleet) updateRosters() {
 	replicas := make([]placer.Replica, 0, len(fleet.members))
 	for _, name := range fleet.names() {
 		replicas = append(replicas, placer.Replica{Name: name})
 	}
 	fleet.roster = placer.NewRoster(replicas)
-	told := fleet.roster
-	fleet.at(fleet.now.Add(fleet.farLag), func() { fleet.far = told })
+	updated := fleet.roster
+	fleet.at(fleet.now.Add(fleet.extraLag), func() { fleet.laggingRoster = updated })
 }
 
-// entry returns the roster of the entry that a call comes through.
-func (fleet *fleet) entry() placer.Roster {
-	if fleet.farLag == 0 || fleet.random.IntN(2) == 0 {
+// randomEntryRoster returns the roster of the entry that receives a call.
+func (fleet *fleet) randomEntryRoster() placer.Roster {
+	if fleet.extraLag == 0 || fleet.random.IntN(2) == 0 {
 		return fleet.roster
 	}
-	return fleet.far
+	return fleet.laggingRoster
 }
 
 func (fleet *fleet) join(name string) {
-	fleet.turn++
+	fleet.sequence++
 	fleet.members[name] = &member{
-		name: name, controller: admitter.NewController(fleet.policy.limits), cache: newCache(fleet.room),
-		known: placer.NewDirectory(placer.DirectorySettings{Self: name, CacheTokens: fleet.believed}), born: fleet.now, life: fleet.turn, slow: 1, busy: map[uint64]int{},
+		name: name, controller: admitter.NewController(fleet.policy.limits), cache: newCache(fleet.tokenCapacity),
+		directory: placer.NewDirectory(placer.DirectorySettings{Self: name, CacheTokens: fleet.assumedCapacity}), startedAt: fleet.now, incarnation: fleet.sequence, slowdown: 1, activeCalls: map[uint64]int{},
 	}
-	fleet.at(fleet.now.Add(fleet.lag), fleet.look)
+	fleet.at(fleet.now.Add(fleet.lag), fleet.updateRosters)
 }
 
-// crash ends a replica with all it held.
+// crash removes a replica with its calls and its cache.
 func (fleet *fleet) crash(name string) {
 	delete(fleet.members, name)
-	fleet.at(fleet.now.Add(fleet.lag), fleet.look)
+	fleet.at(fleet.now.Add(fleet.lag), fleet.updateRosters)
 }
 
-// leave ends a replica in the planned way: it hands its chats over first.
+// leave removes a replica gracefully: it hands over its chats first.
 func (fleet *fleet) leave(name string) {
-	gone := fleet.members[name]
+	leaving := fleet.members[name]
 	delete(fleet.members, name)
-	fleet.look()
+	fleet.updateRosters()
 	if fleet.policy.name == oracleName {
-		fleet.scatter(gone)
+		fleet.scatter(leaving)
 	}
-	if fleet.policy.plain {
+	if fleet.policy.baseline {
 		return
 	}
-	for _, move := range gone.known.Handover(fleet.roster, placer.DirectorySize) {
+	for _, move := range leaving.directory.Handover(fleet.roster, placer.DirectorySize) {
 		home := fleet.members[move.To[0].Name]
 		if move.Holder != "" {
-			home.known.Record(move.Chat, move.Holder, 0)
+			home.directory.Record(move.Chat, move.Holder, 0)
 			continue
 		}
-		tokens := gone.cache.tokens(move.Chat)
+		tokens := leaving.cache.tokens(move.Chat)
 		for _, replica := range move.To {
 			to := fleet.members[replica.Name]
-			if tokens > 0 && to.cache.used+tokens <= to.cache.room {
+			if tokens > 0 && to.cache.used+tokens <= to.cache.tokenCapacity {
 				to.cache.put(move.Chat, tokens)
-				to.known.Record(move.Chat, to.name, tokens)
-				home.known.Record(move.Chat, to.name, tokens)
+				to.directory.Record(move.Chat, to.name, tokens)
+				home.directory.Record(move.Chat, to.name, tokens)
 				break
 			}
 		}
 	}
 }
 
-// scatter puts what a leaving replica held wherever there is memory.
-func (fleet *fleet) scatter(gone *member) {
-	for element := gone.cache.byUsage.Front(); element != nil; element = element.Next() {
-		held := element.Value.(prefix)
+// scatter moves the prefixes of a leaving replica to replicas with free memory.
+func (fleet *fleet) scatter(leaving *member) {
+	for element := leaving.cache.byUsage.Front(); element != nil; element = element.Next() {
+		moved := element.Value.(prefix)
 		names := fleet.names()
 		to := fleet.members[slices.MinFunc(names, func(a, b string) int {
 			return int(fleet.members[a].cache.used - fleet.members[b].cache.used)
 		})]
-		if to.cache.used+held.tokens <= to.cache.room {
-			to.cache.put(held.chat, held.tokens)
+		if to.cache.used+moved.tokens <= to.cache.tokenCapacity {
+			to.cache.put(moved.chat, moved.tokens)
 		}
 	}
 }
 
-// total is the work of all replicas.
-func (fleet *fleet) total() int64 {
-	var total int64
+// totalWork returns the work of all replicas.
+func (fleet *fleet) totalWork() int64 {
+	var totalWork int64
 	for _, member := range fleet.members {
-		total += member.controller.Load().Work
+		totalWork += member.controller.Load().Work
 	}
-	return total
+	return totalWork
 }
 
-// least is the replica with the least work.
-func (fleet *fleet) least() string {
+// leastLoaded returns the replica with the least work.
+func (fleet *fleet) leastLoaded() string {
 	names := fleet.names()
 	return slices.MinFunc(names, func(a, b string) int {
 		return int(fleet.members[a].controller.Load().Work - fleet.members[b].controller.Load().Work)
 	})
 }
 
-// arrive offers a request to replicas until one takes it.
+// arrive offers a request to replicas until one accepts it.
 func (fleet *fleet) arrive(request request) {
 	request.arrived = fleet.now
 	fleet.results[request.id] = &result{request: request, wait: request.deadline}
@@ -246,20 +249,20 @@
 		return
 	}
 	fleet.budget.Earn()
-	plan := placer.NewAttemptPlan(fleet.entry(), cmp.Or(request.chat, request.body), nil)
+	plan := placer.NewAttemptPlan(fleet.randomEntryRoster(), cmp.Or(request.chat, request.bodyFingerprint), nil)
 	for attempt := 0; ; attempt++ {
-		stop, ok := plan.Next()
-		if !ok || attempt > 0 && !stop.BudgetExempt && !fleet.budget.Spend() {
+		candidate, ok := plan.Next()
+		if !ok || attempt > 0 && !candidate.BudgetExempt && !fleet.budget.Spend() {
 			return
 		}
-		visit := placer.ChatOffer{
-			Chat: request.chat, Attempt: attempt, Ranked: plan.Ranked(), OnlyIfCached: stop.OnlyIfCached,
+		chatOffer := placer.ChatOffer{
+			Chat: request.chat, Attempt: attempt, Ranked: plan.Ranked(), OnlyIfCached: candidate.OnlyIfCached,
 		}
-		refusal, taken := fleet.visit(request, stop.Replica.Name, visit)
+		refusal, taken := fleet.offerChat(request, candidate.Replica.Name, chatOffer)
 		if taken {
-			for _, keeper := range plan.PointerHolders(stop.Replica) {
-				if member := fleet.members[keeper.Name]; member != nil {
-					member.known.Record(request.chat, stop.Replica.Name, request.work())
+			for _, holder := range plan.PointerHolders(candidate.Replica) {
+				if member := fleet.members[holder.Name]; member != nil {
+					member.directory.Record(request.chat, candidate.Replica.Name, request.work())
 				}
 			}
 			return
@@ -268,54 +271,54 @@
 	}
 }
 
-func (fleet *fleet) visit(request request, name string, visit placer.ChatOffer) (placer.Refusal, bool) {
+func (fleet *fleet) offerChat(request request, name string, chatOffer placer.ChatOffer) (placer.Refusal, bool) {
 	member := fleet.members[name]
 	if member == nil {
 		return placer.Refusal{}, false
 	}
 	refusal := placer.Refusal{}
-	if where := member.known.Locate(visit.Chat); where != name {
-		refusal.LastReplica = where
+	if located := member.directory.Locate(chatOffer.Chat); located != name {
+		refusal.LastReplica = located
 	}
-	visit.RecentlyStarted, visit.CanFetch = fleet.now.Since(member.born) < fleet.settle, fleet.policy.fetch
-	if member.known.ShouldRedirect(visit) {
+	chatOffer.RecentlyStarted, chatOffer.CanFetch = fleet.now.Since(member.startedAt) < fleet.recentStart, fleet.policy.fetch
+	if member.directory.ShouldRedirect(chatOffer) {
 		fleet.results[request.id].offers++
 		refusal.Redirected = true
 		return refusal, false
 	}
-	decision := fleet.offer(request, name, visit)
+	decision := fleet.offer(request, name, chatOffer)
 	if decision.Failure.Kind == classifier.AtBound {
 		refusal.AtBound = true
-		refusal.Alternative = fleet.least()
+		refusal.Alternative = fleet.leastLoaded()
 	}
 	return refusal, decision.Outcome != admitter.Refused
 }
 
-// fetch brings the prefix of a request that was taken from where it is.
-func (fleet *fleet) fetch(member *member, visit placer.ChatOffer) int64 {
-	from := fleet.members[member.known.FetchSource(visit)]
-	if from != nil && from.cache.tokens(visit.Chat) == 0 {
-		if from.busy[visit.Chat] == 0 {
-			from.known.ForgetLocal(visit.Chat)
+// fetch copies the prefix of an accepted request from the replica that holds it.
+func (fleet *fleet) fetch(member *member, chatOffer placer.ChatOffer) int64 {
+	from := fleet.members[member.directory.FetchSource(chatOffer)]
+	if from != nil && from.cache.tokens(chatOffer.Chat) == 0 {
+		if from.activeCalls[chatOffer.Chat] == 0 {
+			from.directory.ForgetLocal(chatOffer.Chat)
 		}
-		// The pointer is followed once.
-		from = fleet.members[from.known.Locate(visit.Chat)]
+		// Only one further pointer is followed.
+		from = fleet.members[from.directory.Locate(chatOffer.Chat)]
 	}
-	if from == nil || from == member || from.cache.tokens(visit.Chat) == 0 {
+	if from == nil || from == member || from.cache.tokens(chatOffer.Chat) == 0 {
 		return 0
 	}
-	tokens := from.cache.tokens(visit.Chat)
-	if visit.Ranked[0] == member.name {
-		from.cache.demote(visit.Chat)
-		from.known.RecordTransfer(visit.Chat, member.name)
+	tokens := from.cache.tokens(chatOffer.Chat)
+	if chatOffer.Ranked[0] == member.name {
+		from.cache.demote(chatOffer.Chat)
+		from.directory.RecordTransfer(chatOffer.Chat, member.name)
 	}
-	member.cache.put(visit.Chat, tokens)
-	fleet.fetched += tokens
+	member.cache.put(chatOffer.Chat, tokens)
+	fleet.fetchedTokens += tokens
 	return tokens
 }
 
-// offer brings a request to a replica's controller.
-func (fleet *fleet) offer(request request, name string, visit placer.ChatOffer) admitter.Decision {
+// offer passes a request to a replica's admission controller.
+func (fleet *fleet) offer(request request, name string, chatOffer placer.ChatOffer) admitter.Decision {
 	member := fleet.members[name]
 	if member == nil {
 		return admitter.Decision{Outcome: admitter.Refused}
@@ -325,27 +328,27 @@
 		ID: request.id, Team: request.team, Weight: request.weight, Class: request.class, Work: request.work(),
 		Arrived: fleet.now, Deadline: fleet.now.Add(request.deadline),
 	}
-	ticket.LastAttempt = visit.Attempt >= placer.MaxOffers-1
-	ticket.PrefixMiss = member.known.PrefixMiss(request.chat, visit.Attempt)
-	if fleet.policy.plain {
+	ticket.LastAttempt = chatOffer.Attempt >= placer.MaxOffers-1
+	ticket.PrefixMiss = member.directory.PrefixMiss(request.chat, chatOffer.Attempt)
+	if fleet.policy.baseline {
 		ticket.Team, ticket.Class, ticket.Deadline = "", 3, 0
 	}
-	held, total := member.controller.Load().Work, fleet.total()
-	if fleet.now.Since(fleet.toldAt) >= fleet.policy.report {
-		fleet.told, fleet.toldAt = total, fleet.now
+	held, totalWork := member.controller.Load().Work, fleet.totalWork()
+	if fleet.now.Since(fleet.reportedAt) >= fleet.policy.reportInterval {
+		fleet.reportedWork, fleet.reportedAt = totalWork, fleet.now
 	}
-	mean := admitter.Mean{Total: fleet.told, Replicas: len(fleet.members), Age: fleet.now.Since(fleet.toldAt)}
+	mean := admitter.Mean{Total: fleet.reportedWork, Replicas: len(fleet.members), Age: fleet.now.Since(fleet.reportedAt)}
 	decision := member.controller.Offer(ticket, mean)
 	if decision.Outcome != admitter.Refused {
-		share := float64(total+request.work()) / float64(len(fleet.members))
-		fleet.worst = max(fleet.worst, float64(held)/share)
-		request.fetched = fleet.fetch(member, visit)
-		member.known.Record(request.chat, name, request.work())
+		share := float64(totalWork+request.work()) / float64(len(fleet.members))
+		fleet.maxOverMean = max(fleet.maxOverMean, float64(held)/share)
+		request.fetchedTokens = fleet.fetch(member, chatOffer)
+		member.directory.Record(request.chat, name, request.work())
 		fleet.waiting[request.id] = request
-		member.busy[request.chat]++
+		member.activeCalls[request.chat]++
 	}
 	for _, displaced := range decision.Displaced {
-		member.busy[fleet.waiting[displaced.ID].chat]--
+		member.activeCalls[fleet.waiting[displaced.ID].chat]--
 		delete(fleet.waiting, displaced.ID)
 	}
 	if decision.Outcome == admitter.Granted {
@@ -354,32 +357,34 @@
 	return decision
 }
 
-// start runs a request whose slot was granted.
+// start runs a request that was granted a slot.
 func (fleet *fleet) start(member *member, id string) {
 	request := fleet.waiting[id]
 	delete(fleet.waiting, id)
 	// A prefix is fetched five times as fast as it is computed.
 	const prefillRate, fetchRate, decodeSpan = 20, 100, 5
-	hit := min(member.cache.tokens(request.chat), request.prompt)
-	fleet.cached += hit
-	fleet.prompted += request.prompt
-	prefill := timekeeper.Span(float64(request.prompt-hit)/prefillRate*member.slow + float64(request.fetched)/fetchRate)
-	took := prefill + timekeeper.Span(float64(request.made*decodeSpan)*member.slow)
-	done := fleet.results[id]
-	done.wait = fleet.now.Since(request.arrived) + prefill
-	life := member.life
+	hit := min(member.cache.tokens(request.chat), request.promptTokens)
+	fleet.cachedTokens += hit
+	fleet.totalPromptTokens += request.promptTokens
+	prefill := timekeeper.Span(float64(request.promptTokens-hit)/prefillRate*member.slowdown + float64(request.fetchedTokens)/fetchRate)
+	took := prefill + timekeeper.Span(float64(request.outputTokens*decodeSpan)*member.slowdown)
+	outcome := fleet.results[id]
+	outcome.wait = fleet.now.Since(request.arrived) + prefill
+	incarnation := member.incarnation
 	fleet.at(fleet.now.Add(prefill), func() { member.controller.RecordFirstByte(id, fleet.now) })
 	fleet.at(fleet.now.Add(took), func() {
-		if fleet.members[member.name] == nil || fleet.members[member.name].life != life {
+		if fleet.members[member.name] == nil || fleet.members[member.name].incarnation != incarnation {
 			return
 		}
 		member.cache.put(request.chat, request.work())
-		member.busy[request.chat]--
-		done.served = done.wait <= request.deadline
+		member.activeCalls[request.chat]--
+		outcome.served = outcome.wait <= request.deadline
 		for _, granted := range member.controller.Finish(id, fleet.now) {
 			fleet.start(member, granted.ID)
 		}
 	})
 }
 
-func (fleet *fleet) reuse() float64 { return float64(fleet.cached) / float64(max(1, fleet.prompted)) }
+func (fleet *fleet) reuse() float64 {
+	return float64(fleet.cachedTokens) / float64(max(1, fleet.totalPromptTokens))
+}
--- a/test/load/request_test.go
+++ b/test/load/request_test.go
@@ -8,13 +8,13 @@
 	team   string
 	weight int
 	chat   uint64
-	// body is the fingerprint by which a call without a chat is placed.
-	body     uint64
-	class    uint8
-	prompt   int64
-	made     int64
-	arrived  timekeeper.Instant
-	deadline timekeeper.Span
-	// fetched is the prefix that came from another replica, in tokens.
-	fetched int64
+	// bodyFingerprint places a call that has no chat.
+	bodyFingerprint uint64
+	class           uint8
+	promptTokens    int64
+	outputTokens    int64
+	arrived         timekeeper.Instant
+	deadline        timekeeper.Span
+	// fetchedTokens is the length of the prefix that another replica sent.
+	fetchedTokens int64
 }
--- a/test/load/reuse_test.go
+++ b/test/load/reuse_test.go
@@ -8,7 +8,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// churn lets replicas leave, join, crash and flap, one after the other.
+// churn makes replicas join, leave, crash and flap in turn, one every 20 seconds.
 func churn(fleet *fleet, until timekeeper.Instant) {
 	const every = 20 * timekeeper.Second
 	next := 0
@@ -28,21 +28,22 @@
 	}
 }
 
-// entoto is a dawn of nine planners: long chats that return after pauses.
-func entoto(policy policy, planned bool, troubles ...func(fleet *fleet)) *fleet {
-	const chats, room, until = 900, 500_000, timekeeper.Instant(20 * timekeeper.Minute)
-	fleet := newFleet(policy, 9, room)
+// returningChats runs nine replicas with long chats that return after pauses.
+// Replicas are replaced as planned, or else come and go as in churn.
+func returningChats(policy policy, planned bool, faults ...func(fleet *fleet)) *fleet {
+	const chats, tokenCapacity, until = 900, 500_000, timekeeper.Instant(20 * timekeeper.Minute)
+	fleet := newFleet(policy, 9, tokenCapacity)
 	fleet.lag = 2 * timekeeper.Second
-	for _, trouble := range troubles {
-		trouble(fleet)
+	for _, fault := range faults {
+		fault(fleet)
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	for chat := range uint64(chats) {
-		prompt, made := 1000+random.Int64N(4000), 200+random.Int64N(400)
+		promptTokens, outputTokens := 1000+random.Int64N(4000), 200+random.Int64N(400)
 		for at, turn := random.Int64N(60_000), 0; at < int64(until); turn++ {
 			call := request{
 				id: fmt.Sprintf("%d-%d", chat, turn), team: "drivers", chat: chat + 1, class: 3,
-				prompt: prompt + int64(turn)*50, made: made, deadline: 30 * timekeeper.Second,
+				promptTokens: promptTokens + int64(turn)*50, outputTokens: outputTokens, deadline: 30 * timekeeper.Second,
 			}
 			fleet.at(timekeeper.Instant(at), func() { fleet.arrive(call) })
 			at += 5000 + int64(random.ExpFloat64()*60_000)
@@ -60,53 +61,53 @@
 	return fleet
 }
 
-// BenchmarkReuseThroughChurn is nine planners whose replicas come and go all
-// along. The goal is 0.97 of the oracle, through crashes and flaps too.
+// BenchmarkReuseThroughChurn compares the reuse of prefixes while nine replicas
+// come and go. The goal is 0.97 of the oracle, also through crashes and flaps.
 func BenchmarkReuseThroughChurn(b *testing.B) {
-	const leastOfOracle, leastOfRendezvous, leastPlanned, leastBound = 0.98, 1.13, 0.99, 0.93
+	const minOfOracle, minOfRendezvous, minPlanned, minAtLowFactor = 0.98, 1.13, 0.99, 0.93
 	for b.Loop() {
-		best := entoto(oracle(), false).reuse()
-		plain := entoto(rendezvous(), false).reuse()
-		for _, policy := range append(baselines(), weighed()...) {
-			b.ReportMetric(entoto(policy, false).reuse()/best, policy.name+"-of-oracle")
+		oracleReuse := returningChats(oracle(), false).reuse()
+		rendezvousReuse := returningChats(rendezvous(), false).reuse()
+		for _, policy := range append(baselines(), alternatives()...) {
+			b.ReportMetric(returningChats(policy, false).reuse()/oracleReuse, policy.name+"-of-oracle")
 		}
-		// At a factor of 2 reuse is near its best, and the busiest of nine still
-		// has room for what spills.
-		ours := entoto(own(2), false)
-		planned := entoto(own(2), true).reuse() / entoto(oracle(), true).reuse()
-		bound := entoto(own(1.25), false)
-		b.ReportMetric(ours.reuse()/best, "reuse-of-oracle")
-		b.ReportMetric(ours.reuse()/plain, "reuse-of-rendezvous")
+		// At a load factor of 2 reuse is near its best, and the busiest of nine
+		// replicas still has capacity for calls that others refuse.
+		system := returningChats(systemPolicy(2), false)
+		planned := returningChats(systemPolicy(2), true).reuse() / returningChats(oracle(), true).reuse()
+		lowFactor := returningChats(systemPolicy(1.25), false)
+		b.ReportMetric(system.reuse()/oracleReuse, "reuse-of-oracle")
+		b.ReportMetric(system.reuse()/rendezvousReuse, "reuse-of-rendezvous")
 		b.ReportMetric(planned, "planned-of-oracle")
-		b.ReportMetric(bound.reuse()/best, "reuse-of-oracle-at-1.25")
-		b.ReportMetric(best, "oracle-reuse")
-		b.ReportMetric(float64(ours.fetched)/float64(ours.prompted), "fetched-share")
-		b.ReportMetric(offersPerCall(ours), "offers-per-call")
-		b.ReportMetric(refusedShare(ours), "not-served")
-		if ours.reuse() < leastOfOracle*best || ours.reuse() < leastOfRendezvous*plain ||
-			planned < leastPlanned || bound.reuse() < leastBound*best {
+		b.ReportMetric(lowFactor.reuse()/oracleReuse, "reuse-of-oracle-at-1.25")
+		b.ReportMetric(oracleReuse, "oracle-reuse")
+		b.ReportMetric(float64(system.fetchedTokens)/float64(system.totalPromptTokens), "fetched-share")
+		b.ReportMetric(offersPerCall(system), "offers-per-call")
+		b.ReportMetric(unservedShare(system), "not-served")
+		if system.reuse() < minOfOracle*oracleReuse || system.reuse() < minOfRendezvous*rendezvousReuse ||
+			planned < minPlanned || lowFactor.reuse() < minAtLowFactor*oracleReuse {
 			b.Fatalf("reuse %.3f, at 1.25 %.3f, oracle %.3f, rendezvous %.3f, planned %.3f of the oracle",
-				ours.reuse(), bound.reuse(), best, plain, planned)
+				system.reuse(), lowFactor.reuse(), oracleReuse, rendezvousReuse, planned)
 		}
 	}
 }
 
-// BenchmarkReuseWithoutFetching is the same with engines that export nothing
-// to a replica that asks; a leave still hands over.
+// BenchmarkReuseWithoutFetching is BenchmarkReuseThroughChurn with engines that
+// export no prefix on request; a replica that leaves still hands its chats over.
 func BenchmarkReuseWithoutFetching(b *testing.B) {
-	const leastOfOracle, leastOfRendezvous, leastPlanned, leastBound = 0.93, 1.08, 0.97, 0.71
+	const minOfOracle, minOfRendezvous, minPlanned, minAtLowFactor = 0.93, 1.08, 0.97, 0.71
 	for b.Loop() {
-		best, plain := entoto(oracle(), false).reuse(), entoto(rendezvous(), false).reuse()
-		ours := entoto(withoutFetching(3), false).reuse()
-		planned := entoto(withoutFetching(3), true).reuse() / entoto(oracle(), true).reuse()
-		bound := entoto(withoutFetching(1.25), false).reuse()
-		b.ReportMetric(ours/best, "reuse-of-oracle")
-		b.ReportMetric(ours/plain, "reuse-of-rendezvous")
+		oracleReuse, rendezvousReuse := returningChats(oracle(), false).reuse(), returningChats(rendezvous(), false).reuse()
+		system := returningChats(withoutFetching(3), false).reuse()
+		planned := returningChats(withoutFetching(3), true).reuse() / returningChats(oracle(), true).reuse()
+		lowFactor := returningChats(withoutFetching(1.25), false).reuse()
+		b.ReportMetric(system/oracleReuse, "reuse-of-oracle")
+		b.ReportMetric(system/rendezvousReuse, "reuse-of-rendezvous")
 		b.ReportMetric(planned, "planned-of-oracle")
-		b.ReportMetric(bound/best, "reuse-of-oracle-at-1.25")
-		if ours < leastOfOracle*best || ours < leastOfRendezvous*plain || planned < leastPlanned || bound < leastBound*best {
+		b.ReportMetric(lowFactor/oracleReuse, "reuse-of-oracle-at-1.25")
+		if system < minOfOracle*oracleReuse || system < minOfRendezvous*rendezvousReuse || planned < minPlanned || lowFactor < minAtLowFactor*oracleReuse {
 			b.Fatalf("reuse %.3f, at 1.25 %.3f, oracle %.3f, rendezvous %.3f, planned %.3f of the oracle",
-				ours, bound, best, plain, planned)
+				system, lowFactor, oracleReuse, rendezvousReuse, planned)
 		}
 	}
 }
@@ -119,7 +120,7 @@
 	return float64(offers) / float64(len(fleet.results))
 }
 
-func refusedShare(fleet *fleet) float64 {
+func unservedShare(fleet *fleet) float64 {
 	refused := 0
 	for _, result := range fleet.results {
 		if !result.served {
--- a/test/load/skew_test.go
+++ b/test/load/skew_test.go
@@ -12,10 +12,10 @@
 
 const caption, draft, digest = 0, 3, 6
 
-// ferdigliste is a dozen replicas under teams of very different size: captions,
-// drafts and digests, with a surge of one team in each minute. Rate is the
-// calls a second outside surges.
-func ferdigliste(policy policy, rate float64) *fleet {
+// skewedTeams runs a dozen replicas under teams of very different size, which send
+// captions, drafts and digests; one team surges for ten seconds of each minute.
+// Rate is the calls a second outside surges.
+func skewedTeams(policy policy, rate float64) *fleet {
 	const until, teams = int64(3 * timekeeper.Minute), 10
 	fleet := newFleet(policy, 12, 400_000)
 	random := rand.New(rand.NewPCG(5, 8))
@@ -32,25 +32,25 @@
 		call.chat = 1 + team*1000 + chats.Uint64()
 		switch kind := random.IntN(10); {
 		case kind < 5:
-			call.class, call.prompt, call.made = caption, 200, 20
+			call.class, call.promptTokens, call.outputTokens = caption, 200, 20
 		case kind < 9:
-			call.class, call.prompt, call.made = draft, 1500+random.Int64N(2000), 150+random.Int64N(100)
+			call.class, call.promptTokens, call.outputTokens = draft, 1500+random.Int64N(2000), 150+random.Int64N(100)
 		default:
-			call.class, call.prompt, call.made = digest, 3000, 500+random.Int64N(300)
+			call.class, call.promptTokens, call.outputTokens = digest, 3000, 500+random.Int64N(300)
 		}
 		fleet.at(timekeeper.Instant(at), func() { fleet.arrive(call) })
-		pace := rate
+		currentRate := rate
 		if surging {
-			pace *= 1.5
+			currentRate *= 1.5
 		}
-		at += random.ExpFloat64() * 1000 / pace
+		at += random.ExpFloat64() * 1000 / currentRate
 	}
 	fleet.run()
 	return fleet
 }
 
-// captionWait returns the wait for the first token that 99 of 100 captions keep.
-func captionWait(fleet *fleet) timekeeper.Span {
+// captionP99 returns the 99th percentile of the wait for the first token of captions.
+func captionP99(fleet *fleet) timekeeper.Span {
 	var waits []timekeeper.Span
 	for _, result := range fleet.results {
 		if result.class == caption {
@@ -61,45 +61,45 @@
 	return waits[len(waits)*99/100]
 }
 
-// BenchmarkSkew is a dozen replicas under skewed teams with surges.
+// BenchmarkSkew compares policies on a dozen replicas under skewed teams with surges.
 func BenchmarkSkew(b *testing.B) {
-	const rate, factor, leastCaptions, leastReuse, leastWithout, mostRefused = 75, 1.25, 5, 0.97, 0.9, 0.01
+	const rate, factor, minCaptionGain, minReuse, minReuseWithoutFetching, maxUnserved = 75, 1.25, 5, 0.97, 0.9, 0.01
 	for b.Loop() {
-		plain := ferdigliste(rendezvous(), rate)
+		rendezvousRun := skewedTeams(rendezvous(), rate)
 		for _, policy := range baselines() {
-			run := ferdigliste(policy, rate)
-			b.Logf("%s: worst %.2f, caption p99 %s, reuse %.3f, not served %.4f",
-				policy.name, run.worst, captionWait(run), run.reuse(), refusedShare(run))
+			run := skewedTeams(policy, rate)
+			b.Logf("%s: max over mean %.2f, caption p99 %s, reuse %.3f, not served %.4f",
+				policy.name, run.maxOverMean, captionP99(run), run.reuse(), unservedShare(run))
 		}
-		for _, c := range []float64{1.05, 1.1, 1.25, 1.5, 2, 3, 0} {
-			run := ferdigliste(withoutFetching(c), rate)
-			b.Logf("c=%.2f without fetching: caption p99 %s, reuse %.3f", c, captionWait(run), run.reuse())
-			run = ferdigliste(own(c), rate)
-			b.Logf("c=%.2f: worst %.2f, caption p99 %s, reuse %.3f, offers %.2f, fetched %.3f, not served %.4f",
-				c, run.worst, captionWait(run), run.reuse(), offersPerCall(run),
-				float64(run.fetched)/float64(run.prompted), refusedShare(run))
+		for _, loadFactor := range []float64{1.05, 1.1, 1.25, 1.5, 2, 3, 0} {
+			run := skewedTeams(withoutFetching(loadFactor), rate)
+			b.Logf("load factor %.2f without fetching: caption p99 %s, reuse %.3f", loadFactor, captionP99(run), run.reuse())
+			run = skewedTeams(systemPolicy(loadFactor), rate)
+			b.Logf("load factor %.2f: max over mean %.2f, caption p99 %s, reuse %.3f, offers %.2f, fetched %.3f, not served %.4f",
+				loadFactor, run.maxOverMean, captionP99(run), run.reuse(), offersPerCall(run),
+				float64(run.fetchedTokens)/float64(run.totalPromptTokens), unservedShare(run))
 		}
-		for _, report := range []timekeeper.Span{timekeeper.Second / 4, timekeeper.Second, 4 * timekeeper.Second} {
-			late := own(factor)
-			late.report = report
-			run := ferdigliste(late, rate)
-			b.Logf("mean told every %s: worst %.2f, caption p99 %s, reuse %.3f, offers %.2f, not served %.4f",
-				report, run.worst, captionWait(run), run.reuse(), offersPerCall(run), refusedShare(run))
-			if refusedShare(run) > mostRefused || leastCaptions*captionWait(run) > captionWait(plain) {
-				b.Fatalf("with a mean told every %s, %.4f were not served", report, refusedShare(run))
+		for _, reportInterval := range []timekeeper.Span{timekeeper.Second / 4, timekeeper.Second, 4 * timekeeper.Second} {
+			late := systemPolicy(factor)
+			late.reportInterval = reportInterval
+			run := skewedTeams(late, rate)
+			b.Logf("mean load reported every %s: max over mean %.2f, caption p99 %s, reuse %.3f, offers %.2f, not served %.4f",
+				reportInterval, run.maxOverMean, captionP99(run), run.reuse(), offersPerCall(run), unservedShare(run))
+			if unservedShare(run) > maxUnserved || minCaptionGain*captionP99(run) > captionP99(rendezvousRun) {
+				b.Fatalf("with a mean load reported every %s, %.4f were not served", reportInterval, unservedShare(run))
 			}
 		}
-		ours, without := ferdigliste(own(factor), rate), ferdigliste(withoutFetching(factor), rate)
-		captions := float64(captionWait(plain)) / float64(captionWait(ours))
-		b.ReportMetric(ours.worst, "max-over-mean")
+		system, without := skewedTeams(systemPolicy(factor), rate), skewedTeams(withoutFetching(factor), rate)
+		captions := float64(captionP99(rendezvousRun)) / float64(captionP99(system))
+		b.ReportMetric(system.maxOverMean, "max-over-mean")
 		b.ReportMetric(captions, "caption-p99-of-rendezvous")
-		b.ReportMetric(ours.reuse()/plain.reuse(), "reuse-of-rendezvous")
-		b.ReportMetric(without.reuse()/plain.reuse(), "reuse-of-rendezvous-without-fetching")
-		if without.worst > factor || without.reuse() < leastWithout*plain.reuse() {
-			b.Fatalf("without fetching: worst %.3f, reuse %.3f of %.3f", without.worst, without.reuse(), plain.reuse())
+		b.ReportMetric(system.reuse()/rendezvousRun.reuse(), "reuse-of-rendezvous")
+		b.ReportMetric(without.reuse()/rendezvousRun.reuse(), "reuse-of-rendezvous-without-fetching")
+		if without.maxOverMean > factor || without.reuse() < minReuseWithoutFetching*rendezvousRun.reuse() {
+			b.Fatalf("without fetching: max over mean %.3f, reuse %.3f of %.3f", without.maxOverMean, without.reuse(), rendezvousRun.reuse())
 		}
-		if ours.worst > factor || captions < leastCaptions || ours.reuse() < leastReuse*plain.reuse() {
-			b.Fatalf("worst %.3f, captions %.2f times better, reuse %.3f of %.3f", ours.worst, captions, ours.reuse(), plain.reuse())
+		if system.maxOverMean > factor || captions < minCaptionGain || system.reuse() < minReuse*rendezvousRun.reuse() {
+			b.Fatalf("max over mean %.3f, captions %.2f times better, reuse %.3f of %.3f", system.maxOverMean, captions, system.reuse(), rendezvousRun.reuse())
 		}
 	}
 }
