--- a/test/integration/adapters_test.go
+++ b/test/integration/adapters_test.go
@@ -10,11 +10,11 @@
 	"github.com/trefoilseam/trefoilseam/internal/imitator"
 )
 
-func TestEnginesAreBroughtToWhatTheConfigurationSays(t *testing.T) {
+func TestEnginesReachTheConfiguredRoleVersionAndAdapters(t *testing.T) {
 	t.Parallel()
-	// A caller names an adapter as the model and is served by an engine that holds it.
-	// Three engines are ordered a role and a version; the adapter, which few ask
-	// for, is loaded on two of them, and its calls go to these two alone.
+	// Guards against calls for an adapter that reach an engine without it.
+	// Three engines receive orders for a role and a version. The adapter is rarely
+	// requested, so it is loaded on two of them, and its calls go only to these two.
 	bundle := orderConfig(`["vans"]`, true)
 	bundle.Base = strings.Replace(bundle.Base, `models = ["planner"]`, "models = [\"planner\", \"vans\"]\nrole = \"decode\"\nversion = \"7\"\n", 1)
 	rig := newRig(t, bundle)
@@ -31,7 +31,7 @@
 		}
 		return names
 	}
-	Convey("role, version and adapter are where they belong", t, func() {
+	Convey("engines have the role, version and adapter of the configuration", t, func() {
 		rig.eventually("every engine has its role and version", func() bool {
 			for _, engine := range rig.engines {
 				if state := engine.Orders(); state.Role != "decode" || state.Version != "7" {
@@ -40,8 +40,8 @@
 			}
 			return len(holders()) == 2
 		})
-		body := strings.Replace(chat(2, "a van to the market"), `"model":"planner"`, `"model":"vans"`, 1)
-		rig.eventually("a call for the adapter", func() bool {
+		body := strings.Replace(chatBody(2, "a van to the market"), `"model":"planner"`, `"model":"vans"`, 1)
+		rig.eventually("a call for the adapter is served", func() bool {
 			return entry.call(t.Context(), "POST", "/v1/chat/completions", body).status == 200
 		})
 		for range 20 {
--- a/test/integration/doc.go
+++ b/test/integration/doc.go
@@ -1,6 +1,6 @@
 // Package integration holds tests that run the built binary as real processes
 // on loopback, behind a proxy that injects faults.
 //
-// The tests live in this package's test files. Stand-ins for the platform and
-// the upstreams run inside the test process, so a test can read what they ran.
+// Fakes of the platform and of the upstreams run inside the test process, so a
+// test can check which calls they executed.
 package integration
--- a/test/integration/members_test.go
+++ b/test/integration/members_test.go
@@ -17,8 +17,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// beliefs is what a process's status page says about the others.
-type beliefs struct {
+// statusPage is the part of a process's status page about the other processes.
+type statusPage struct {
 	Members []struct {
 		Name        string  `json:"name"`
 		State       string  `json:"state"`
@@ -35,9 +35,9 @@
 	} `json:"control"`
 }
 
-// beliefs reads the status page of a process; it is empty when there is none.
-func (proc *process) beliefs() beliefs {
-	var read beliefs
+// statusPage reads the status page of a process; it is empty when that fails.
+func (proc *process) statusPage() statusPage {
+	var read statusPage
 	request, err := http.NewRequestWithContext(proc.t.Context(), http.MethodGet, "http://"+proc.admin+"/status", nil)
 	if err != nil {
 		return read
@@ -51,9 +51,9 @@
 	return read
 }
 
-// sees returns what a process holds a replica to be, and with what weight.
-func (proc *process) sees(name string) (state string, weight float64) {
-	for _, member := range proc.beliefs().Members {
+// viewOf returns the state and the weight that a process has for a replica.
+func (proc *process) viewOf(name string) (state string, weight float64) {
+	for _, member := range proc.statusPage().Members {
 		if member.Name == name {
 			return member.State, member.Weight
 		}
@@ -61,20 +61,21 @@
 	return "", 0
 }
 
-// fleet starts so many replicas of the order service and waits until an entry sees them live.
-func (rig *rig) fleet(replicas int) *process {
+// startFleet starts replicas of the orders service and an entry, and waits until the
+// entry has all of them as live.
+func (rig *rig) startFleet(replicas int) *process {
 	for i := range replicas {
 		rig.addOrders("orders-"+strconv.Itoa(i+1), 0)
 	}
 	entry := rig.addEntry("entry-1")
-	rig.eventually("all are seen live", func() bool { return rig.live(entry) == replicas })
+	rig.eventually("all replicas are live", func() bool { return rig.liveCount(entry) == replicas })
 	return entry
 }
 
-// live returns how many replicas a process sees live.
-func (rig *rig) live(proc *process) int {
+// liveCount returns how many replicas a process has as live.
+func (rig *rig) liveCount(proc *process) int {
 	count := 0
-	for _, member := range proc.beliefs().Members {
+	for _, member := range proc.statusPage().Members {
 		if member.State == "live" {
 			count++
 		}
@@ -84,93 +85,94 @@
 
 func TestALeavingUpstreamGetsNoNewWorkAfterTwoSeconds(t *testing.T) {
 	t.Parallel()
-	// The caller sees nothing: its calls go elsewhere.
-	// One replica is told to stop while it still holds a long call, and the
-	// platform's list goes on naming it as live. It refuses at once, tells its
-	// peers, and each entry hears of it from any agent within a round.
+	// Guards against offers to a replica that stops. It receives SIGTERM while it
+	// still serves a long call, and the platform's list keeps naming it. It refuses
+	// new work at once and informs its peers, and each entry learns of it from any
+	// agent within a round, so calls go to other replicas.
 	rig := newRig(t, siteConfig())
 	rig.addPlanner("planner-1", imitator.EngineSettings{Step: 20 * timekeeper.Millisecond})
 	rig.addPlanner("planner-2", imitator.EngineSettings{})
 	rig.addPlanner("planner-3", imitator.EngineSettings{})
 	entries := []*process{rig.addEntry("entry-1"), rig.addEntry("entry-2")}
-	rig.eventually("all are seen live", func() bool { return rig.live(entries[0]) == 3 && rig.live(entries[1]) == 3 })
-	Convey("neither entry offers it work two seconds later", t, func() {
-		held := make(chan reply, 1)
-		home := rig.chatAt(entries[0], "planner-1")
+	rig.eventually("all replicas are live", func() bool { return rig.liveCount(entries[0]) == 3 && rig.liveCount(entries[1]) == 3 })
+	Convey("neither entry offers it work after two seconds", t, func() {
+		longCall := make(chan reply, 1)
+		chatName := rig.chatWithHome(entries[0], "planner-1")
 		finished := rig.engines["planner-1"].Counts().Finished
 		go func() {
-			held <- entries[0].call(t.Context(), "POST", "/v1/chat/completions", chat(200, "long"), "Trefoilseam-Chat", home)
+			longCall <- entries[0].call(t.Context(), "POST", "/v1/chat/completions", chatBody(200, "long"), "Trefoilseam-Chat", chatName)
 		}()
 		rig.eventually("the long call runs", func() bool { return rig.engines["planner-1"].Counts().Runs > finished })
 		rig.agents["planner-1"].signal(syscall.SIGTERM)
-		told := rig.clock.Now()
-		rig.eventually("both entries know", func() bool {
-			first, _ := entries[0].sees("planner-1")
-			second, _ := entries[1].sees("planner-1")
+		signalled := rig.clock.Now()
+		rig.eventually("both entries have it as leaving", func() bool {
+			first, _ := entries[0].viewOf("planner-1")
+			second, _ := entries[1].viewOf("planner-1")
 			return first == "leaving" && second == "leaving"
 		})
-		So(rig.clock.Now().Since(told), ShouldBeLessThan, 2*timekeeper.Second)
+		So(rig.clock.Now().Since(signalled), ShouldBeLessThan, 2*timekeeper.Second)
 		before := rig.agents["planner-1"].offers()
 		for i := range 40 {
-			got := entries[i%2].call(t.Context(), "POST", "/v1/chat/completions", chat(1, "menu"), "Trefoilseam-Chat", strconv.Itoa(i))
+			got := entries[i%2].call(t.Context(), "POST", "/v1/chat/completions", chatBody(1, "menu"), "Trefoilseam-Chat", strconv.Itoa(i))
 			So(got.status, ShouldEqual, 200)
 		}
 		So(rig.agents["planner-1"].offers()-before, ShouldEqual, 0)
-		So((<-held).body, ShouldEndWith, "data: [DONE]\n\n")
+		So((<-longCall).body, ShouldEndWith, "data: [DONE]\n\n")
 	})
 }
 
-// offers returns how many offers an agent has decided about.
+// offers returns how many offers an agent has accepted or refused.
 func (proc *process) offers() int {
 	return len(proc.logged("admission"))
 }
 
-// chatAt returns the name of a chat whose home is the replica.
-func (rig *rig) chatAt(entry *process, name string) string {
+// chatWithHome returns the name of a chat whose home is the replica.
+func (rig *rig) chatWithHome(entry *process, name string) string {
 	for i := range 200 {
 		chatName := "chat-" + strconv.Itoa(i)
-		got := entry.call(rig.t.Context(), "POST", "/v1/chat/completions", chat(1, "hello"), "Trefoilseam-Chat", chatName)
+		got := entry.call(rig.t.Context(), "POST", "/v1/chat/completions", chatBody(1, "hello"), "Trefoilseam-Chat", chatName)
 		if got.header.Get("Trefoilseam-Upstream") == name {
 			return chatName
 		}
 	}
-	rig.t.Fatal("no chat has its home at", name)
+	rig.t.Fatal("no chat found with home", name)
 	return ""
 }
 
-func TestPauseAndWake(t *testing.T) {
+func TestAPausedReplicaReturnsWithSlowStart(t *testing.T) {
 	t.Parallel()
-	// The caller sees nothing but, for a moment, a slower answer.
-	// A replica's agent is stopped by the platform and says nothing more; its
-	// peers hold it dead and the entry hears that from them. It wakes, is
-	// believed since nobody took its name, and earns its traffic back slowly.
+	// Guards against full traffic to a replica that has just resumed. The platform
+	// pauses its agent, which sends nothing more; its peers mark it dead and the
+	// entry learns that from them. When it resumes, its updates are accepted since
+	// no other process has its name, and its weight grows slowly. Callers see at
+	// most one slower answer.
 	rig := newRig(t, siteConfig())
-	entry := rig.fleet(4)
-	Convey("it is held dead, and comes back with little weight", t, func() {
+	entry := rig.startFleet(4)
+	Convey("it is marked dead and returns with a low weight", t, func() {
 		rig.agents["orders-1"].signal(syscall.SIGSTOP)
-		rig.eventually("it is held dead", func() bool { state, _ := entry.sees("orders-1"); return state == "dead" })
-		So(rig.live(entry), ShouldEqual, 3)
+		rig.eventually("it is marked dead", func() bool { state, _ := entry.viewOf("orders-1"); return state == "dead" })
+		So(rig.liveCount(entry), ShouldEqual, 3)
 		rig.agents["orders-1"].signal(syscall.SIGCONT)
-		rig.eventually("it is live again", func() bool { state, _ := entry.sees("orders-1"); return state == "live" })
-		_, weight := entry.sees("orders-1")
+		rig.eventually("it is live again", func() bool { state, _ := entry.viewOf("orders-1"); return state == "live" })
+		_, weight := entry.viewOf("orders-1")
 		So(weight, ShouldBeLessThan, 0.5)
 	})
 }
 
-func TestAListThatLies(t *testing.T) {
+func TestAgentsOverruleAWrongInstanceList(t *testing.T) {
 	t.Parallel()
-	// The caller sees nothing.
-	// The list names a replica that is dead, omits one that is live, and stays
-	// so. The entry goes by what the agents say of each other.
+	// Guards against calls that fail because the instance list is wrong: it names a
+	// dead replica and omits a live one. The entry uses what the agents report of
+	// each other instead.
 	rig := newRig(t, siteConfig())
-	entry := rig.fleet(4)
-	Convey("the dead is dead and the live is live", t, func() {
+	entry := rig.startFleet(4)
+	Convey("the listed dead replica is dead and the omitted one is live", t, func() {
 		rig.platform.SetInstances(slices.DeleteFunc(slices.Clone(rig.instances), func(instance storekeeper.Instance) bool {
 			return instance.Name == "orders-4"
 		}))
 		rig.agents["orders-1"].kill()
-		rig.eventually("the dead is held dead", func() bool { state, _ := entry.sees("orders-1"); return state == "dead" })
-		state, _ := entry.sees("orders-4")
+		rig.eventually("the killed replica is marked dead", func() bool { state, _ := entry.viewOf("orders-1"); return state == "dead" })
+		state, _ := entry.viewOf("orders-4")
 		So(state, ShouldEqual, "live")
 		for i := range 10 {
 			So(entry.call(t.Context(), "POST", "/orders", fmt.Sprintf(`{"meals":%d}`, i)).status, ShouldEqual, 200)
@@ -178,52 +180,51 @@
 	})
 }
 
-func TestAOneWayCutEmptiesNoService(t *testing.T) {
+func TestAOneWayCutKeepsHalfOfTheService(t *testing.T) {
 	t.Parallel()
-	// The caller sees at most a refusal that says to come again.
-	// Three of four replicas hear and are not heard: what they answer is
-	// swallowed. The entry can't tell that from death, whatever the agents say
-	// of each other; the floor keeps half of the service all the same.
+	// Guards against a service without live replicas. Three of four replicas receive
+	// calls, but their answers are dropped. The entry can't distinguish that from a
+	// crash, whatever the agents report of each other; the floor keeps half of the
+	// service live all the same. Callers get at most a refusal with a retry hint.
 	rig := newRig(t, siteConfig())
-	entry := rig.fleet(4)
-	Convey("at most half is held dead, and all come back", t, func() {
+	entry := rig.startFleet(4)
+	Convey("at most half is marked dead, and all return", t, func() {
 		for _, name := range []string{"orders-1", "orders-2", "orders-3"} {
 			rig.proxies[name].Set(disturber.Back, disturber.Fault{Swallow: true})
 		}
-		rig.eventually("some are held dead", func() bool { return rig.live(entry) < 4 })
-		So(rig.live(entry), ShouldBeGreaterThanOrEqualTo, 2)
+		rig.eventually("some are marked dead", func() bool { return rig.liveCount(entry) < 4 })
+		So(rig.liveCount(entry), ShouldBeGreaterThanOrEqualTo, 2)
 		for _, name := range []string{"orders-1", "orders-2", "orders-3"} {
 			rig.proxies[name].Cut()
 			rig.proxies[name].Set(disturber.Back, disturber.Fault{})
 		}
-		rig.eventually("all are live again", func() bool { return rig.live(entry) == 4 })
+		rig.eventually("all are live again", func() bool { return rig.liveCount(entry) == 4 })
 	})
 }
 
 func TestAnEntryStartsWhileTheListIsDown(t *testing.T) {
 	t.Parallel()
-	// The caller sees its call answered by an entry that has never read a list.
-	// The list fails when the entry starts; the settings name one agent, which
-	// tells of the others of its service.
+	// Guards against an entry that can't start without the instance list. Reads of
+	// the list fail when the entry starts; its settings name one agent, which
+	// reports the other replicas of its service, and the entry serves calls.
 	rig := newRig(t, siteConfig())
-	rig.fleet(3)
+	rig.startFleet(3)
 	Convey("it learns the service from one peer", t, func() {
 		rig.platform.SetFaults(imitator.PlatformFaults{ListDown: true})
 		entry := rig.start("entry", fmt.Sprintf("name = \"entry-9\"\nsite = \"bole\"\nlisten = \"127.0.0.1:0\"\n"+
-			"admin-listen = \"127.0.0.1:0\"\nplatform = %q\npeers = [%q]\n", rig.base, rig.proxies["orders-2"].Address()))
-		rig.eventually("it sees three", func() bool { return rig.live(entry) == 3 })
+			"admin-listen = \"127.0.0.1:0\"\nplatform = %q\npeers = [%q]\n", rig.platformURL, rig.proxies["orders-2"].Address()))
+		rig.eventually("three replicas are live", func() bool { return rig.liveCount(entry) == 3 })
 		So(entry.call(t.Context(), "POST", "/orders", "{}").status, ShouldEqual, 200)
 	})
 }
 
-func TestEverythingRestartsWithoutAStampede(t *testing.T) {
+func TestAllAgentsRestartWithBoundedStoreReads(t *testing.T) {
 	t.Parallel()
-	// The caller sees refused connections until an entry listens again.
-	// All agents die at once and are started again with the same names. The
-	// platform's reads are bounded by a few for each process that starts.
+	// Guards against a burst of store reads when all agents crash at once and start
+	// again with the same names: each process that starts makes only a few reads.
 	rig := newRig(t, siteConfig())
-	entry := rig.fleet(4)
-	Convey("all are live in their new lives, at a few reads a process", t, func() {
+	entry := rig.startFleet(4)
+	Convey("all are live again after a few reads for each process", t, func() {
 		for _, agent := range rig.agents {
 			agent.kill()
 		}
@@ -232,12 +233,12 @@
 		for i := range 4 {
 			rig.addOrders("orders-"+strconv.Itoa(i+1), 0)
 		}
-		rig.eventually("all are live again", func() bool { return rig.live(entry) == 4 })
+		rig.eventually("all are live again", func() bool { return rig.liveCount(entry) == 4 })
 		seconds := int(rig.clock.Now().Since(started)/timekeeper.Second) + 1
 		after := rig.platform.Counts()
-		const atStart, steadily = 6, 2
-		So(after.Reads-before.Reads, ShouldBeLessThanOrEqualTo, 4*atStart+5*steadily*seconds)
+		const readsAtStart, readsPerSecond = 6, 2
+		So(after.Reads-before.Reads, ShouldBeLessThanOrEqualTo, 4*readsAtStart+5*readsPerSecond*seconds)
 		So(after.Writes-before.Writes, ShouldEqual, 0)
-		So(entry.beliefs().Control.PerSecond, ShouldBeLessThan, 2<<10)
+		So(entry.statusPage().Control.PerSecond, ShouldBeLessThan, 2<<10)
 	})
 }
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -16,13 +16,13 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// order places an order under a key.
+// order sends an order with an idempotency key.
 func (proc *process) order(ctx context.Context, key, body string) reply {
 	return proc.call(ctx, "POST", "/orders", body, "Idempotency-Key", key)
 }
 
-// soTruthful checks what a caller was told against what the service ran.
-func (rig *rig) soTruthful(key string, got reply) {
+// checkTruthful checks that an answer agrees with how often the service ran the order.
+func (rig *rig) checkTruthful(key string, got reply) {
 	runs := rig.ledger.Runs(key)
 	So(runs, ShouldBeLessThanOrEqualTo, 1)
 	if got.err == nil && got.ran() == "no" {
@@ -35,11 +35,12 @@
 
 func TestACutAtAnyByteRunsAnOrderAtMostOnce(t *testing.T) {
 	t.Parallel()
-	// The caller sees the answer as if nothing had happened, or a truthful "not run".
-	// The connection between entry and agent is cut after each single byte of a
-	// clean run, so after each frame's edge too, in each direction. The entry
-	// dials again and looks the request up: what ran is replayed from the
-	// agent's record, and what had not arrived is buried before it is offered again.
+	// Guards against an order that runs twice or an answer that is lost. The
+	// connection between entry and agent is cut after each byte of a clean run, so
+	// at each frame boundary too, in each direction. The entry dials again and
+	// looks the request up: a request that ran is replayed from the agent's record;
+	// one that had not arrived gets a tombstone before it is offered again. The
+	// caller gets the answer or a correct "not run".
 	rig := newRig(t, siteConfig())
 	rig.addOrders("orders-1", 0)
 	entry := rig.addEntry("entry-1")
@@ -59,10 +60,10 @@
 				rig.proxies["orders-1"].Set(direction, disturber.Fault{CutAfter: at, Once: true})
 				got := entry.order(t.Context(), key, `{"meals":40}`)
 				rig.proxies["orders-1"].Set(direction, disturber.Fault{})
-				rig.soTruthful(key, got)
+				rig.checkTruthful(key, got)
 				So(got.ran(), ShouldNotEqual, "unknown")
 				resent := entry.order(t.Context(), key, `{"meals":40}`)
-				rig.soTruthful(key, resent)
+				rig.checkTruthful(key, resent)
 				if resent.status == 200 {
 					answered++
 				} else {
@@ -76,16 +77,17 @@
 
 func TestTwoEntriesWithOneKeyRunItOnce(t *testing.T) {
 	t.Parallel()
-	// Two callers see one and the same run, or a truthful "in progress".
-	// Both entries get the same key at once while the service takes its time;
-	// the claim is one row, so one agent holds it, and every other offer is led
-	// to that agent. Later resends get the first's answer, another body is refused.
+	// Guards against two runs of an order that two entries receive at once under
+	// one key. The claim is one row, so one agent holds it, and the entries send
+	// every other offer to that agent. Callers get the answer of that run or a
+	// correct "in progress"; a later resend gets the first answer, and a different
+	// body under the same key is refused.
 	rig := newRig(t, siteConfig())
 	for i := range 3 {
 		rig.addOrders("orders-"+strconv.Itoa(i+1), 30*timekeeper.Millisecond)
 	}
 	entries := []*process{rig.addEntry("entry-1"), rig.addEntry("entry-2")}
-	Convey("every key runs once", t, func() {
+	Convey("each key runs once", t, func() {
 		const keys, resends = 12, 4
 		var all sync.WaitGroup
 		for i := range keys * resends {
@@ -97,18 +99,18 @@
 			So(rig.ledger.Runs("pair-"+strconv.Itoa(i)), ShouldEqual, 1)
 		}
 	})
-	Convey("a resend gets the first's answer", t, func() {
+	Convey("a resend gets the first answer", t, func() {
 		first := entries[0].order(t.Context(), "same", `{"a":1}`)
 		again := entries[1].order(t.Context(), "same", `{"a":1}`)
 		So(again.body, ShouldEqual, first.body)
 		So(again.header.Get("Idempotency-Replayed"), ShouldEqual, "true")
 	})
-	Convey("another body is refused", t, func() {
+	Convey("a different body under the key is refused", t, func() {
 		got := entries[1].order(t.Context(), "same", `{"a":2}`)
 		So(got.status, ShouldEqual, 422)
 		So(rig.ledger.Runs("same"), ShouldEqual, 1)
 	})
-	Convey("the owner leaves, and a resend elsewhere still doesn't run", t, func() {
+	Convey("the owner is killed, and a resend to another replica doesn't run", t, func() {
 		first := entries[0].order(t.Context(), "orphan", "{}")
 		rig.agents[first.header.Get("Trefoilseam-Upstream")].kill()
 		got := entries[1].order(t.Context(), "orphan", "{}")
@@ -118,13 +120,13 @@
 	})
 }
 
-func TestAStoreThatFailsDoublesNothing(t *testing.T) {
+func TestAStoreOutageRunsNoOrderTwice(t *testing.T) {
 	t.Parallel()
-	// The caller of a plain key sees "store-down, not run" and comes back later;
-	// the caller with a minted key sees its answer.
-	// Claims need the table: while it is down nothing is claimed and so nothing
-	// runs. A write that took effect without an answer is read back. Minted keys
-	// need no row, because only one agent incarnation may ever run them.
+	// Guards against a second run after lost writes, lost answers or an outage of
+	// the store. A plain key needs a claim in the table, so its order doesn't run
+	// while the store is down: the caller gets "store-down, not run" and retries
+	// later. A write whose answer was lost is read back. A minted key needs no row,
+	// because only one agent incarnation may run it, so its caller gets an answer.
 	rig := newRig(t, siteConfig())
 	rig.addOrders("orders-1", 0)
 	rig.addOrders("orders-2", 0)
@@ -136,17 +138,17 @@
 	if err := json.Unmarshal([]byte(granted.body), &minted); err != nil || len(minted.Keys) != 4 {
 		t.Fatal(granted, err)
 	}
-	Convey("an answer lost after the write is settled by reading back", t, func() {
+	Convey("the agent reads back a write whose answer was lost", t, func() {
 		rig.platform.SetFaults(imitator.PlatformFaults{LoseAnswers: 1})
 		So(entry.order(t.Context(), "lost-answer", "{}").status, ShouldEqual, 200)
 		So(rig.ledger.Runs("lost-answer"), ShouldEqual, 1)
 	})
-	Convey("a write that was lost is made again", t, func() {
+	Convey("the agent repeats a lost write", t, func() {
 		rig.platform.SetFaults(imitator.PlatformFaults{LoseWrites: 1})
 		So(entry.order(t.Context(), "lost-write", "{}").status, ShouldEqual, 200)
 		So(rig.ledger.Runs("lost-write"), ShouldEqual, 1)
 	})
-	Convey("while the store is down", t, func() {
+	Convey("while the store is down, only minted keys run", t, func() {
 		rig.platform.SetFaults(imitator.PlatformFaults{Down: true})
 		got := entry.order(t.Context(), "outage", "{}")
 		So(got.status, ShouldEqual, 503)
@@ -160,12 +162,12 @@
 		}
 		So(entry.order(t.Context(), minted.Keys[0], `{"b":2}`).status, ShouldEqual, 422)
 	})
-	Convey("after it the refused key runs", t, func() {
+	Convey("after the outage the refused key runs", t, func() {
 		rig.platform.SetFaults(imitator.PlatformFaults{})
 		So(entry.order(t.Context(), "outage", "{}").status, ShouldEqual, 200)
 		So(rig.ledger.Runs("outage"), ShouldEqual, 1)
 	})
-	Convey("a key of an agent that was replaced is answered as unknown", t, func() {
+	Convey("the outcome of a minted key is unknown once its agent is killed", t, func() {
 		for _, name := range []string{"orders-1", "orders-2"} {
 			rig.agents[name].kill()
 		}
@@ -177,16 +179,16 @@
 
 func TestAPausedAgentRunsNothingTwice(t *testing.T) {
 	t.Parallel()
-	// The caller sees its first try break or end as unknown, and its resend
-	// get the one answer once the agent is awake.
-	// The agent is stopped in the middle of the call (SIGSTOP), the entry is
-	// replaced meanwhile, and the caller resends through the new one. No other
-	// agent takes the key over, however long the pause: the row names its owner.
+	// Guards against a second run while the owner of a key is paused. The agent is
+	// paused during the call (SIGSTOP), its entry is killed, and the caller resends
+	// through another entry. No other agent takes the key over, however long the
+	// pause, since the claim names its owner. The first call breaks or ends as
+	// unknown; the resend gets the answer once the agent resumes.
 	rig := newRig(t, siteConfig())
 	rig.addOrders("orders-1", 100*timekeeper.Millisecond)
 	rig.addOrders("orders-2", 100*timekeeper.Millisecond)
 	first, second := rig.addEntry("entry-1"), rig.addEntry("entry-2")
-	Convey("it runs once", t, func() {
+	Convey("the order runs once", t, func() {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		broken := make(chan reply, 1)
--- a/test/integration/orders_test.go
+++ b/test/integration/orders_test.go
@@ -17,7 +17,8 @@
 	"github.com/trefoilseam/trefoilseam/internal/resolver"
 )
 
-// orderConfig is quickConfig with adapters, short leases and short orders.
+// orderConfig returns quickConfig with adapters, a lease of one second and engine
+// orders of at most 500 ms.
 func orderConfig(adapters string, checks bool) resolver.Bundle {
 	bundle := quickConfig()
 	bundle.Base = strings.Replace(bundle.Base, `kind = "model"`, "kind = \"model\"\nadapters = "+adapters+
@@ -26,23 +27,24 @@
 	return bundle
 }
 
-func TestAPausedPlannerDoesNoHarm(t *testing.T) {
+func TestAPausedLeaseHolderGivesNoStaleOrders(t *testing.T) {
 	t.Parallel()
 	for _, checks := range []bool{false, true} {
-		t.Run("engine checks numbers: "+strconv.FormatBool(checks), func(t *testing.T) {
+		t.Run("engine checks fences: "+strconv.FormatBool(checks), func(t *testing.T) {
 			t.Parallel()
-			pausePlanner(t, checks)
+			pauseLeaseHolder(t, checks)
 		})
 	}
 }
 
-func pausePlanner(t *testing.T, checks bool) {
+func pauseLeaseHolder(t *testing.T, checks bool) {
 	t.Helper()
-	// The engine checks the numbers of orders or ignores them. The entry that holds the lease is stopped in
-	// its tracks; operators change the adapters; another entry takes over and
-	// gives orders. Then the first is continued, past its lease.
-	// Its orders must not come after those of the new holder, and the engine
-	// ends with what the operators want. In an outage of the store, nothing moves.
+	// Guards against stale orders from a former lease holder, for engines that check
+	// the fence numbers of orders and for engines that ignore them. The entry that
+	// holds the lease is paused; operators change the adapters; another entry takes
+	// the lease and sends orders. The first entry resumes after its lease has
+	// expired: it must send no order after those of the new holder, and the engine
+	// ends with the configured adapters. In an outage of the store nothing changes.
 	rig := newRig(t, orderConfig(`["vans"]`, checks))
 	rig.addPlanner("planner-1", imitator.EngineSettings{ChecksOrders: checks})
 	entries := []*process{rig.addEntry("entry-1"), rig.addEntry("entry-2")}
@@ -50,22 +52,22 @@
 	loaded := func(want string) func() bool {
 		return func() bool { return fmt.Sprint(engine.Orders().Loaded) == want }
 	}
-	Convey("the orders of the new holder stand", t, func() {
+	Convey("the orders of the new holder are the last", t, func() {
 		rig.eventually("the first adapter is loaded", loaded("[vans]"))
-		first := slices.IndexFunc(entries, func(entry *process) bool { return len(entry.logged("planner")) > 0 })
-		entries[first].signal(syscall.SIGSTOP)
+		holder := slices.IndexFunc(entries, func(entry *process) bool { return len(entry.logged("planner")) > 0 })
+		entries[holder].signal(syscall.SIGSTOP)
 		file := filepath.Join(t.TempDir(), "base.toml")
 		So(os.WriteFile(file, []byte(orderConfig(`["menus"]`, checks).Base), 0o600), ShouldBeNil)
-		text, code := configure(t, "apply", "-platform", rig.base, "-base", file, "-edited-from", "1")
+		text, code := configure(t, "apply", "-platform", rig.platformURL, "-base", file, "-edited-from", "1")
 		So(text, ShouldContainSubstring, "accepted")
 		So(code, ShouldEqual, 0)
-		rig.eventually("the other entry orders", loaded("[menus]"))
-		before := len(entries[first].logged("configuration in force"))
-		entries[first].signal(syscall.SIGCONT)
-		rig.eventually("the first entry is awake", func() bool {
-			return len(entries[first].logged("configuration in force")) > before
+		rig.eventually("the other entry orders the new adapter", loaded("[menus]"))
+		before := len(entries[holder].logged("configuration in force"))
+		entries[holder].signal(syscall.SIGCONT)
+		rig.eventually("the first entry has resumed", func() bool {
+			return len(entries[holder].logged("configuration in force")) > before
 		})
-		rig.eventually("a lease is held again", func() bool { return len(entries[1-first].logged("planner")) > 0 })
+		rig.eventually("a lease is held again", func() bool { return len(entries[1-holder].logged("planner")) > 0 })
 		carriedOut := engine.Orders().Orders
 		fences := make([]uint64, 0, len(carriedOut))
 		for _, order := range carriedOut {
@@ -75,10 +77,10 @@
 		So(len(slices.Compact(fences)), ShouldBeGreaterThan, 1)
 		So(loaded("[menus]")(), ShouldBeTrue)
 	})
-	Convey("with the store down, engines keep what they have", t, func() {
+	Convey("with the store down, engines receive no orders", t, func() {
 		orders := len(engine.Orders().Orders)
 		rig.platform.SetFaults(imitator.PlatformFaults{Down: true})
-		rig.eventually("the holder misses the store", func() bool {
+		rig.eventually("the entries log the failed lease access", func() bool {
 			return len(entries[0].logged("lease not read or written"))+len(entries[1].logged("lease not read or written")) > 2
 		})
 		So(engine.Orders().Orders, ShouldHaveLength, orders)
--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -13,7 +13,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-func TestSeparateProcessesServeTheWholePath(t *testing.T) {
+func TestCallsThroughSeparateProcesses(t *testing.T) {
 	t.Parallel()
 	rig := newRig(t, siteConfig())
 	rig.addPlanner("planner-1", imitator.EngineSettings{})
@@ -21,7 +21,7 @@
 	rig.addOrders("orders-1", 0)
 	entry := rig.addEntry("entry-1")
 	Convey("a chat's second turn finds its prefix cached", t, func() {
-		turn := chat(4, "rebuild the route of van seven from the ledger")
+		turn := chatBody(4, "rebuild the route of van seven from the ledger")
 		first := entry.call(t.Context(), "POST", "/v1/chat/completions", turn, "Trefoilseam-Chat", "van-7")
 		So(first.err, ShouldBeNil)
 		So(first.body, ShouldEndWith, "data: [DONE]\n\n")
@@ -35,7 +35,7 @@
 		So(got.status, ShouldEqual, 200)
 		So(rig.ledger.Total(), ShouldEqual, 1)
 	})
-	Convey("an unknown team key is refused, truthfully as not run", t, func() {
+	Convey("a call with an unknown team key is refused as not run", t, func() {
 		got := entry.call(t.Context(), "POST", "/orders", "{}", "Authorization", "Bearer nobody")
 		So(got.status, ShouldEqual, 401)
 		So(got.ran(), ShouldEqual, "no")
@@ -49,25 +49,24 @@
 	})
 }
 
-func TestACutAnswerIsNotPassedOffAsWhole(t *testing.T) {
+func TestACutAnswerBreaksTheCallersConnection(t *testing.T) {
 	t.Parallel()
-	// The caller sees its stream break instead of ending.
-	// The answer is under way when the connection from the agent to the entry
-	// is cut after 600 bytes; the entry has passed on a part and can't take it
-	// back, so it cuts the caller's connection too, without a proper end.
+	// Guards against a partial answer that looks complete. The connection from the
+	// agent to the entry is cut after 600 bytes of a stream. The entry has already
+	// passed a part on, so it aborts the caller's connection without a proper end.
 	rig := newRig(t, siteConfig())
 	rig.addPlanner("planner-1", imitator.EngineSettings{Step: 20 * timekeeper.Millisecond})
 	entry := rig.addEntry("entry-1")
 	var got reply
 	var caller sync.WaitGroup
 	caller.Go(func() {
-		got = entry.call(t.Context(), "POST", "/v1/chat/completions", chat(128, "a long answer"))
+		got = entry.call(t.Context(), "POST", "/v1/chat/completions", chatBody(128, "a long answer"))
 	})
-	// Only now, so that no digest has used the bytes up before the call came.
+	// The fault is set only now, so that no digest uses up the 600 bytes before the call.
 	rig.eventually("the engine runs", func() bool { return rig.engines["planner-1"].Counts().Runs == 1 })
 	rig.proxies["planner-1"].Set(disturber.Back, disturber.Fault{CutAfter: 600})
 	caller.Wait()
-	Convey("the part is not called whole", t, func() {
+	Convey("the caller gets an error and no end of the stream", t, func() {
 		So(got.err, ShouldNotBeNil)
 		So(got.body, ShouldNotContainSubstring, "[DONE]")
 	})
@@ -75,16 +74,16 @@
 
 func TestACallerThatLeavesFreesTheEngine(t *testing.T) {
 	t.Parallel()
-	// The caller closes its connection in the middle of a long answer.
-	// The entry tells the agent, the agent ends the upstream call, and the
-	// engine drops the sequence: nobody waits behind work that no one reads.
+	// Guards against an engine that works on for a caller that has left. The caller
+	// closes its connection during a long answer; the entry informs the agent, the
+	// agent cancels the upstream call, and the engine drops the sequence.
 	rig := newRig(t, siteConfig())
 	rig.addPlanner("planner-1", imitator.EngineSettings{Step: 10 * timekeeper.Millisecond})
 	entry := rig.addEntry("entry-1")
 	Convey("the engine cancels the sequence", t, func() {
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
-		got := entry.call(ctx, "POST", "/v1/chat/completions", chat(10000, "an endless answer"))
+		got := entry.call(ctx, "POST", "/v1/chat/completions", chatBody(10000, "an endless answer"))
 		So(got.err, ShouldNotBeNil)
 		rig.eventually("the engine cancelled", func() bool { return rig.engines["planner-1"].Counts().Canceled == 1 })
 	})
--- a/test/integration/record_test.go
+++ b/test/integration/record_test.go
@@ -18,7 +18,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// audit runs an audit command and returns what it printed and its exit code.
+// audit runs an audit command and returns its output and exit code.
 func (rig *rig) audit(args ...string) (out []byte, code int) {
 	command := exec.CommandContext(rig.t.Context(), binary, append([]string{"audit"}, args...)...)
 	out, err := command.Output()
@@ -28,10 +28,10 @@
 	return out, command.ProcessState.ExitCode()
 }
 
-// report runs the audit report over the whole life of the rig.
+// report runs "audit report" for the time since the rig started.
 func (rig *rig) report(started timekeeper.Instant, args ...string) (verifier.Report, int) {
 	out, code := rig.audit(append([]string{
-		"report", "-platform", rig.base, "-json", "-from", started.String(), "-until", rig.clock.Now().Add(1).String(),
+		"report", "-platform", rig.platformURL, "-json", "-from", started.String(), "-until", rig.clock.Now().Add(1).String(),
 	}, args...)...)
 	var report verifier.Report
 	if err := json.Unmarshal(out, &report); err != nil {
@@ -40,11 +40,12 @@
 	return report, code
 }
 
-func TestTheRecordOfACleanDayShowsThatEachPromiseHeld(t *testing.T) {
+func TestAuditOfACleanRunHoldsEveryPromise(t *testing.T) {
 	t.Parallel()
-	// Drivers chat and kitchens order through real processes, an agent leaves
-	// in the middle, and the store is down for part of the day. In the end
-	// everything is stopped as planned. The auditor reads only the store.
+	// Guards against false breaches in the audit of a run without crashes. Callers
+	// chat and order, an agent leaves during the run, the store is down for a part
+	// of it, and at the end all processes stop gracefully. The audit reads only the
+	// store.
 	rig := newRig(t, siteConfig())
 	started := rig.clock.Now()
 	for i := range 3 {
@@ -54,29 +55,29 @@
 	rig.addOrders("orders-2", 5*timekeeper.Millisecond)
 	entry := rig.addEntry("entry-1")
 	other := rig.addEntry("entry-2")
-	day := func(from int) {
+	sendCalls := func(from int) {
 		for i := range 8 {
 			id := strconv.Itoa(from + i)
-			entry.call(t.Context(), "POST", "/v1/chat/completions", chat(8, "plan "+id), "Trefoilseam-Chat", "van-"+id)
+			entry.call(t.Context(), "POST", "/v1/chat/completions", chatBody(8, "plan "+id), "Trefoilseam-Chat", "van-"+id)
 			entry.call(t.Context(), "POST", "/orders", `{"meals":`+id+`}`, "Idempotency-Key", "lunch-"+id)
 			entry.call(t.Context(), "GET", "/nowhere", "")
 		}
 	}
-	Convey("every promise is held, and every chain whole", t, func() {
-		day(0)
+	Convey("every promise is held and every record chain is complete", t, func() {
+		sendCalls(0)
 		again := other.call(t.Context(), "POST", "/orders", `{"meals":3}`, "Idempotency-Key", "lunch-3")
 		So(again.header.Get("Idempotency-Replayed"), ShouldEqual, "true")
-		stream := entry.call(t.Context(), "POST", "/v1/chat/completions", chat(8, "plan 9"), "Trefoilseam-Chat", "van-9")
+		stream := entry.call(t.Context(), "POST", "/v1/chat/completions", chatBody(8, "plan 9"), "Trefoilseam-Chat", "van-9")
 		id := regexp.MustCompile(`id: (\S+)`).FindStringSubmatch(stream.body)
 		rest := other.call(t.Context(), "GET", "/v1/streams/"+id[1], "")
 		So(rest.body, ShouldEndWith, "data: [DONE]\n\n")
-		_, code := configure(t, "apply", "-platform", rig.base, "-base", baseFile(t, "four.toml", 4), "-edited-from", "1", "-wait")
+		_, code := configure(t, "apply", "-platform", rig.platformURL, "-base", baseFile(t, "four.toml", 4), "-edited-from", "1", "-wait")
 		So(code, ShouldEqual, 0)
 		rig.platform.SetFaults(imitator.PlatformFaults{Down: true})
-		day(100)
+		sendCalls(100)
 		rig.platform.SetFaults(imitator.PlatformFaults{LoseAnswers: 2})
 		So(rig.agents["planner-2"].stop(), ShouldEqual, 0)
-		day(200)
+		sendCalls(200)
 		So(entry.stop(), ShouldEqual, 0)
 		So(other.stop(), ShouldEqual, 0)
 		for _, name := range []string{"planner-1", "planner-3", "orders-1", "orders-2"} {
@@ -93,17 +94,17 @@
 		So(code, ShouldEqual, 0)
 		So(report.Verdicts[1].Checked, ShouldEqual, 75)
 		So(report.Incarnations, ShouldEqual, 8)
-		_, code = rig.audit("verify", "-platform", rig.base)
+		_, code = rig.audit("verify", "-platform", rig.platformURL)
 		So(code, ShouldEqual, 0)
-		out, code := rig.audit("verify", "-platform", rig.forged())
+		out, code := rig.audit("verify", "-platform", rig.tamperedPlatform())
 		So(code, ShouldEqual, 1)
 		So(string(out), ShouldContainSubstring, "wrong: record/")
 	})
 }
 
-// forged returns the address of a platform that holds the rig's record with one
-// bit of one segment changed.
-func (rig *rig) forged() string {
+// tamperedPlatform returns the URL of a platform that holds the rig's record with one
+// bit of one segment flipped.
+func (rig *rig) tamperedPlatform() string {
 	objects, err := verifier.Fetch(rig.t.Context(), rig.platform.Seams().Objects, rig.clock)
 	if err != nil {
 		rig.t.Fatal(err)
@@ -120,11 +121,12 @@
 	return rig.serve(platform.Handler())
 }
 
-func TestAStopThatCutsACallIsConvicted(t *testing.T) {
+func TestAuditReportsAStopThatCutsACall(t *testing.T) {
 	t.Parallel()
-	// An operator has set a drain far shorter than an order takes. The agent is
-	// stopped as planned, gives up on the order, and its caller is told that
-	// the outcome is unknown. The record of both processes convicts the stop.
+	// Guards against a planned stop that cuts a call off without a breach in the
+	// audit. The configured drain is far shorter than an order takes, so the agent
+	// abandons the order when it stops, and the caller gets an unknown outcome.
+	// The records of both processes show the breach.
 	bundle := siteConfig()
 	bundle.Base = strings.Replace(bundle.Base, "kind = \"plain\"", "kind = \"plain\"\nlongest-drain = \"100ms\"", 1)
 	rig := newRig(t, bundle)
@@ -147,14 +149,15 @@
 
 func TestAKilledAgentLeavesAPromiseNotProvable(t *testing.T) {
 	t.Parallel()
-	// An agent is killed in the middle of an order, before it has flushed what
-	// it did. The caller was told that the outcome is unknown, and the auditor
-	// is told that at-most-once can't be shown for that order, and why.
+	// Guards against an audit that claims too much after a crash. An agent is killed
+	// during an order, before it has flushed its record. The caller gets an unknown
+	// outcome, and the audit reports that at-most-once is not provable for that
+	// order, and why.
 	rig := newRig(t, siteConfig())
 	started := rig.clock.Now()
 	agent := rig.addOrders("orders-1", 10*timekeeper.Second)
 	entry := rig.addEntry("entry-1")
-	Convey("the report names the order and the gap", t, func() {
+	Convey("the promise is not provable, and none is broken", t, func() {
 		done := make(chan reply)
 		go func() { done <- entry.call(t.Context(), "POST", "/orders", `{"meals":40}`) }()
 		rig.eventually("the order was granted", func() bool { return len(agent.logged("admission")) == 1 })
--- a/test/integration/restart_test.go
+++ b/test/integration/restart_test.go
@@ -11,8 +11,8 @@
 	"github.com/trefoilseam/trefoilseam/internal/imitator"
 )
 
-// peersLine names processes to ask while the store is down.
-func peersLine(procs ...*process) string {
+// peersSetting returns the settings line that names peers to ask while the store is down.
+func peersSetting(procs ...*process) string {
 	names := make([]string, len(procs))
 	for i, proc := range procs {
 		names[i] = fmt.Sprintf("%q", proc.address)
@@ -20,8 +20,8 @@
 	return "peers = [" + strings.Join(names, ", ") + "]\n"
 }
 
-// together starts processes side by side.
-func together(starts ...func() *process) []*process {
+// startAll starts processes in parallel.
+func startAll(starts ...func() *process) []*process {
 	started := make([]*process, len(starts))
 	var starting sync.WaitGroup
 	for i, start := range starts {
@@ -31,13 +31,14 @@
 	return started
 }
 
-func TestEverybodyIsRestartedInAnOutage(t *testing.T) {
+func TestAllProcessesRestartInAStoreOutage(t *testing.T) {
 	t.Parallel()
-	// Callers are served again as soon as a process has started, under the
-	// revision from before the outage; nobody serves under a lower one.
-	// A change is accepted, the store goes down, and then all entries are killed
-	// at once and started anew, and after them the agents, one and then two.
-	// None can read the store; each asks the processes that it is told of.
+	// Guards against a fleet that can't restart during an outage of the store, or
+	// serves under an older revision. A change is accepted and the store goes down.
+	// Then all entries are killed at once and restarted, and after them the agents,
+	// first one and then two. None can read the store, so each fetches the
+	// configuration from the peers in its settings, and serves under the revision
+	// from before the outage.
 	rig := newRig(t, quickConfig())
 	upstreams := map[string]string{}
 	agents := []*process{}
@@ -48,63 +49,63 @@
 	}
 	entrySettings := func(name string) string {
 		return fmt.Sprintf("name = %q\nsite = \"bole\"\nlisten = \"127.0.0.1:0\"\nadmin-listen = \"127.0.0.1:0\"\nplatform = %q\n",
-			name, rig.base) + peersLine(agents...)
+			name, rig.platformURL) + peersSetting(agents...)
 	}
 	entries := []*process{rig.addEntry("entry-1"), rig.addEntry("entry-2")}
-	text, code := configure(t, "apply", "-platform", rig.base, "-base", baseFile(t, "b.toml", 4), "-edited-from", "1", "-wait", "-timeout", "10s")
+	text, code := configure(t, "apply", "-platform", rig.platformURL, "-base", baseFile(t, "b.toml", 4), "-edited-from", "1", "-wait", "-timeout", "10s")
 	if code != 0 {
 		t.Fatal(text)
 	}
-	rig.eventuallyAt(2, entries...)
-	told := make(chan outcome, 1)
+	rig.eventuallyAtRevision(2, entries...)
+	applied := make(chan outcome, 1)
 	serves := func(entry *process) func() bool {
 		return func() bool { return entry.call(t.Context(), "GET", "/orders", "").status == 200 }
 	}
-	Convey("calls are served in the outage, while an operator tries a change", t, func() {
+	Convey("calls are served in the outage, while an operator attempts a change", t, func() {
 		rig.platform.SetFaults(imitator.PlatformFaults{Down: true})
 		So(entries[0].call(t.Context(), "POST", "/orders", "{}").status, ShouldEqual, 200)
 		file := baseFile(t, "c.toml", 5)
 		go func() {
-			text, code := configure(t, "apply", "-platform", rig.base, "-base", file, "-edited-from", "2")
-			told <- outcome{text: text, code: code}
+			text, code := configure(t, "apply", "-platform", rig.platformURL, "-base", file, "-edited-from", "2")
+			applied <- outcome{text: text, code: code}
 		}()
 	})
 	Convey("all entries serve calls again", t, func() {
 		entries[0].kill()
 		entries[1].kill()
-		entries = together(
+		entries = startAll(
 			func() *process { return rig.start("entry", entrySettings("entry-1")) },
 			func() *process { return rig.start("entry", entrySettings("entry-2")) })
 		for _, entry := range entries {
-			So(entry.configOf(t.Context()).Revision, ShouldEqual, 2)
-			rig.eventually("calls through an entry that started in the outage", serves(entry))
+			So(entry.configStatus(t.Context()).Revision, ShouldEqual, 2)
+			rig.eventually("an entry that started in the outage serves calls", serves(entry))
 		}
 	})
-	again := func(i int, peers ...*process) func() *process {
+	restartAgent := func(i int, peers ...*process) func() *process {
 		name := fmt.Sprint("orders-", i+1)
 		agents[i].kill()
 		settings := strings.Replace(rig.agentSettings("orders", name, upstreams[name]),
 			`listen = "127.0.0.1:0"`, fmt.Sprintf("listen = %q", agents[i].address), 1)
-		return func() *process { return rig.start("agent", settings+peersLine(peers...)) }
+		return func() *process { return rig.start("agent", settings+peersSetting(peers...)) }
 	}
 	Convey("each agent serves calls again", t, func() {
-		agents[0] = again(0, agents[1], agents[2])()
-		copy(agents[1:], together(again(1, agents[0]), again(2, agents[0])))
+		agents[0] = restartAgent(0, agents[1], agents[2])()
+		copy(agents[1:], startAll(restartAgent(1, agents[0]), restartAgent(2, agents[0])))
 		for _, agent := range agents {
-			So(agent.configOf(t.Context()).Revision, ShouldEqual, 2)
-			rig.eventually("calls at an agent that started in the outage", func() bool {
+			So(agent.configStatus(t.Context()).Revision, ShouldEqual, 2)
+			rig.eventually("calls reach an agent that started in the outage", func() bool {
 				return serves(entries[0])() && len(agent.logged("admission")) > 0
 			})
 		}
 	})
-	Convey("a change after the outage is in force at all of them", t, func() {
-		inOutage := <-told
+	Convey("a change after the outage is in force at all processes", t, func() {
+		inOutage := <-applied
 		So(inOutage.code, ShouldEqual, 1)
 		So(inOutage.text, ShouldContainSubstring, "not accepted")
 		rig.platform.SetFaults(imitator.PlatformFaults{})
-		text, code := configure(t, "apply", "-platform", rig.base, "-base", baseFile(t, "c.toml", 6), "-edited-from", "2", "-wait", "-timeout", "20s")
+		text, code := configure(t, "apply", "-platform", rig.platformURL, "-base", baseFile(t, "c.toml", 6), "-edited-from", "2", "-wait", "-timeout", "20s")
 		So(text, ShouldContainSubstring, "in force: revision 3")
 		So(code, ShouldEqual, 0)
-		rig.eventuallyAt(3, append(agents, entries...)...)
+		rig.eventuallyAtRevision(3, append(agents, entries...)...)
 	})
 }
--- a/test/integration/resume_test.go
+++ b/test/integration/resume_test.go
@@ -13,8 +13,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// readEvents reads the first events of a stream, then drops the connection. It
-// returns what was read and the id of the last event.
+// readEvents reads the first events of a stream, then closes the connection. It
+// returns the text that it read and the id of the last event.
 func readEvents(ctx context.Context, t *testing.T, proc *process, body string, events int) (part, last string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(ctx)
@@ -49,14 +49,14 @@
 
 func TestAStreamIsResumedThroughAnotherEntry(t *testing.T) {
 	t.Parallel()
-	// The caller has five events of a stream when its entry is killed.
-	// The agent keeps the run alive for its grace; the caller goes to another
-	// entry with Last-Event-ID, which finds the replica by the id alone.
-	// The two parts together are the whole answer: no byte twice, none missing.
+	// Guards against lost or repeated events when an entry is killed after the caller
+	// has received five events of a stream. The agent keeps the run alive for the
+	// grace period. The caller sends Last-Event-ID to another entry, which finds the
+	// replica by the id alone. The two parts together are the whole answer.
 	rig := newRig(t, siteConfig())
 	rig.addPlanner("planner-1", imitator.EngineSettings{Step: 10 * timekeeper.Millisecond})
 	first, second := rig.addEntry("entry-1"), rig.addEntry("entry-2")
-	body := chat(40, "rebuild the route of van seven")
+	body := chatBody(40, "rebuild the route of van seven")
 	part, last := readEvents(t.Context(), t, first, body, 5)
 	first.kill()
 	Convey("the rest follows through the other entry", t, func() {
@@ -70,9 +70,9 @@
 		So(again.body, ShouldEqual, rest.body)
 	})
 	tests := []struct{ name, method, id, key string }{
-		{"an id that nobody wrote", "GET", "planner-1.0.0.0000000", teamKey},
+		{"an id that no agent issued", "GET", "planner-1.0.0.0000000", teamKey},
 		{"an id of an unknown replica", "GET", strings.Replace(last, "planner-1", "planner-9", 1), teamKey},
-		{"an id that is none", "GET", "nonsense", teamKey},
+		{"a malformed id", "GET", "nonsense", teamKey},
 		{"another team's stream", "GET", last, "other-key"},
 		{"another team's cancel", "DELETE", last, "other-key"},
 	}
@@ -89,7 +89,7 @@
 	rig := newRig(t, siteConfig())
 	rig.addPlanner("planner-1", imitator.EngineSettings{Step: 10 * timekeeper.Millisecond})
 	entry := rig.addEntry("entry-1")
-	_, last := readEvents(t.Context(), t, entry, chat(10000, "an endless answer"), 2)
+	_, last := readEvents(t.Context(), t, entry, chatBody(10000, "an endless answer"), 2)
 	Convey("a cancel by the caller ends the sequence at once", t, func() {
 		got := entry.call(t.Context(), "DELETE", "/v1/streams/"+last, "")
 		So(got.status, ShouldEqual, http.StatusNoContent)
--- a/test/integration/rig_test.go
+++ b/test/integration/rig_test.go
@@ -20,8 +20,8 @@
 	"syscall"
 	"testing"
 
-	// The binary is built from this package and what it imports. Importing it
-	// makes go test run anew when one of them has changed.
+	// The binary is built from this package and its imports. Importing it here
+	// invalidates cached test results when one of them changes.
 	_ "github.com/trefoilseam/trefoilseam/internal/assembler"
 	"github.com/trefoilseam/trefoilseam/internal/disturber"
 	"github.com/trefoilseam/trefoilseam/internal/imitator"
@@ -31,7 +31,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// binary is the built program; TestMain makes it.
+// binary is the path of the program, which TestMain builds.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -51,10 +51,10 @@
 		fmt.Fprintln(os.Stderr, string(out))
 		return 1
 	}
-	// Most tests wait for processes and use little of a core, so as many run side
-	// by side on any machine. The command line may say otherwise.
-	const sideBySide = "12"
-	if err := flag.Set("test.parallel", sideBySide); err != nil {
+	// Most tests wait for processes and use little CPU, so 12 run in parallel on
+	// any machine. -parallel on the command line overrides this.
+	const parallelTests = "12"
+	if err := flag.Set("test.parallel", parallelTests); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
@@ -64,7 +64,7 @@
 // teamKey is the key of the one team in siteConfig.
 const teamKey = "rig-key"
 
-// siteConfig is the configuration that most tests run under.
+// siteConfig returns the configuration that most tests use.
 func siteConfig() resolver.Bundle {
 	sum, other := sha256.Sum256([]byte(teamKey)), sha256.Sum256([]byte("other-key"))
 	return resolver.Bundle{Base: fmt.Sprintf(`
@@ -90,28 +90,28 @@
 `, hex.EncodeToString(sum[:]), hex.EncodeToString(other[:]), imitator.CachedHeader)}
 }
 
-// rig is one site: stand-ins in the test process, entries and agents as real
-// processes, and a fault-injecting proxy before each agent.
+// rig is one site: fakes of the platform and the upstreams in the test process,
+// entries and agents as real processes, and a fault-injecting proxy before each agent.
 type rig struct {
-	t         testing.TB
-	clock     timekeeper.Clock
-	platform  *imitator.Platform
-	base      string
-	ledger    *imitator.Ledger
-	engines   map[string]*imitator.Engine
-	proxies   map[string]*disturber.Proxy
-	agents    map[string]*process
-	upstreams map[string]string
-	instances []storekeeper.Instance
+	t           testing.TB
+	clock       timekeeper.Clock
+	platform    *imitator.Platform
+	platformURL string
+	ledger      *imitator.Ledger
+	engines     map[string]*imitator.Engine
+	proxies     map[string]*disturber.Proxy
+	agents      map[string]*process
+	upstreams   map[string]string
+	instances   []storekeeper.Instance
 }
 
-// noteSources reads the command's files, so that go test runs anew when they
-// have changed. Only what a test itself opens counts for that.
-func noteSources(t testing.TB) {
+// readCommandSources reads the command's files, so that a change to them
+// invalidates cached test results: go test tracks the files that a test opens.
+func readCommandSources(t testing.TB) {
 	t.Helper()
 	sources, err := filepath.Glob("../../cmd/trefoilseam/*.go")
 	if err != nil || len(sources) == 0 {
-		t.Fatal("the command's files are not there", err)
+		t.Fatal("no source files of the command found", err)
 	}
 	for _, source := range sources {
 		if _, err := os.ReadFile(source); err != nil {
@@ -120,10 +120,10 @@
 	}
 }
 
-// newRig returns a rig with a platform that holds the configuration.
+// newRig returns a rig whose platform holds the configuration.
 func newRig(t testing.TB, bundle resolver.Bundle) *rig {
 	t.Helper()
-	noteSources(t)
+	readCommandSources(t)
 	rig := &rig{
 		t:         t,
 		clock:     timekeeper.Wall(),
@@ -134,14 +134,14 @@
 		upstreams: map[string]string{},
 		platform:  imitator.NewPlatform(timekeeper.Wall()),
 	}
-	rig.base = rig.serve(rig.platform.Handler())
+	rig.platformURL = rig.serve(rig.platform.Handler())
 	if _, err := publisher.Accept(t.Context(), rig.platform.Seams(), bundle, 0, "rig"); err != nil {
 		t.Fatal(err)
 	}
 	return rig
 }
 
-// serve serves a stand-in until the test ends.
+// serve runs an HTTP server for the handler until the test ends and returns its URL.
 func (rig *rig) serve(handler http.Handler) string {
 	server := httptest.NewServer(handler)
 	rig.t.Cleanup(func() {
@@ -151,7 +151,7 @@
 	return server.URL
 }
 
-// addPlanner starts an engine and its agent.
+// addPlanner starts an engine of the planner service and its agent.
 func (rig *rig) addPlanner(name string, settings imitator.EngineSettings) *process {
 	settings.Name, settings.Clock = name, rig.clock
 	engine, stop := imitator.NewEngine(settings)
@@ -160,7 +160,7 @@
 	return rig.addAgent("planner", name, rig.serve(engine.Handler()))
 }
 
-// addOrders starts a replica of the plain service and its agent.
+// addOrders starts a replica of the plain orders service and its agent.
 func (rig *rig) addOrders(name string, work timekeeper.Span) *process {
 	service := imitator.NewService(imitator.ServiceSettings{Name: name, Ledger: rig.ledger, Work: work, Clock: rig.clock})
 	return rig.addAgent("orders", name, rig.serve(service))
@@ -186,16 +186,16 @@
 
 func (rig *rig) agentSettings(service, name, upstream string) string {
 	return fmt.Sprintf("name = %q\nsite = \"bole\"\nlisten = \"127.0.0.1:0\"\nadmin-listen = \"127.0.0.1:0\"\n"+
-		"platform = %q\nservice = %q\nupstream = %q\n", name, rig.base, service, upstream)
+		"platform = %q\nservice = %q\nupstream = %q\n", name, rig.platformURL, service, upstream)
 }
 
 // addEntry starts an entry.
 func (rig *rig) addEntry(name string) *process {
 	return rig.start("entry", fmt.Sprintf("name = %q\nsite = \"bole\"\nlisten = \"127.0.0.1:0\"\n"+
-		"admin-listen = \"127.0.0.1:0\"\nplatform = %q\n", name, rig.base))
+		"admin-listen = \"127.0.0.1:0\"\nplatform = %q\n", name, rig.platformURL))
 }
 
-// process is one real process of the system.
+// process is an entry or agent that runs as a process of its own.
 type process struct {
 	t       testing.TB
 	command *exec.Cmd
@@ -216,7 +216,7 @@
 	Request string `json:"request-id"`
 }
 
-// start runs a command with settings and waits until it listens.
+// start runs a command with settings and waits until it listens on both addresses.
 func (rig *rig) start(command, settings string) *process {
 	rig.t.Helper()
 	file := filepath.Join(rig.t.TempDir(), "settings.toml")
@@ -233,7 +233,7 @@
 		rig.t.Fatal(err)
 	}
 	ready := make(chan struct{})
-	go started.read(stderr, ready)
+	go started.readLog(stderr, ready)
 	rig.t.Cleanup(started.kill)
 	select {
 	case <-ready:
@@ -243,8 +243,8 @@
 	return started
 }
 
-// read collects log lines; ready closes once both addresses are known.
-func (proc *process) read(stderr io.Reader, ready chan struct{}) {
+// readLog collects log lines and closes ready once both addresses are known.
+func (proc *process) readLog(stderr io.Reader, ready chan struct{}) {
 	defer close(proc.done)
 	lines := bufio.NewScanner(stderr)
 	for lines.Scan() {
@@ -284,31 +284,31 @@
 	}
 }
 
-// kill ends the process at once; a stopped one too.
+// kill sends SIGKILL, which also ends a stopped process, and waits for the exit.
 func (proc *process) kill() {
 	_ = proc.command.Process.Kill()
 	<-proc.done
 	_ = proc.command.Wait()
 }
 
-// stop asks for a graceful stop and returns the exit code.
+// stop sends SIGTERM for a graceful stop and returns the exit code.
 func (proc *process) stop() int {
 	proc.signal(syscall.SIGTERM)
-	return proc.ended()
+	return proc.waitForExit()
 }
 
-// longestEnd is how long a process may take to end after it was told to; all
-// that tests have in flight ends far sooner.
-const longestEnd = 15 * timekeeper.Second
+// exitTimeout is how long a process may take to exit after a signal; all calls that
+// tests have in flight end far sooner.
+const exitTimeout = 15 * timekeeper.Second
 
-// ended waits for the end of the process and returns its exit code.
-func (proc *process) ended() int {
-	late, release := timekeeper.Wall().After(longestEnd)
+// waitForExit waits until the process exits and returns its exit code.
+func (proc *process) waitForExit() int {
+	late, release := timekeeper.Wall().After(exitTimeout)
 	defer release()
 	select {
 	case <-proc.done:
 	case <-late:
-		// The stacks are in its log, so that what it waits for can be seen.
+		// SIGQUIT prints the goroutine stacks, which show what the process waits for.
 		proc.signal(syscall.SIGQUIT)
 		<-proc.done
 		for _, line := range proc.lines {
@@ -319,16 +319,16 @@
 	return proc.command.ProcessState.ExitCode()
 }
 
-// reply is what a caller got.
+// reply is the answer to a call.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// err is set when the answer was cut: it must not be taken for whole.
+	// err is set when the call failed or its answer was cut off; body is then incomplete.
 	err error
 }
 
-// ran returns the member "ran" of a problem, or "" when the answer is none.
+// ran returns the member "ran" of a problem, or "" when the answer is no problem.
 func (got reply) ran() string {
 	var problem struct {
 		Ran string `json:"ran"`
@@ -339,7 +339,7 @@
 	return problem.Ran
 }
 
-// call makes one call with the rig's team key; headers come in pairs.
+// call makes one call with teamKey; headers are pairs of name and value.
 func (proc *process) call(ctx context.Context, method, path, body string, headers ...string) reply {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+proc.address+path, strings.NewReader(body))
 	if err != nil {
@@ -360,13 +360,14 @@
 	return reply{status: response.StatusCode, header: response.Header, body: string(text), err: err}
 }
 
-// chat returns the body of a streamed chat completion.
-func chat(maxTokens int, words string) string {
+// chatBody returns the request body of a streamed chat completion.
+func chatBody(maxTokens int, words string) string {
 	return `{"model":"planner","stream":true,"max_tokens":` + strconv.Itoa(maxTokens) +
 		`,"messages":[{"role":"user","content":` + strconv.Quote(words) + `}]}`
 }
 
-// eventually waits until the condition holds; it gives up with the test's deadline.
+// eventually waits until the condition holds. It fails the test after about 30 seconds,
+// or when the test's context ends.
 func (rig *rig) eventually(what string, condition func() bool) {
 	rig.t.Helper()
 	const rounds, pause = 1500, 20 * timekeeper.Millisecond
@@ -378,5 +379,5 @@
 			break
 		}
 	}
-	rig.t.Fatalf("never came true: %s", what)
+	rig.t.Fatalf("timed out waiting for: %s", what)
 }
--- a/test/integration/rolling_test.go
+++ b/test/integration/rolling_test.go
@@ -19,9 +19,9 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// replaceAgent tells an agent to leave, starts its successor before the same
-// upstream, and puts that on the instance list in its place. It returns when the
-// successor takes work, as whoever replaces a fleet must wait for before the next.
+// replaceAgent sends an agent SIGTERM, starts its successor for the same upstream,
+// and replaces it on the instance list. It returns once the successor accepts work,
+// which a rolling replacement must wait for before the next agent.
 func (rig *rig) replaceAgent(name string) (exit int) {
 	rig.t.Helper()
 	old, service := rig.agents[name], ""
@@ -30,12 +30,13 @@
 	old.signal(syscall.SIGTERM)
 	rig.instances = slices.Delete(slices.Clone(rig.instances), at, at+1)
 	successor := rig.addAgent(service, name, rig.upstreams[name])
-	exit = old.ended()
-	rig.eventually("the successor takes work", func() bool { return len(successor.logged("admission")) > 0 })
+	exit = old.waitForExit()
+	rig.eventually("the successor accepts work", func() bool { return len(successor.logged("admission")) > 0 })
 	return exit
 }
 
-// balancer is the platform's: one address before an entry that may be replaced.
+// balancer returns a proxy that stands for the platform's load balancer: its address
+// stays while the entry behind it is replaced.
 func (rig *rig) balancer(entry *process) *disturber.Proxy {
 	rig.t.Helper()
 	proxy, closeProxy, err := disturber.New(entry.address, rig.clock)
@@ -46,8 +47,8 @@
 	return proxy
 }
 
-// load is what callers do all the while.
-type load struct {
+// workload counts the calls that callers make throughout a test.
+type workload struct {
 	calls   sync.WaitGroup
 	next    atomic.Int64
 	mu      sync.Mutex
@@ -56,51 +57,52 @@
 	failed  []error
 }
 
-func (load *load) note(key string, err error) {
-	load.mu.Lock()
-	defer load.mu.Unlock()
+func (workload *workload) record(key string, err error) {
+	workload.mu.Lock()
+	defer workload.mu.Unlock()
 	switch {
 	case err != nil:
-		load.failed = append(load.failed, err)
+		workload.failed = append(workload.failed, err)
 	case key != "":
-		load.keys = append(load.keys, key)
+		workload.keys = append(workload.keys, key)
 	default:
-		load.streams++
+		workload.streams++
 	}
 }
 
-// order sends orders under new keys until ctx ends; the last one ends whole.
-func (load *load) order(ctx context.Context, van *caller.Caller) {
+// order sends orders under new keys until ctx ends; the last one runs to completion.
+func (workload *workload) order(ctx context.Context, client *caller.Caller) {
 	for ctx.Err() == nil {
-		key := "rolling-" + strconv.FormatInt(load.next.Add(1), 10)
-		_, err := van.Send(context.WithoutCancel(ctx), caller.Call{Method: "POST", Path: "/orders", Key: key, Body: []byte("{}")})
-		load.note(key, err)
+		key := "rolling-" + strconv.FormatInt(workload.next.Add(1), 10)
+		_, err := client.Send(context.WithoutCancel(ctx), caller.Call{Method: "POST", Path: "/orders", Key: key, Body: []byte("{}")})
+		workload.record(key, err)
 	}
 }
 
-// stream reads streams until ctx ends; the last one ends whole.
-func (load *load) stream(ctx context.Context, van *caller.Caller, tokens int) {
+// stream reads streams until ctx ends; the last one is read to its end.
+func (workload *workload) stream(ctx context.Context, client *caller.Caller, tokens int) {
 	for ctx.Err() == nil {
-		body := chat(tokens, "a route "+strconv.FormatInt(load.next.Add(1), 10))
+		body := chatBody(tokens, "a route "+strconv.FormatInt(workload.next.Add(1), 10))
 		seen := 0
 		call := caller.Call{Method: "POST", Path: "/v1/chat/completions", Body: []byte(body)}
-		err := van.Stream(context.WithoutCancel(ctx), call, func(caller.Event) error {
+		err := client.Stream(context.WithoutCancel(ctx), call, func(caller.Event) error {
 			seen++
 			return nil
 		})
 		if err == nil && seen != tokens {
 			err = eris.Errorf("%d of %d events", seen, tokens)
 		}
-		load.note("", err)
+		workload.record("", err)
 	}
 }
 
 func TestEveryProcessIsReplacedUnderLoad(t *testing.T) {
 	t.Parallel()
-	// Callers order and read streams while each entry and each agent is told to
-	// leave and its successor started, one after the other.
-	// Each order is answered, and ran once; each stream is whole. A process that
-	// leaves refuses, "not run", and ends what it has; the caller's resend meets another.
+	// Guards against failed or doubled calls during a rolling replacement. While
+	// callers order and read streams, each entry and agent in turn receives SIGTERM
+	// and its successor starts. A process that leaves refuses new calls as "not run"
+	// and completes those in flight; the caller resends to another process. Each
+	// order is answered and ran once, and each stream is complete.
 	rig := newRig(t, siteConfig())
 	names := []string{"orders-1", "orders-2", "planner-1", "planner-2"}
 	for _, name := range names[:2] {
@@ -111,24 +113,24 @@
 	}
 	entries := []*process{rig.addEntry("entry-1"), rig.addEntry("entry-2")}
 	balancers := []*disturber.Proxy{rig.balancer(entries[0]), rig.balancer(entries[1])}
-	van := caller.New(caller.Settings{
+	client := caller.New(caller.Settings{
 		Entries: []string{"http://" + balancers[0].Address(), "http://" + balancers[1].Address()},
 		Key:     teamKey, Pause: 20 * timekeeper.Millisecond,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	load := &load{}
+	workload := &workload{}
 	for range 4 {
-		load.calls.Go(func() { load.order(ctx, van) })
-		load.calls.Go(func() { load.stream(ctx, van, 40) })
+		workload.calls.Go(func() { workload.order(ctx, client) })
+		workload.calls.Go(func() { workload.stream(ctx, client, 40) })
 	}
-	Convey("nothing is lost", t, func() {
+	Convey("every order runs once and every stream is complete", t, func() {
 		rig.eventually("callers are served", func() bool { return rig.ledger.Total() > 20 })
 		for i, entry := range entries {
 			entry.signal(syscall.SIGTERM)
 			successor := rig.addEntry("entry-" + strconv.Itoa(i+1) + "b")
 			balancers[i].Retarget(successor.address)
-			So(entry.ended(), ShouldEqual, 0)
+			So(entry.waitForExit(), ShouldEqual, 0)
 		}
 		for _, name := range names {
 			So(rig.replaceAgent(name), ShouldEqual, 0)
@@ -136,13 +138,13 @@
 		before := rig.ledger.Total()
 		rig.eventually("callers are still served", func() bool { return rig.ledger.Total() > before+20 })
 		cancel()
-		load.calls.Wait()
-		t.Log(len(load.keys), "orders,", load.streams, "streams")
-		So(load.failed, ShouldBeEmpty)
-		So(load.streams, ShouldBeGreaterThan, 0)
-		for _, key := range load.keys {
+		workload.calls.Wait()
+		t.Log(len(workload.keys), "orders,", workload.streams, "streams")
+		So(workload.failed, ShouldBeEmpty)
+		So(workload.streams, ShouldBeGreaterThan, 0)
+		for _, key := range workload.keys {
 			So(rig.ledger.Runs(key), ShouldEqual, 1)
 		}
-		So(rig.ledger.Total(), ShouldEqual, len(load.keys))
+		So(rig.ledger.Total(), ShouldEqual, len(workload.keys))
 	})
 }
--- a/test/integration/slopes_test.go
+++ b/test/integration/slopes_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// resident returns the resident memory of a process in KiB, its threads and
-// its open descriptors.
-func (proc *process) resident() (memory, threads, descriptors int) {
+// resources returns the resident memory of a process in KiB, its number of threads
+// and its number of open descriptors.
+func (proc *process) resources() (memory, threads, descriptors int) {
 	base := "/proc/" + strconv.Itoa(proc.command.Process.Pid)
 	text, err := os.ReadFile(base + "/status")
 	if err != nil {
@@ -31,14 +31,14 @@
 	return memory, threads, len(open)
 }
 
-// Bounds of what one more replica costs a process. Resident memory varies by
-// some 20 in 100 from run to run; a session that is kept twice, or a table that
-// grows with calls, breaks them.
+// Bounds on the resources of a process: a base plus a share for each replica.
+// Resident memory varies by some 20 in 100 from run to run. A session that is
+// kept twice or a table that grows with calls exceeds the bounds.
 const (
-	mostKiBAReplica         = 160
-	mostDescriptorsAReplica = 2
-	mostIdleKiB             = 48 << 10
-	mostIdleDescriptors     = 32
+	maxKiBPerReplica         = 160
+	maxDescriptorsPerReplica = 2
+	maxIdleKiB               = 48 << 10
+	maxIdleDescriptors       = 32
 )
 
 // BenchmarkSlopesOfProcesses reports memory and descriptors of real processes
@@ -53,27 +53,27 @@
 	}
 }
 
-// reportProcesses starts so many replicas and reports what entry and agent hold.
+// reportProcesses starts replicas and reports the resources of an entry and an agent.
 func reportProcesses(b *testing.B, replicas int) {
 	rig := newRig(b, siteConfig())
-	entry := rig.fleet(replicas)
+	entry := rig.startFleet(replicas)
 	for i := range 4 * replicas {
 		entry.call(b.Context(), "POST", "/orders", strconv.Itoa(i))
 	}
-	for _, one := range []struct {
+	for _, measured := range []struct {
 		role string
 		proc *process
 	}{{"entry", entry}, {"agent", rig.agents["orders-1"]}} {
-		memory, threads, descriptors := one.proc.resident()
-		b.ReportMetric(float64(memory), one.role+"-KiB")
-		b.ReportMetric(float64(threads), one.role+"-threads")
-		b.ReportMetric(float64(descriptors), one.role+"-descriptors")
-		b.ReportMetric(float64(one.proc.beliefs().Control.PerSecond), one.role+"-control-B/s")
-		if most := mostIdleKiB + mostKiBAReplica*replicas; memory > most {
-			b.Fatalf("%s holds %d KiB, bound %d", one.role, memory, most)
+		memory, threads, descriptors := measured.proc.resources()
+		b.ReportMetric(float64(memory), measured.role+"-KiB")
+		b.ReportMetric(float64(threads), measured.role+"-threads")
+		b.ReportMetric(float64(descriptors), measured.role+"-descriptors")
+		b.ReportMetric(float64(measured.proc.statusPage().Control.PerSecond), measured.role+"-control-B/s")
+		if bound := maxIdleKiB + maxKiBPerReplica*replicas; memory > bound {
+			b.Fatalf("%s holds %d KiB, bound %d", measured.role, memory, bound)
 		}
-		if most := mostIdleDescriptors + mostDescriptorsAReplica*replicas; descriptors > most {
-			b.Fatalf("%s holds %d descriptors, bound %d", one.role, descriptors, most)
+		if bound := maxIdleDescriptors + maxDescriptorsPerReplica*replicas; descriptors > bound {
+			b.Fatalf("%s holds %d descriptors, bound %d", measured.role, descriptors, bound)
 		}
 	}
 	for _, agent := range rig.agents {
--- a/test/integration/stop_test.go
+++ b/test/integration/stop_test.go
@@ -14,17 +14,17 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-const wholeStream = "data: [DONE]\n\n"
+const streamEnd = "data: [DONE]\n\n"
 
 func TestAPlannedStopCutsNothingOff(t *testing.T) {
 	t.Parallel()
-	// The caller reads a long stream when a process on its way is told to stop.
-	// The process takes no new work from then on, relays the stream to its end,
-	// and only then exits, with code 0. The caller notices nothing.
+	// Guards against a graceful stop that cuts a stream off. The caller reads a long
+	// stream when its entry or agent receives SIGTERM. The process accepts no new
+	// work, relays the stream to its end, and only then exits, with code 0.
 	tests := []struct {
-		name string
-		slow timekeeper.Span
-		pick func(rig *rig, entry *process) *process
+		name  string
+		delay timekeeper.Span
+		pick  func(rig *rig, entry *process) *process
 	}{
 		{"the agent stops", 0, func(rig *rig, _ *process) *process { return rig.agents["planner-1"] }},
 		{"the agent stops while its reader is slow", 5 * timekeeper.Millisecond,
@@ -35,18 +35,18 @@
 		rig := newRig(t, siteConfig())
 		rig.addPlanner("planner-1", imitator.EngineSettings{Step: 5 * timekeeper.Millisecond})
 		entry := rig.addEntry("entry-1")
-		rig.proxies["planner-1"].Set(disturber.Back, disturber.Fault{Delay: test.slow})
+		rig.proxies["planner-1"].Set(disturber.Back, disturber.Fault{Delay: test.delay})
 		stopped := test.pick(rig, entry)
 		var got reply
 		var caller sync.WaitGroup
-		caller.Go(func() { got = entry.call(t.Context(), "POST", "/v1/chat/completions", chat(100, "a long route")) })
+		caller.Go(func() { got = entry.call(t.Context(), "POST", "/v1/chat/completions", chatBody(100, "a long route")) })
 		rig.eventually("the engine runs", func() bool { return rig.engines["planner-1"].Counts().Runs == 1 })
 		code := stopped.stop()
 		caller.Wait()
 		Convey(test.name, t, func() {
 			So(got.err, ShouldBeNil)
 			So(strings.Count(got.body, "data: {"), ShouldEqual, 100)
-			So(got.body, ShouldEndWith, wholeStream)
+			So(got.body, ShouldEndWith, streamEnd)
 			So(code, ShouldEqual, 0)
 		})
 	}
@@ -54,10 +54,10 @@
 
 func TestADrainingAgentGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	// One of two replicas is told to stop while it still streams an answer.
-	// The instance list goes on naming it. Callers whose chats live there are
-	// served by the other replica at once: the draining agent refuses, which
-	// says that nothing ran, and the entry goes to the next candidate.
+	// Guards against calls that fail or run at a draining replica. One of two
+	// replicas receives SIGTERM while it still serves a call, and the instance list
+	// keeps naming it. It refuses new calls as not run, and the entry offers them to
+	// the other replica at once.
 	rig := newRig(t, siteConfig())
 	rig.addOrders("orders-1", 300*timekeeper.Millisecond)
 	rig.addOrders("orders-2", 0)
@@ -94,12 +94,12 @@
 	})
 }
 
-func TestAStopThatCutsCallsOffSaysSo(t *testing.T) {
+func TestAStopThatCutsCallsOffIsReported(t *testing.T) {
 	t.Parallel()
-	// The callers' streams are cut, which they can tell from whole ones.
-	// Two streams are longer than the service's longest drain. The agent waits
-	// that long, cuts them off, and its platform sees by the exit code and the
-	// last line that the stop was not clean.
+	// Guards against a forced stop that looks clean. Two streams take longer than the
+	// service's longest drain. The agent waits that long and cuts them off, which
+	// the callers can detect. The exit code and the last log line show the platform
+	// that the stop was not clean.
 	bundle := siteConfig()
 	bundle.Base = strings.Replace(bundle.Base, `kind = "model"`, "kind = \"model\"\nlongest-drain = \"300ms\"", 1)
 	rig := newRig(t, bundle)
@@ -108,26 +108,28 @@
 	got := [2]reply{}
 	var callers sync.WaitGroup
 	for i := range got {
-		callers.Go(func() { got[i] = entry.call(t.Context(), "POST", "/v1/chat/completions", chat(1000, "a long route")) })
+		callers.Go(func() {
+			got[i] = entry.call(t.Context(), "POST", "/v1/chat/completions", chatBody(1000, "a long route"))
+		})
 	}
 	rig.eventually("the engine runs both", func() bool { return rig.engines["planner-1"].Counts().Runs == 2 })
 	code := agent.stop()
 	callers.Wait()
-	Convey("the agent exits with 1 and says how many calls it cut off", t, func() {
+	Convey("the agent exits with 1 and logs how many calls it cut off", t, func() {
 		So(code, ShouldEqual, 1)
 		So(agent.logged("trefoilseam: the longest drain has passed with 2 calls in flight"), ShouldHaveLength, 1)
 		for _, reply := range got {
-			So(reply.body, ShouldNotEndWith, wholeStream)
+			So(reply.body, ShouldNotEndWith, streamEnd)
 		}
 	})
 }
 
-func TestAClaimThatIsWrittenDuringAStopIsWhole(t *testing.T) {
+func TestAStopWaitsForAClaimInFlight(t *testing.T) {
 	t.Parallel()
-	// The caller's order has its slot, and its claim is on the way to a slow
-	// store, when the agent is told to stop. The agent waits for the store, runs
-	// the order and answers it, and then ends: a stop that took the writer of
-	// claims away first would leave a row that names an agent that is gone.
+	// Guards against a claim whose owner has exited. An order has its slot, and its
+	// claim is being written to a slow store, when the agent receives SIGTERM. The
+	// agent waits for the store, runs and answers the order, and then exits. A stop
+	// that ended the claim writer first would leave a row that names a removed agent.
 	rig := newRig(t, siteConfig())
 	agent := rig.addOrders("orders-1", 0)
 	entry := rig.addEntry("entry-1")
@@ -135,27 +137,28 @@
 	var got reply
 	var caller sync.WaitGroup
 	caller.Go(func() { got = entry.order(t.Context(), "while-stopping", "{}") })
-	rig.eventually("the slot is given", func() bool { return len(agent.logged("admission")) > 0 })
+	rig.eventually("the slot is granted", func() bool { return len(agent.logged("admission")) > 0 })
 	code := agent.stop()
 	caller.Wait()
-	Convey("it is answered", t, func() {
+	Convey("the order is answered and ran once", t, func() {
 		So(got.status, ShouldEqual, 200)
 		So(rig.ledger.Runs("while-stopping"), ShouldEqual, 1)
 		So(code, ShouldEqual, 0)
 	})
 }
 
-func TestAnEntryThatStopsLetsItsBalancerKnowFirst(t *testing.T) {
+func TestAStoppingEntryIsNotReadyBeforeItCloses(t *testing.T) {
 	t.Parallel()
-	// A balancer looks at /ready now and then and sends callers where it is 200.
-	// A stopping entry says "not ready" first and still takes callers for its stop
-	// delay; then it closes its door and ends what is in flight.
+	// Guards against refused connections while a load balancer still routes to a
+	// stopping entry. A balancer polls /ready and routes to entries that return 200.
+	// A stopping entry first returns "not ready" and still accepts calls for its
+	// stop delay; then it closes its listener and completes the calls in flight.
 	rig := newRig(t, siteConfig())
 	rig.addOrders("orders-1", 0)
 	entry := rig.start("entry", fmt.Sprintf("name = \"entry-1\"\nsite = \"bole\"\nlisten = \"127.0.0.1:0\"\n"+
-		"admin-listen = \"127.0.0.1:0\"\nplatform = %q\nstop-delay = \"1s\"\n", rig.base))
+		"admin-listen = \"127.0.0.1:0\"\nplatform = %q\nstop-delay = \"1s\"\n", rig.platformURL))
 	admin := &process{t: t, address: entry.admin}
-	Convey("not ready, and callers are still served", t, func() {
+	Convey("the entry is not ready and still serves calls", t, func() {
 		rig.eventually("the entry serves", func() bool { return entry.call(t.Context(), "GET", "/orders", "").status == 200 })
 		So(admin.call(t.Context(), "GET", "/ready", "").status, ShouldEqual, 200)
 		entry.signal(syscall.SIGTERM)
--- a/test/integration/streams_test.go
+++ b/test/integration/streams_test.go
@@ -19,19 +19,20 @@
 	answerID = regexp.MustCompile(`"id":"[^"]*"`)
 )
 
-// wordsOf returns a stream without its ids, which differ from run to run. The
-// parts of two runs under one another keep theirs, and so are seen.
-func wordsOf(body string) string {
+// withoutIDs removes the event ids and the id of the answer from a stream, since they
+// differ from run to run. A stream that mixes two runs keeps the id of the second,
+// so a comparison fails.
+func withoutIDs(body string) string {
 	return strings.ReplaceAll(eventIDs.ReplaceAllString(body, ""), answerID.FindString(body), "")
 }
 
-func TestAStreamCutAtAnyByteIsWhole(t *testing.T) {
+func TestAStreamCutAtAnyByteIsComplete(t *testing.T) {
 	t.Parallel()
-	// The caller sees the whole stream, or a refusal that truly says "not run".
-	// The connection between entry and agent is cut after each byte of a clean
-	// run in turn, so after each frame's edge too, in each direction. The entry
-	// dials again, looks the request up from the byte that the caller has, and
-	// goes on; what had not arrived is buried before the caller is told so.
+	// Guards against a stream that is incomplete or runs twice. The connection
+	// between entry and agent is cut after each byte of a clean run, so at each
+	// frame boundary too, in each direction. The entry dials again, looks the
+	// request up from the last byte that the caller has, and continues; a request
+	// that had not arrived gets a tombstone before the caller gets "not run".
 	for _, direction := range []disturber.Direction{disturber.Forth, disturber.Back} {
 		t.Run(strconv.Itoa(int(direction)), func(t *testing.T) {
 			t.Parallel()
@@ -44,16 +45,16 @@
 	rig := newRig(t, siteConfig())
 	rig.addPlanner("planner-1", imitator.EngineSettings{Step: timekeeper.Millisecond})
 	entry, proxy, engine := rig.addEntry("entry-1"), rig.proxies["planner-1"], rig.engines["planner-1"]
-	body := chat(4, "route of van seven")
+	body := chatBody(4, "route of van seven")
 	proxy.Cut()
 	proxy.Set(direction, disturber.Fault{})
 	clean := entry.call(t.Context(), "POST", "/v1/chat/completions", body)
-	// Ids grow, and the frame that closes a stream comes after the answer.
-	const margin = 48
-	total := proxy.Carried(direction) + margin
+	// Ids get longer, and the frame that closes a stream comes after the answer.
+	const extraBytes = 48
+	total := proxy.Carried(direction) + extraBytes
 	Convey("cut after each of "+strconv.FormatInt(total, 10)+" bytes", t, func() {
-		So(clean.body, ShouldEndWith, wholeStream)
-		whole := int64(0)
+		So(clean.body, ShouldEndWith, streamEnd)
+		completed := int64(0)
 		for at := int64(1); at <= total; at++ {
 			proxy.Cut()
 			proxy.Set(direction, disturber.Fault{CutAfter: at, Once: true})
@@ -64,50 +65,50 @@
 				So(engine.Counts().Runs, ShouldEqual, before)
 				continue
 			}
-			So(wordsOf(got.body), ShouldEqual, wordsOf(clean.body))
+			So(withoutIDs(got.body), ShouldEqual, withoutIDs(clean.body))
 			So(engine.Counts().Runs, ShouldEqual, before+1)
-			whole++
+			completed++
 		}
-		t.Log("whole after", whole, "of", total, "cuts, the others not run")
-		So(whole, ShouldBeBetween, 0, total)
+		t.Log("complete after", completed, "of", total, "cuts, the others not run")
+		So(completed, ShouldBeBetween, 0, total)
 	})
 }
 
 func TestACallerWhoseConnectionIsCutResumes(t *testing.T) {
 	t.Parallel()
-	// The caller's own connection is cut after each stretch of bytes in turn,
-	// in each direction, and it comes back with the id of the last event that
-	// it has. It sees each event once, in order, to the end: the agent keeps
-	// the run for its grace, and any entry finds it by the id alone.
+	// Guards against lost or repeated events when the caller's own connection is cut,
+	// after every seventh byte and in each direction. The caller reconnects with the
+	// id of its last event; the agent keeps the run for the grace period, and any
+	// entry finds it by the id alone. The caller gets each event once, in order.
 	rig := newRig(t, siteConfig())
 	rig.addPlanner("planner-1", imitator.EngineSettings{Step: timekeeper.Millisecond})
-	cut, closeCut, err := disturber.New(rig.addEntry("entry-1").address, rig.clock)
+	proxy, closeProxy, err := disturber.New(rig.addEntry("entry-1").address, rig.clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(closeCut)
+	t.Cleanup(closeProxy)
 	other := rig.addEntry("entry-2")
-	van := caller.New(caller.Settings{
-		Entries: []string{"http://" + cut.Address(), "http://" + other.address}, Key: teamKey, Pause: timekeeper.Millisecond,
+	client := caller.New(caller.Settings{
+		Entries: []string{"http://" + proxy.Address(), "http://" + other.address}, Key: teamKey, Pause: timekeeper.Millisecond,
 	})
 	stream := func() (string, error) {
 		var got strings.Builder
-		call := caller.Call{Method: "POST", Path: "/v1/chat/completions", Body: []byte(chat(6, "route of van nine"))}
-		err := van.Stream(t.Context(), call, func(event caller.Event) error {
+		call := caller.Call{Method: "POST", Path: "/v1/chat/completions", Body: []byte(chatBody(6, "route of van nine"))}
+		err := client.Stream(t.Context(), call, func(event caller.Event) error {
 			got.WriteString(event.Data + "\n")
 			return nil
 		})
-		return wordsOf(got.String()), err
+		return withoutIDs(got.String()), err
 	}
 	for _, direction := range []disturber.Direction{disturber.Forth, disturber.Back} {
-		cut.Set(direction, disturber.Fault{})
+		proxy.Set(direction, disturber.Fault{})
 		clean, err := stream()
-		total := cut.Carried(direction)
+		total := proxy.Carried(direction)
 		Convey("direction "+strconv.Itoa(int(direction))+", "+strconv.FormatInt(total, 10)+" bytes", t, func() {
 			So(err, ShouldBeNil)
 			const step = 7
 			for at := int64(1); at <= total; at += step {
-				cut.Set(direction, disturber.Fault{CutAfter: at, Once: true})
+				proxy.Set(direction, disturber.Fault{CutAfter: at, Once: true})
 				got, err := stream()
 				So(err, ShouldBeNil)
 				So(got, ShouldEqual, clean)
--- a/test/integration/strikes_test.go
+++ b/test/integration/strikes_test.go
@@ -13,7 +13,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// crashes returns how many engines crashed.
+// crashes returns how often engines crashed.
 func (rig *rig) crashes() int {
 	total := 0
 	for _, engine := range rig.engines {
@@ -22,7 +22,7 @@
 	return total
 }
 
-// command runs the binary once and returns what it printed.
+// command runs the binary once and returns its output.
 func command(t *testing.T, args ...string) string {
 	t.Helper()
 	out, err := exec.CommandContext(t.Context(), binary, args...).CombinedOutput()
@@ -32,12 +32,13 @@
 	return string(out)
 }
 
-func TestARequestThatCrashesEnginesCostsTwo(t *testing.T) {
+func TestACrashingRequestIsRefusedAfterTwoCrashes(t *testing.T) {
 	t.Parallel()
-	// The bad request's caller sees "upstream-broken" twice, then "struck, not
-	// run"; callers that shared an engine see a broken answer once and then a whole one.
-	// Each crash strikes what was in flight. The second try runs alone, on
-	// whichever engine and through whichever entry, and the third is refused.
+	// Guards against a request that crashes one engine after the other. Each crash
+	// adds a strike to all requests in flight at the engine. The second attempt of a
+	// struck request runs alone, on any engine and through any entry, and the third
+	// is refused. Its caller gets "upstream-broken" twice, then "struck, not run";
+	// callers that shared an engine get one broken answer, then a complete one.
 	rig := newRig(t, siteConfig())
 	for i := range 4 {
 		rig.addPlanner("planner-"+strconv.Itoa(i+1), imitator.EngineSettings{
@@ -45,11 +46,11 @@
 		})
 	}
 	entries := []*process{rig.addEntry("entry-1"), rig.addEntry("entry-2")}
-	// until resends a chat through the entries in turn, up to a number of times.
-	until := func(words string, tries int, stop func(got reply) bool) reply {
+	// resendUntil sends a chat through the entries in turn, up to a number of times.
+	resendUntil := func(words string, tries int, stop func(got reply) bool) reply {
 		var got reply
 		for i := range tries {
-			got = entries[i%2].call(t.Context(), "POST", "/v1/chat/completions", chat(40, words))
+			got = entries[i%2].call(t.Context(), "POST", "/v1/chat/completions", chatBody(40, words))
 			if stop(got) {
 				return got
 			}
@@ -58,16 +59,16 @@
 	}
 	whole := func(got reply) bool { return got.err == nil && got.status == 200 }
 	struck := func(got reply) bool { return got.status == 422 }
-	Convey("two engines are lost and no innocent request is refused", t, func() {
+	Convey("two engines crash and no other request is refused", t, func() {
 		var callers sync.WaitGroup
 		results := make([]reply, 24)
 		for i := range results {
 			callers.Go(func() {
-				results[i] = until("innocent "+strconv.Itoa(i), 200, func(got reply) bool { return whole(got) || struck(got) })
+				results[i] = resendUntil("innocent "+strconv.Itoa(i), 200, func(got reply) bool { return whole(got) || struck(got) })
 			})
 		}
 		var bad reply
-		callers.Go(func() { bad = until("venom", 400, struck) })
+		callers.Go(func() { bad = resendUntil("venom", 400, struck) })
 		callers.Wait()
 		So(bad.status, ShouldEqual, 422)
 		So(bad.ran(), ShouldEqual, "no")
@@ -76,15 +77,15 @@
 			So(got.status, ShouldEqual, 200)
 		}
 	})
-	Convey("an operator sees the verdict and lifts it", t, func() {
-		var barred []string
-		for line := range strings.Lines(command(t, "strikes", "list", "-platform", rig.base)) {
+	Convey("an operator lists the strikes and lifts them", t, func() {
+		var refused []string
+		for line := range strings.Lines(command(t, "strikes", "list", "-platform", rig.platformURL)) {
 			if fields := strings.Fields(line); fields[1] == "2" {
-				barred = append(barred, fields[0])
+				refused = append(refused, fields[0])
 			}
 		}
-		So(len(barred), ShouldEqual, 1)
-		command(t, "strikes", "lift", "-platform", rig.base, barred[0])
-		So(command(t, "strikes", "list", "-platform", rig.base), ShouldNotContainSubstring, barred[0])
+		So(len(refused), ShouldEqual, 1)
+		command(t, "strikes", "lift", "-platform", rig.platformURL, refused[0])
+		So(command(t, "strikes", "list", "-platform", rig.platformURL), ShouldNotContainSubstring, refused[0])
 	})
 }
--- a/test/integration/twofaults_test.go
+++ b/test/integration/twofaults_test.go
@@ -12,9 +12,9 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// pair is a site of two entries and one replica that takes its time, with an
-// order under way through the first entry.
-type pair struct {
+// site has two entries and one replica whose orders take 200 ms, for an order that
+// is in flight through the first entry when faults occur.
+type site struct {
 	rig     *rig
 	entries [2]*process
 	agent   *process
@@ -22,19 +22,19 @@
 	first   chan reply
 }
 
-// newPair brings an order under the key to the point where the service runs it.
-func newPair(t *testing.T, minted bool) *pair {
+// newSite starts the processes and, for a minted key, requests one.
+func newSite(t *testing.T, minted bool) *site {
 	rig := newRig(t, siteConfig())
-	made := &pair{rig: rig, key: "two-faults", first: make(chan reply, 1)}
-	made.agent = rig.addOrders("orders-1", 200*timekeeper.Millisecond)
-	made.entries = [2]*process{rig.addEntry("entry-1"), rig.addEntry("entry-2")}
+	created := &site{rig: rig, key: "two-faults", first: make(chan reply, 1)}
+	created.agent = rig.addOrders("orders-1", 200*timekeeper.Millisecond)
+	created.entries = [2]*process{rig.addEntry("entry-1"), rig.addEntry("entry-2")}
 	if minted {
-		made.key = mintedKey(t, made.entries[0])
+		created.key = mintedKey(t, created.entries[0])
 	}
-	return made
+	return created
 }
 
-// mintedKey gets one minted key.
+// mintedKey requests one minted key.
 func mintedKey(t *testing.T, entry *process) string {
 	t.Helper()
 	granted := entry.call(t.Context(), "POST", "/v1/keys", `{"service":"orders","count":1}`)
@@ -48,25 +48,25 @@
 }
 
 // send sends the order through the first entry.
-func (pair *pair) send() {
-	go func() { pair.first <- pair.entries[0].order(pair.rig.t.Context(), pair.key, "{}") }()
+func (site *site) send() {
+	go func() { site.first <- site.entries[0].order(site.rig.t.Context(), site.key, "{}") }()
 }
 
-// running waits until the service has the order.
-func (pair *pair) running() {
-	pair.rig.eventually("the order runs", func() bool { return pair.rig.ledger.Runs(pair.key) == 1 })
+// running waits until the service runs the order.
+func (site *site) running() {
+	site.rig.eventually("the order runs", func() bool { return site.rig.ledger.Runs(site.key) == 1 })
 }
 
-// truthful checks what the first caller was told.
-func (pair *pair) truthful(got reply) {
-	if got.err == nil && got.ran() == "no" && pair.rig.ledger.Runs(pair.key) != 0 {
-		pair.rig.t.Error("called not run, and it ran", got)
+// checkTruthful checks that an answer "not run" is correct.
+func (site *site) checkTruthful(got reply) {
+	if got.err == nil && got.ran() == "no" && site.rig.ledger.Runs(site.key) != 0 {
+		site.rig.t.Error("answered as not run, but the order ran", got)
 	}
 }
 
-// resend sends the same through the second entry.
-func (pair *pair) resend() reply {
-	return pair.entries[1].order(pair.rig.t.Context(), pair.key, "{}")
+// resend sends the same order through the second entry.
+func (site *site) resend() reply {
+	return site.entries[1].order(site.rig.t.Context(), site.key, "{}")
 }
 
 func TestTwoFaultsAtOnce(t *testing.T) {
@@ -74,100 +74,101 @@
 	tests := []struct {
 		name   string
 		minted bool
-		// fail brings the faults about and returns what the resend got.
-		fail func(pair *pair) reply
-		// ran is what the resend may say, and again whether a last resend is answered.
-		status []int
-		again  bool
+		// injectFaults causes the faults and returns the answer to the resend.
+		injectFaults func(site *site) reply
+		// status lists the allowed statuses of the resend; answered is set when a last
+		// resend must get the answer.
+		status   []int
+		answered bool
 	}{
-		// The caller's connection breaks; its resend gets the first's answer.
-		// The entry is killed while the order runs, and the store goes down: the
-		// claim is held by the agent, which needs no store to know its own run.
-		{"entry killed, store down", false, entryAndStore, []int{200}, true},
-		// The same with a minted key, sent only when the store is down already.
-		{"store down, then entry killed, minted key", true, storeThenEntry, []int{200}, true},
-		// The caller sees the outcome called unknown, and its resend get the answer.
-		// The agent stands still past the wait for its Run frame while the
-		// connection is cut; the entry's look-ups meet silence. Awake, the agent
-		// ends what it had begun, and starts nothing that is late.
-		{"agent paused, connection cut", false, pausedAndCut, []int{200, 409, 502, 503}, true},
-		// The caller sees "unknown" from its entry, and its resend is never answered
-		// with a second run: the only one who knew is gone, and the row names it.
-		// A refusal of the resend alone (503) speaks of that sending, not of the first.
-		{"agent killed, resend through another entry", false, agentAndEntry, []int{409, 502, 503}, false},
-		// The caller's connection breaks; the write that claimed its key took
-		// effect and its answer was lost. The agent reads its row back, and the
-		// resend through the other entry meets the one run.
-		{"store's answer lost, entry killed", false, answerAndEntry, []int{200}, true},
+		// The entry is killed while the order runs, and the store goes down. The agent
+		// owns the claim and needs no store to know its own run, so the caller's
+		// resend gets the first answer.
+		{"entry killed, store down", false, storeDownThenEntryKilled, []int{200}, true},
+		// The same with a minted key, sent when the store is already down.
+		{"store down, then entry killed, minted key", true, storeDownBeforeOrder, []int{200}, true},
+		// The agent is paused for longer than it waits for a Run frame, and the
+		// connection is cut, so the entry's lookups get no answer and the caller gets
+		// an unknown outcome. When the agent resumes, it completes what it had begun
+		// and starts nothing that is late; the resend gets the answer.
+		{"agent paused, connection cut", false, agentPausedAndConnectionCut, []int{200, 409, 502, 503}, true},
+		// The agent is killed: only it knew the outcome, and the claim names it, so the
+		// caller gets "unknown" and its resend never causes a second run. A refusal
+		// of the resend (503) is about that resend, not about the first attempt.
+		{"agent killed, resend through another entry", false, agentKilled, []int{409, 502, 503}, false},
+		// The entry is killed, and the store loses the answer to the write of the claim,
+		// which took effect. The agent reads its row back, and the resend through the
+		// other entry gets the answer of that run.
+		{"store's answer lost, entry killed", false, storeAnswerLostAndEntryKilled, []int{200}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			pair := newPair(t, test.minted)
-			got := test.fail(pair)
-			pair.rig.platform.SetFaults(imitator.PlatformFaults{})
+			site := newSite(t, test.minted)
+			got := test.injectFaults(site)
+			site.rig.platform.SetFaults(imitator.PlatformFaults{})
 			Convey(test.name, t, func() {
 				So(got.err, ShouldBeNil)
 				So(got.status, ShouldBeIn, test.status)
-				So(pair.rig.ledger.Runs(pair.key), ShouldBeLessThanOrEqualTo, 1)
-				if !test.again {
-					pair.rig.addOrders("orders-2", 0)
-					pair.rig.eventually("another replica answers", func() bool { return pair.resend().status != 503 })
-					So(pair.resend().ran(), ShouldBeIn, "unknown", "yes")
-					So(pair.rig.ledger.Runs(pair.key), ShouldEqual, 1)
+				So(site.rig.ledger.Runs(site.key), ShouldBeLessThanOrEqualTo, 1)
+				if !test.answered {
+					site.rig.addOrders("orders-2", 0)
+					site.rig.eventually("another replica answers", func() bool { return site.resend().status != 503 })
+					So(site.resend().ran(), ShouldBeIn, "unknown", "yes")
+					So(site.rig.ledger.Runs(site.key), ShouldEqual, 1)
 					return
 				}
-				pair.rig.eventually("the answer", func() bool { return pair.resend().status == 200 })
-				So(pair.rig.ledger.Runs(pair.key), ShouldEqual, 1)
+				site.rig.eventually("the resend gets the answer", func() bool { return site.resend().status == 200 })
+				So(site.rig.ledger.Runs(site.key), ShouldEqual, 1)
 			})
 		})
 	}
 }
 
-func entryAndStore(pair *pair) reply {
-	pair.send()
-	pair.running()
-	pair.rig.platform.SetFaults(imitator.PlatformFaults{Down: true})
-	pair.entries[0].kill()
-	return pair.resend()
+func storeDownThenEntryKilled(site *site) reply {
+	site.send()
+	site.running()
+	site.rig.platform.SetFaults(imitator.PlatformFaults{Down: true})
+	site.entries[0].kill()
+	return site.resend()
 }
 
-func storeThenEntry(pair *pair) reply {
-	pair.rig.platform.SetFaults(imitator.PlatformFaults{Down: true})
-	pair.send()
-	pair.running()
-	pair.entries[0].kill()
-	return pair.resend()
+func storeDownBeforeOrder(site *site) reply {
+	site.rig.platform.SetFaults(imitator.PlatformFaults{Down: true})
+	site.send()
+	site.running()
+	site.entries[0].kill()
+	return site.resend()
 }
 
-func pausedAndCut(pair *pair) reply {
-	proxy := pair.rig.proxies["orders-1"]
-	pair.entries[0].order(pair.rig.t.Context(), "warm", "{}")
+func agentPausedAndConnectionCut(site *site) reply {
+	proxy := site.rig.proxies["orders-1"]
+	site.entries[0].order(site.rig.t.Context(), "warm", "{}")
 	proxy.Set(disturber.Back, disturber.Fault{Swallow: true})
-	pair.send()
-	pair.rig.eventually("the offer is there", func() bool { return len(pair.agent.logged("admission")) > 1 })
-	pair.agent.signal(syscall.SIGSTOP)
+	site.send()
+	site.rig.eventually("the offer has arrived", func() bool { return len(site.agent.logged("admission")) > 1 })
+	site.agent.signal(syscall.SIGSTOP)
 	proxy.Set(disturber.Back, disturber.Fault{})
 	proxy.Cut()
-	pair.truthful(<-pair.first)
+	site.checkTruthful(<-site.first)
 	const pastRunWait = 5500 * timekeeper.Millisecond
-	_ = pair.rig.clock.Sleep(pair.rig.t.Context(), pastRunWait)
-	pair.agent.signal(syscall.SIGCONT)
-	return pair.resend()
+	_ = site.rig.clock.Sleep(site.rig.t.Context(), pastRunWait)
+	site.agent.signal(syscall.SIGCONT)
+	return site.resend()
 }
 
-func agentAndEntry(pair *pair) reply {
-	pair.send()
-	pair.running()
-	pair.agent.kill()
-	pair.truthful(<-pair.first)
-	return pair.resend()
+func agentKilled(site *site) reply {
+	site.send()
+	site.running()
+	site.agent.kill()
+	site.checkTruthful(<-site.first)
+	return site.resend()
 }
 
-func answerAndEntry(pair *pair) reply {
-	pair.rig.platform.SetFaults(imitator.PlatformFaults{LoseAnswers: 1})
-	pair.send()
-	pair.running()
-	pair.entries[0].kill()
-	return pair.resend()
+func storeAnswerLostAndEntryKilled(site *site) reply {
+	site.rig.platform.SetFaults(imitator.PlatformFaults{LoseAnswers: 1})
+	site.send()
+	site.running()
+	site.entries[0].kill()
+	return site.resend()
 }
--- a/test/integration/views_test.go
+++ b/test/integration/views_test.go
@@ -19,40 +19,42 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// quickRound makes silence 1.6 s and an entry's own verdict last 2 s.
-const quickRound = "membership-round = \"200ms\"\n"
+// shortRound sets the silence timeout to 1.6 s, and how long an entry's own verdict
+// on a replica lasts to 2 s.
+const shortRound = "membership-round = \"200ms\"\n"
 
-// quickAgent starts an order replica with quick rounds at a site, in place of
-// what the list had under its name.
+// quickAgent starts an orders replica with short rounds at a site and replaces the
+// row of its name on the instance list.
 func (rig *rig) quickAgent(name, site string) *process {
 	service := imitator.NewService(imitator.ServiceSettings{Name: name, Ledger: rig.ledger, Clock: rig.clock})
 	settings := strings.ReplaceAll(rig.agentSettings("orders", name, rig.serve(service)), `"bole"`, strconv.Quote(site))
-	agent := rig.start("agent", settings+quickRound)
+	agent := rig.start("agent", settings+shortRound)
 	proxy, closeProxy, err := disturber.New(agent.address, rig.clock)
 	if err != nil {
 		rig.t.Error(err)
 		return agent
 	}
 	rig.t.Cleanup(closeProxy)
-	listing.Lock()
-	defer listing.Unlock()
+	instancesMutex.Lock()
+	defer instancesMutex.Unlock()
 	rig.proxies[name], rig.agents[name] = proxy, agent
-	rig.instances = slices.DeleteFunc(rig.instances, func(one storekeeper.Instance) bool { return one.Name == name })
+	rig.instances = slices.DeleteFunc(rig.instances, func(instance storekeeper.Instance) bool { return instance.Name == name })
 	rig.instances = append(rig.instances, storekeeper.Instance{Name: name, Service: "orders", Address: proxy.Address(), Site: site})
 	rig.platform.SetInstances(slices.Clone(rig.instances))
 	return agent
 }
 
-// listing guards a rig's list of instances while agents start side by side.
-var listing sync.Mutex
+// instancesMutex guards a rig's instances, proxies and agents while agents start in
+// parallel.
+var instancesMutex sync.Mutex
 
-// quickEntry starts an entry with quick rounds before a platform.
+// quickEntry starts an entry with short rounds that uses the platform.
 func (rig *rig) quickEntry(name, platform string) *process {
 	return rig.start("entry", fmt.Sprintf("name = %q\nsite = \"bole\"\nlisten = \"127.0.0.1:0\"\n"+
-		"admin-listen = \"127.0.0.1:0\"\nplatform = %q\n%s", name, platform, quickRound))
+		"admin-listen = \"127.0.0.1:0\"\nplatform = %q\n%s", name, platform, shortRound))
 }
 
-// quickFleet starts four order replicas, two at each of two sites.
+// quickFleet starts four orders replicas, two at each of two sites.
 func (rig *rig) quickFleet() {
 	var starts sync.WaitGroup
 	for i, site := range []string{"bole", "bole", "piazza", "piazza"} {
@@ -61,30 +63,30 @@
 	starts.Wait()
 }
 
-// ownWays returns the base of a platform whose list leads to the agents over
-// proxies of its own, and these proxies by the replica's name.
-func (rig *rig) ownWays() (string, map[string]*disturber.Proxy) {
-	platform, ways := imitator.NewPlatform(rig.clock), map[string]*disturber.Proxy{}
+// separateProxies returns the URL of a platform whose instance list has a separate
+// proxy for each agent, and these proxies by replica name.
+func (rig *rig) separateProxies() (string, map[string]*disturber.Proxy) {
+	platform, proxies := imitator.NewPlatform(rig.clock), map[string]*disturber.Proxy{}
 	if _, err := publisher.Accept(rig.t.Context(), platform.Seams(), siteConfig(), 0, "rig"); err != nil {
 		rig.t.Fatal(err)
 	}
 	listed := slices.Clone(rig.instances)
-	for i, one := range listed {
-		way, closeWay, err := disturber.New(rig.agents[one.Name].address, rig.clock)
+	for i, instance := range listed {
+		proxy, closeProxy, err := disturber.New(rig.agents[instance.Name].address, rig.clock)
 		if err != nil {
 			rig.t.Fatal(err)
 		}
-		rig.t.Cleanup(closeWay)
-		ways[one.Name], listed[i].Address = way, way.Address()
+		rig.t.Cleanup(closeProxy)
+		proxies[instance.Name], listed[i].Address = proxy, proxy.Address()
 	}
 	platform.SetInstances(listed)
-	return rig.serve(platform.Handler()), ways
+	return rig.serve(platform.Handler()), proxies
 }
 
-// states returns what a process holds each of the names to be.
+// states returns the state that a process has for each of the names.
 func (proc *process) states(names ...string) []string {
 	found := make([]string, len(names))
-	for _, member := range proc.beliefs().Members {
+	for _, member := range proc.statusPage().Members {
 		if at := slices.Index(names, member.Name); at >= 0 {
 			found[at] = member.State
 		}
@@ -92,14 +94,14 @@
 	return found
 }
 
-// allAre reports whether a process holds all the names to be in the state.
+// allAre reports whether a process has all the names in the state.
 func (proc *process) allAre(state string, names ...string) bool {
 	return !slices.ContainsFunc(proc.states(names...), func(found string) bool { return found != state })
 }
 
-// answered makes order lookups at an entry until count of them were answered,
-// and returns by whom; one that is not answered fails the test.
-func (rig *rig) answered(entry *process, count int) map[string]int {
+// answersByReplica sends count GET calls to an entry and returns how many each replica
+// answered; a call that fails also fails the test.
+func (rig *rig) answersByReplica(entry *process, count int) map[string]int {
 	by := map[string]int{}
 	for range count {
 		got := entry.call(rig.t.Context(), "GET", "/orders", "")
@@ -112,192 +114,192 @@
 }
 
 var (
-	nearHalf = []string{"orders-1", "orders-2"}
-	farHalf  = []string{"orders-3", "orders-4"}
-	fleet    = []string{"orders-1", "orders-2", "orders-3", "orders-4"}
+	boleReplicas   = []string{"orders-1", "orders-2"}
+	piazzaReplicas = []string{"orders-3", "orders-4"}
+	allReplicas    = []string{"orders-1", "orders-2", "orders-3", "orders-4"}
 )
 
 func TestTwoEntriesWithOppositeViews(t *testing.T) {
-	// The caller sees nothing, whichever entry it calls.
-	// One entry can't reach the first two replicas and the other can't reach
-	// the last two; the agents reach each other and call all four live. Each
-	// entry goes by what it reaches, and the agents' mean keeps both in bounds.
+	// Guards against failed calls when entries have opposite views. One entry can't
+	// reach the first two replicas and the other can't reach the last two; the
+	// agents reach each other and report all four as live. Each entry uses the
+	// replicas that it reaches, and the agents' mean load keeps both in bounds.
 	t.Parallel()
 	rig := newRig(t, siteConfig())
 	rig.quickFleet()
 	tests := []struct {
 		name string
 		lost []string
-	}{{"entry-1", nearHalf}, {"entry-2", farHalf}}
-	entries, ways := make([]*process, len(tests)), make([]map[string]*disturber.Proxy, len(tests))
+	}{{"entry-1", boleReplicas}, {"entry-2", piazzaReplicas}}
+	entries, proxies := make([]*process, len(tests)), make([]map[string]*disturber.Proxy, len(tests))
 	for i, test := range tests {
 		var base string
-		base, ways[i] = rig.ownWays()
+		base, proxies[i] = rig.separateProxies()
 		entries[i] = rig.quickEntry(test.name, base)
-		rig.eventually("all are live", func() bool { return entries[i].allAre("live", fleet...) })
+		rig.eventually("all are live", func() bool { return entries[i].allAre("live", allReplicas...) })
 	}
-	Convey("both serve, with views that stay opposite until the ways are back", t, func() {
+	Convey("both serve, and their views stay opposite until the proxies accept connections", t, func() {
 		for i, test := range tests {
 			for _, name := range test.lost {
-				ways[i][name].Refuse(true)
-				ways[i][name].Cut()
+				proxies[i][name].Refuse(true)
+				proxies[i][name].Cut()
 			}
 		}
-		rig.eventually("both hold dead what they can't reach, and live the rest", func() bool {
+		rig.eventually("each marks as dead the replicas that it can't reach, and no others", func() bool {
 			for _, entry := range entries {
-				rig.answered(entry, 4)
+				rig.answersByReplica(entry, 4)
 			}
-			return entries[0].allAre("dead", nearHalf...) && entries[0].allAre("live", farHalf...) &&
-				entries[1].allAre("dead", farHalf...) && entries[1].allAre("live", nearHalf...)
+			return entries[0].allAre("dead", boleReplicas...) && entries[0].allAre("live", piazzaReplicas...) &&
+				entries[1].allAre("dead", piazzaReplicas...) && entries[1].allAre("live", boleReplicas...)
 		})
-		rig.eventually("the agents call all live", func() bool { return rig.agents["orders-1"].allAre("live", fleet...) })
+		rig.eventually("the agents have all as live", func() bool { return rig.agents["orders-1"].allAre("live", allReplicas...) })
 		for i, test := range tests {
 			for _, name := range test.lost {
-				ways[i][name].Refuse(false)
+				proxies[i][name].Refuse(false)
 			}
 		}
 		for _, entry := range entries {
-			rig.eventually("all are live again", func() bool { return entry.allAre("live", fleet...) })
-			rig.eventually("all have calls again", func() bool { return len(rig.answered(entry, 24)) == len(fleet) })
+			rig.eventually("all are live again", func() bool { return entry.allAre("live", allReplicas...) })
+			rig.eventually("all replicas answer calls again", func() bool { return len(rig.answersByReplica(entry, 24)) == len(allReplicas) })
 		}
 	})
 }
 
-func TestADataCentreIsGoneAndComesBack(t *testing.T) {
-	// The caller sees answers from the other data centre.
-	// All agents of one data centre die at once; the others hold them dead
-	// after their silence. They come back as new lives and earn their traffic.
+func TestADataCentreFailsAndReturns(t *testing.T) {
+	// Guards against failed calls when all agents of one data centre crash at once.
+	// The other processes mark them dead after the silence timeout, and the other
+	// data centre answers all calls. The agents return as new incarnations whose
+	// weight grows slowly.
 	t.Parallel()
 	rig := newRig(t, siteConfig())
 	rig.quickFleet()
-	entry := rig.quickEntry("entry-1", rig.base)
-	rig.eventually("all are live", func() bool { return entry.allAre("live", fleet...) })
-	Convey("the service stays up on what is left, and is whole again", t, func() {
-		for _, name := range farHalf {
+	entry := rig.quickEntry("entry-1", rig.platformURL)
+	rig.eventually("all are live", func() bool { return entry.allAre("live", allReplicas...) })
+	Convey("the other data centre serves until the replicas return", t, func() {
+		for _, name := range piazzaReplicas {
 			rig.agents[name].kill()
 		}
-		rig.answered(entry, 8)
-		rig.eventually("the entry and a neighbour hold them dead", func() bool {
-			return entry.allAre("dead", farHalf...) && rig.agents["orders-1"].allAre("dead", farHalf...)
+		rig.answersByReplica(entry, 8)
+		rig.eventually("the entry and another agent mark them dead", func() bool {
+			return entry.allAre("dead", piazzaReplicas...) && rig.agents["orders-1"].allAre("dead", piazzaReplicas...)
 		})
-		So(entry.allAre("live", nearHalf...), ShouldBeTrue)
-		rig.answered(entry, 8)
-		for _, name := range farHalf {
+		So(entry.allAre("live", boleReplicas...), ShouldBeTrue)
+		rig.answersByReplica(entry, 8)
+		for _, name := range piazzaReplicas {
 			rig.quickAgent(name, "piazza")
 		}
-		rig.eventually("all are live again", func() bool { return entry.allAre("live", fleet...) })
-		_, weight := entry.sees("orders-3")
+		rig.eventually("all are live again", func() bool { return entry.allAre("live", allReplicas...) })
+		_, weight := entry.viewOf("orders-3")
 		So(weight, ShouldBeLessThan, 0.5)
 	})
 }
 
-func TestAFlappingReplicaEarnsItsTrafficBackSlowly(t *testing.T) {
-	// The caller sees nothing but, now and then, a slower answer.
-	// One agent is paused and woken twice. Each return within ten minutes doubles
-	// the time until it has its share again, so that the next pause would meet
-	// few calls.
+func TestAFlappingReplicaHasALongerSlowStart(t *testing.T) {
+	// Guards against full traffic to a replica that flaps. One agent is paused and
+	// resumed twice. Each return within ten minutes doubles its slow start, so that
+	// the next pause would affect few calls. Callers see at most slower answers.
 	t.Parallel()
 	rig := newRig(t, siteConfig())
 	rig.quickFleet()
-	entry := rig.quickEntry("entry-1", rig.base)
-	rig.eventually("all are live", func() bool { return entry.allAre("live", fleet...) })
-	Convey("after two returns it has a tenth of its share, and few calls", t, func() {
+	entry := rig.quickEntry("entry-1", rig.platformURL)
+	rig.eventually("all are live", func() bool { return entry.allAre("live", allReplicas...) })
+	Convey("after two returns it has a low weight and few calls", t, func() {
 		for range 2 {
 			rig.agents["orders-4"].signal(syscall.SIGSTOP)
-			rig.eventually("it is held dead", func() bool { return entry.allAre("dead", "orders-4") })
+			rig.eventually("it is marked dead", func() bool { return entry.allAre("dead", "orders-4") })
 			rig.agents["orders-4"].signal(syscall.SIGCONT)
 			rig.eventually("it is live again", func() bool { return entry.allAre("live", "orders-4") })
 		}
-		_, weight := entry.sees("orders-4")
+		_, weight := entry.viewOf("orders-4")
 		So(weight, ShouldBeLessThan, 0.15)
 		const calls = 120
-		So(rig.answered(entry, calls)["orders-4"], ShouldBeLessThan, calls/8)
+		So(rig.answersByReplica(entry, calls)["orders-4"], ShouldBeLessThan, calls/8)
 	})
 }
 
-func TestAPausedAgentWakesAfterItsSuccessor(t *testing.T) {
-	// The caller's calls go to the successor alone.
-	// The platform stops an agent and starts another of its name. The first one
-	// wakes and speaks to its peers as if nothing had been; its incarnation is
-	// lower than the one they know, so nobody believes it.
+func TestAPausedAgentResumesAfterItsSuccessorStarts(t *testing.T) {
+	// Guards against calls to a replaced agent. The platform pauses an agent and
+	// starts another of its name. The first one resumes and sends updates to its
+	// peers; its incarnation is lower than the one that they know, so they ignore it
+	// and calls go only to the successor.
 	t.Parallel()
 	rig := newRig(t, siteConfig())
 	rig.quickFleet()
-	entry := rig.quickEntry("entry-1", rig.base)
-	rig.eventually("all are live", func() bool { return entry.allAre("live", fleet...) })
+	entry := rig.quickEntry("entry-1", rig.platformURL)
+	rig.eventually("all are live", func() bool { return entry.allAre("live", allReplicas...) })
 	incarnationAt := func(proc *process) uint64 {
-		for _, member := range proc.beliefs().Members {
+		for _, member := range proc.statusPage().Members {
 			if member.Name == "orders-1" {
 				return member.Incarnation
 			}
 		}
 		return 0
 	}
-	spoken := func(proc *process) int64 {
-		for _, cause := range proc.beliefs().Control.Causes {
+	digestBytes := func(proc *process) int64 {
+		for _, cause := range proc.statusPage().Control.Causes {
 			if cause.Cause == "digest" {
 				return cause.Bytes
 			}
 		}
 		return 0
 	}
-	Convey("no process takes the old life for the replica", t, func() {
+	Convey("no process accepts the old incarnation", t, func() {
 		old := rig.agents["orders-1"]
-		first, before := incarnationAt(entry), spoken(old)
+		first, before := incarnationAt(entry), digestBytes(old)
 		old.signal(syscall.SIGSTOP)
 		rig.quickAgent("orders-1", "bole")
 		all := []*process{entry, rig.agents["orders-2"], rig.agents["orders-3"], rig.agents["orders-4"]}
-		rig.eventually("all know the successor", func() bool {
+		rig.eventually("all have the incarnation of the successor", func() bool {
 			return !slices.ContainsFunc(all, func(proc *process) bool { return incarnationAt(proc) <= first || !proc.allAre("live", "orders-1") })
 		})
 		second := incarnationAt(entry)
 		old.signal(syscall.SIGCONT)
-		const rounds, round = 6, 300
-		rig.eventually("the old one has spoken for some rounds", func() bool { return spoken(old) > before+rounds*round })
+		const rounds, bytesPerRound = 6, 300
+		rig.eventually("the old agent has sent digests for some rounds", func() bool { return digestBytes(old) > before+rounds*bytesPerRound })
 		for _, proc := range all {
 			So(incarnationAt(proc), ShouldEqual, second)
 			So(proc.allAre("live", "orders-1"), ShouldBeTrue)
 		}
-		rig.answered(entry, 12)
+		rig.answersByReplica(entry, 12)
 	})
 }
 
-func TestEverythingStartsAtOnceWithoutAStampede(t *testing.T) {
-	// The caller sees refused connections until an entry listens again, and may be
-	// told "not run" for as long as the list names a replica's old address.
-	// All entries and agents die and are started side by side. Each reads the
-	// head of the configuration, its body and the list once; nothing else of
-	// the store is needed, and nothing is written to find each other again.
+func TestAllProcessesStartWithBoundedStoreAccess(t *testing.T) {
+	// Guards against a burst of store calls when all entries and agents crash and
+	// start in parallel. Each reads the head of the configuration, its body and the
+	// instance list once; discovery needs no other read and no write. Callers see
+	// refused connections until an entry listens again, and may get "not run" while
+	// the list has a replica's old address.
 	t.Parallel()
 	rig := newRig(t, siteConfig())
 	rig.quickFleet()
-	rig.quickEntry("entry-1", rig.base).kill()
-	Convey("reads are a few for each process, and the fleet serves", t, func() {
-		for _, name := range fleet {
+	rig.quickEntry("entry-1", rig.platformURL).kill()
+	Convey("each process makes few reads, and the fleet serves", t, func() {
+		for _, name := range allReplicas {
 			rig.agents[name].kill()
 		}
 		before, started := rig.platform.Counts(), rig.clock.Now()
 		entries := make([]*process, 2)
 		var starts sync.WaitGroup
 		for i := range entries {
-			starts.Go(func() { entries[i] = rig.quickEntry("entry-"+strconv.Itoa(i+1), rig.base) })
+			starts.Go(func() { entries[i] = rig.quickEntry("entry-"+strconv.Itoa(i+1), rig.platformURL) })
 		}
 		starts.Go(rig.quickFleet)
 		starts.Wait()
 		for _, entry := range entries {
-			rig.eventually("all are live", func() bool { return entry.allAre("live", fleet...) })
+			rig.eventually("all are live", func() bool { return entry.allAre("live", allReplicas...) })
 		}
 		after := rig.platform.Counts()
 		seconds := int(rig.clock.Now().Since(started)/timekeeper.Second) + 1
-		const processes, atStart, steadily = 6, 4, 2
+		const processes, readsAtStart, readsPerSecond = 6, 4, 2
 		t.Logf("%d reads and %d writes by %d processes in %d s", after.Reads-before.Reads, after.Writes-before.Writes, processes, seconds)
-		So(after.Reads-before.Reads, ShouldBeLessThanOrEqualTo, processes*(atStart+steadily*seconds))
+		So(after.Reads-before.Reads, ShouldBeLessThanOrEqualTo, processes*(readsAtStart+readsPerSecond*seconds))
 		// Each process stores a segment of its record when it starts and then every
-		// five seconds; on a busy machine the fleet takes longer than that.
+		// five seconds; on a busy machine the start takes longer than that.
 		const secondsPerSegment = 5
 		So(after.Writes-before.Writes, ShouldBeLessThanOrEqualTo, processes*(1+seconds/secondsPerSegment))
 		for _, entry := range entries {
-			rig.eventually("calls are answered; until then they are told not run", func() bool {
+			rig.eventually("calls are answered, and get not run before that", func() bool {
 				got := entry.call(t.Context(), "GET", "/orders", "")
 				if got.status != 200 && got.ran() != "no" {
 					t.Errorf("a call got %d, %v: %s", got.status, got.err, got.body)
@@ -309,25 +311,25 @@
 }
 
 func TestStatusOfASite(t *testing.T) {
-	// The operator sees every listed agent, and which one doesn't answer.
-	// One of four agents is paused and so answers nothing; the others are asked
-	// side by side, so that the silent one holds nobody up.
+	// Guards against a status command that hangs on, or omits, an agent that doesn't
+	// answer. One of four agents is paused; the command queries all of them in
+	// parallel and lists the paused one as silent.
 	t.Parallel()
 	rig := newRig(t, siteConfig())
 	rig.quickFleet()
 	Convey("as a table and as JSON", t, func() {
 		rig.agents["orders-2"].signal(syscall.SIGSTOP)
-		out := command(t, "status", "-platform", rig.base, "-json")
-		var seen beliefs
+		out := command(t, "status", "-platform", rig.platformURL, "-json")
+		var seen statusPage
 		So(json.Unmarshal([]byte(out), &seen), ShouldBeNil)
-		states := make([]string, 0, len(fleet))
+		states := make([]string, 0, len(allReplicas))
 		for _, member := range seen.Members {
 			states = append(states, member.Name+" "+member.State)
 		}
 		So(states, ShouldResemble, []string{"orders-1 live", "orders-2 silent", "orders-3 live", "orders-4 live"})
-		table := command(t, "status", "-platform", rig.base)
+		table := command(t, "status", "-platform", rig.platformURL)
 		lines := strings.Split(strings.TrimSpace(table), "\n")
-		So(lines, ShouldHaveLength, len(fleet)+1)
+		So(lines, ShouldHaveLength, len(allReplicas)+1)
 		So(strings.Fields(lines[0])[:4], ShouldResemble, []string{"SERVICE", "REPLICA", "SITE", "STATE"})
 		So(strings.Fields(lines[2])[:4], ShouldResemble, []string{"orders", "orders-2", "bole", "silent"})
 	})
