--- a/test/integration/record_test.go
+++ b/test/integration/record_test.go
@@ -40,7 +40,7 @@
 	return report, code
 }
 
-func TestAuditOfACleanRunHoldsEveryPromise(t *testing.T) {
+func TestAuditOfACleanRunFindsEveryPromiseHeld(t *testing.T) {
 	t.Parallel()
 	// Guards against false breaches in the audit of a run without crashes. Callers
 	// chat and order, an agent leaves during the run, the store is down for a part
