--- a/test/load/cancel_test.go
+++ b/test/load/cancel_test.go
@@ -37,7 +37,7 @@
 
 // lateCancel runs one replica whose engine stops a cancelled call after cancelDelay
 // and whose agent frees the slot after slotHold. It returns the 99th percentile of
-// the wait for the first token of captions, and the number of calls served in time.
+// the captions' time to first token, and the number of calls served in time.
 func lateCancel(cancelDelay, slotHold timekeeper.Span) (timekeeper.Span, int) {
 	const until, callsPerSecond = 120_000, 6.5
 	policy := systemPolicy(0)
--- a/test/load/faults_test.go
+++ b/test/load/faults_test.go
@@ -68,10 +68,10 @@
 		return overload(policy, 0.7, func(fleet *fleet) { fleet.members["replica-2"].slowdown = 5 })
 	}
 	Convey("one of six replicas is slow", t, func() {
-		system, rendezvousRun := withSlowReplica(systemPolicy(1.25)), withSlowReplica(rendezvous())
-		t.Logf("not served: system %.4f, rendezvous %.4f", unservedShare(system), unservedShare(rendezvousRun))
-		So(unservedShare(system), ShouldBeLessThan, 0.02)
-		So(unservedShare(system)*3, ShouldBeLessThan, unservedShare(rendezvousRun))
+		systemRun, rendezvousRun := withSlowReplica(systemPolicy(1.25)), withSlowReplica(rendezvous())
+		t.Logf("not served: system %.4f, rendezvous %.4f", unservedShare(systemRun), unservedShare(rendezvousRun))
+		So(unservedShare(systemRun), ShouldBeLessThan, 0.02)
+		So(unservedShare(systemRun)*3, ShouldBeLessThan, unservedShare(rendezvousRun))
 	})
 }
 
--- a/test/load/fleet_test.go
+++ b/test/load/fleet_test.go
@@ -29,7 +29,8 @@
 
 func (request request) work() int64 { return request.promptTokens + request.outputTokens }
 
-// policy chooses replicas. Order is nil for the policy of the product itself.
+// policy chooses replicas. Order is nil for systemPolicy, which uses
+// placer.AttemptPlan.
 type policy struct {
 	name     string
 	limits   admitter.Limits
@@ -83,8 +84,8 @@
 	tokenCapacity int64
 	members       map[string]*member
 	roster        placer.Roster
-	// laggingRoster is what half of the entries use: they learn of each change
-	// extraLag later than the others; at zero all entries learn of it together.
+	// laggingRoster is the roster of half of the entries, which learn of each change
+	// extraLag later than the others. With an extraLag of zero all entries use roster.
 	laggingRoster placer.Roster
 	extraLag      timekeeper.Span
 	// assumedCapacity is the cache capacity that agents assume of their engine.
@@ -152,7 +153,8 @@
 	fleet.at(fleet.now.Add(fleet.extraLag), func() { fleet.laggingRoster = updated })
 }
 
-// randomEntryRoster returns the roster of the entry that receives a call.
+// randomEntryRoster returns the roster of a random entry, which receives the call:
+// half of the entries use laggingRoster.
 func (fleet *fleet) randomEntryRoster() placer.Roster {
 	if fleet.extraLag == 0 || fleet.random.IntN(2) == 0 {
 		return fleet.roster
@@ -333,7 +335,7 @@
 	if fleet.policy.baseline {
 		ticket.Team, ticket.Class, ticket.Deadline = "", 3, 0
 	}
-	held, totalWork := member.controller.Load().Work, fleet.totalWork()
+	memberWork, totalWork := member.controller.Load().Work, fleet.totalWork()
 	if fleet.now.Since(fleet.reportedAt) >= fleet.policy.reportInterval {
 		fleet.reportedWork, fleet.reportedAt = totalWork, fleet.now
 	}
@@ -341,7 +343,7 @@
 	decision := member.controller.Offer(ticket, mean)
 	if decision.Outcome != admitter.Refused {
 		share := float64(totalWork+request.work()) / float64(len(fleet.members))
-		fleet.maxOverMean = max(fleet.maxOverMean, float64(held)/share)
+		fleet.maxOverMean = max(fleet.maxOverMean, float64(memberWork)/share)
 		request.fetchedTokens = fleet.fetch(member, chatOffer)
 		member.directory.Record(request.chat, name, request.work())
 		fleet.waiting[request.id] = request
--- a/test/load/overload_test.go
+++ b/test/load/overload_test.go
@@ -8,7 +8,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// serviceRate is about the calls a second that six replicas complete of overload's mix.
+// serviceRate is roughly how many calls of overload's mix six replicas complete in a
+// second.
 const serviceRate = 50
 
 // overload offers a multiple of the service rate for a minute. Two of five teams
--- a/test/load/policies_test.go
+++ b/test/load/policies_test.go
@@ -9,7 +9,8 @@
 
 const slots, queueLength = 8, 64
 
-// systemPolicy is the policy of the product with a load factor.
+// systemPolicy returns the placement and admission policy of trefoilseam with a load
+// factor.
 func systemPolicy(factor float64) policy {
 	return policy{name: "trefoilseam", fetch: true, limits: admitter.Limits{
 		Slots: slots, QueueLength: queueLength, UrgentSlots: 1, LoadFactor: factor,
@@ -19,9 +20,9 @@
 
 // withoutFetching is systemPolicy for engines that can't export a prefix.
 func withoutFetching(factor float64) policy {
-	changed := systemPolicy(factor)
-	changed.fetch = false
-	return changed
+	withoutFetch := systemPolicy(factor)
+	withoutFetch.fetch = false
+	return withoutFetch
 }
 
 func baseline(name string, order func(fleet *fleet, request request) []string) policy {
@@ -71,7 +72,7 @@
 // oracle knows every cache and has no load limit: it chooses the replica with the
 // longest prefix, else the one with most free memory.
 func oracle() policy {
-	changed := baseline(oracleName, func(fleet *fleet, request request) []string {
+	unlimited := baseline(oracleName, func(fleet *fleet, request request) []string {
 		names := fleet.names()
 		return []string{slices.MaxFunc(names, func(a, b string) int {
 			left, right := fleet.members[a].cache, fleet.members[b].cache
@@ -81,6 +82,6 @@
 			return int(right.used - left.used)
 		})}
 	})
-	changed.limits = admitter.Limits{Slots: 1 << 20}
-	return changed
+	unlimited.limits = admitter.Limits{Slots: 1 << 20}
+	return unlimited
 }
--- a/test/load/reuse_test.go
+++ b/test/load/reuse_test.go
@@ -73,21 +73,21 @@
 		}
 		// At a load factor of 2 reuse is near its best, and the busiest of nine
 		// replicas still has capacity for calls that others refuse.
-		system := returningChats(systemPolicy(2), false)
+		systemRun := returningChats(systemPolicy(2), false)
 		planned := returningChats(systemPolicy(2), true).reuse() / returningChats(oracle(), true).reuse()
-		lowFactor := returningChats(systemPolicy(1.25), false)
-		b.ReportMetric(system.reuse()/oracleReuse, "reuse-of-oracle")
-		b.ReportMetric(system.reuse()/rendezvousReuse, "reuse-of-rendezvous")
+		lowFactorRun := returningChats(systemPolicy(1.25), false)
+		b.ReportMetric(systemRun.reuse()/oracleReuse, "reuse-of-oracle")
+		b.ReportMetric(systemRun.reuse()/rendezvousReuse, "reuse-of-rendezvous")
 		b.ReportMetric(planned, "planned-of-oracle")
-		b.ReportMetric(lowFactor.reuse()/oracleReuse, "reuse-of-oracle-at-1.25")
+		b.ReportMetric(lowFactorRun.reuse()/oracleReuse, "reuse-of-oracle-at-1.25")
 		b.ReportMetric(oracleReuse, "oracle-reuse")
-		b.ReportMetric(float64(system.fetchedTokens)/float64(system.totalPromptTokens), "fetched-share")
-		b.ReportMetric(offersPerCall(system), "offers-per-call")
-		b.ReportMetric(unservedShare(system), "not-served")
-		if system.reuse() < minOfOracle*oracleReuse || system.reuse() < minOfRendezvous*rendezvousReuse ||
-			planned < minPlanned || lowFactor.reuse() < minAtLowFactor*oracleReuse {
+		b.ReportMetric(float64(systemRun.fetchedTokens)/float64(systemRun.totalPromptTokens), "fetched-share")
+		b.ReportMetric(offersPerCall(systemRun), "offers-per-call")
+		b.ReportMetric(unservedShare(systemRun), "not-served")
+		if systemRun.reuse() < minOfOracle*oracleReuse || systemRun.reuse() < minOfRendezvous*rendezvousReuse ||
+			planned < minPlanned || lowFactorRun.reuse() < minAtLowFactor*oracleReuse {
 			b.Fatalf("reuse %.3f, at 1.25 %.3f, oracle %.3f, rendezvous %.3f, planned %.3f of the oracle",
-				system.reuse(), lowFactor.reuse(), oracleReuse, rendezvousReuse, planned)
+				systemRun.reuse(), lowFactorRun.reuse(), oracleReuse, rendezvousReuse, planned)
 		}
 	}
 }
@@ -98,16 +98,16 @@
 	const minOfOracle, minOfRendezvous, minPlanned, minAtLowFactor = 0.93, 1.08, 0.97, 0.71
 	for b.Loop() {
 		oracleReuse, rendezvousReuse := returningChats(oracle(), false).reuse(), returningChats(rendezvous(), false).reuse()
-		system := returningChats(withoutFetching(3), false).reuse()
+		systemReuse := returningChats(withoutFetching(3), false).reuse()
 		planned := returningChats(withoutFetching(3), true).reuse() / returningChats(oracle(), true).reuse()
-		lowFactor := returningChats(withoutFetching(1.25), false).reuse()
-		b.ReportMetric(system/oracleReuse, "reuse-of-oracle")
-		b.ReportMetric(system/rendezvousReuse, "reuse-of-rendezvous")
+		lowFactorReuse := returningChats(withoutFetching(1.25), false).reuse()
+		b.ReportMetric(systemReuse/oracleReuse, "reuse-of-oracle")
+		b.ReportMetric(systemReuse/rendezvousReuse, "reuse-of-rendezvous")
 		b.ReportMetric(planned, "planned-of-oracle")
-		b.ReportMetric(lowFactor/oracleReuse, "reuse-of-oracle-at-1.25")
-		if system < minOfOracle*oracleReuse || system < minOfRendezvous*rendezvousReuse || planned < minPlanned || lowFactor < minAtLowFactor*oracleReuse {
+		b.ReportMetric(lowFactorReuse/oracleReuse, "reuse-of-oracle-at-1.25")
+		if systemReuse < minOfOracle*oracleReuse || systemReuse < minOfRendezvous*rendezvousReuse || planned < minPlanned || lowFactorReuse < minAtLowFactor*oracleReuse {
 			b.Fatalf("reuse %.3f, at 1.25 %.3f, oracle %.3f, rendezvous %.3f, planned %.3f of the oracle",
-				system, lowFactor, oracleReuse, rendezvousReuse, planned)
+				systemReuse, lowFactorReuse, oracleReuse, rendezvousReuse, planned)
 		}
 	}
 }
@@ -121,11 +121,11 @@
 }
 
 func unservedShare(fleet *fleet) float64 {
-	refused := 0
+	unserved := 0
 	for _, result := range fleet.results {
 		if !result.served {
-			refused++
+			unserved++
 		}
 	}
-	return float64(refused) / float64(len(fleet.results))
+	return float64(unserved) / float64(len(fleet.results))
 }
--- a/test/load/skew_test.go
+++ b/test/load/skew_test.go
@@ -49,7 +49,7 @@
 	return fleet
 }
 
-// captionP99 returns the 99th percentile of the wait for the first token of captions.
+// captionP99 returns the 99th percentile of the captions' time to first token.
 func captionP99(fleet *fleet) timekeeper.Span {
 	var waits []timekeeper.Span
 	for _, result := range fleet.results {
@@ -80,26 +80,26 @@
 				float64(run.fetchedTokens)/float64(run.totalPromptTokens), unservedShare(run))
 		}
 		for _, reportInterval := range []timekeeper.Span{timekeeper.Second / 4, timekeeper.Second, 4 * timekeeper.Second} {
-			late := systemPolicy(factor)
-			late.reportInterval = reportInterval
-			run := skewedTeams(late, rate)
+			delayedReports := systemPolicy(factor)
+			delayedReports.reportInterval = reportInterval
+			run := skewedTeams(delayedReports, rate)
 			b.Logf("mean load reported every %s: max over mean %.2f, caption p99 %s, reuse %.3f, offers %.2f, not served %.4f",
 				reportInterval, run.maxOverMean, captionP99(run), run.reuse(), offersPerCall(run), unservedShare(run))
 			if unservedShare(run) > maxUnserved || minCaptionGain*captionP99(run) > captionP99(rendezvousRun) {
 				b.Fatalf("with a mean load reported every %s, %.4f were not served", reportInterval, unservedShare(run))
 			}
 		}
-		system, without := skewedTeams(systemPolicy(factor), rate), skewedTeams(withoutFetching(factor), rate)
-		captions := float64(captionP99(rendezvousRun)) / float64(captionP99(system))
-		b.ReportMetric(system.maxOverMean, "max-over-mean")
-		b.ReportMetric(captions, "caption-p99-of-rendezvous")
-		b.ReportMetric(system.reuse()/rendezvousRun.reuse(), "reuse-of-rendezvous")
-		b.ReportMetric(without.reuse()/rendezvousRun.reuse(), "reuse-of-rendezvous-without-fetching")
-		if without.maxOverMean > factor || without.reuse() < minReuseWithoutFetching*rendezvousRun.reuse() {
-			b.Fatalf("without fetching: max over mean %.3f, reuse %.3f of %.3f", without.maxOverMean, without.reuse(), rendezvousRun.reuse())
+		systemRun, withoutFetchingRun := skewedTeams(systemPolicy(factor), rate), skewedTeams(withoutFetching(factor), rate)
+		captionGain := float64(captionP99(rendezvousRun)) / float64(captionP99(systemRun))
+		b.ReportMetric(systemRun.maxOverMean, "max-over-mean")
+		b.ReportMetric(captionGain, "caption-p99-of-rendezvous")
+		b.ReportMetric(systemRun.reuse()/rendezvousRun.reuse(), "reuse-of-rendezvous")
+		b.ReportMetric(withoutFetchingRun.reuse()/rendezvousRun.reuse(), "reuse-of-rendezvous-without-fetching")
+		if withoutFetchingRun.maxOverMean > factor || withoutFetchingRun.reuse() < minReuseWithoutFetching*rendezvousRun.reuse() {
+			b.Fatalf("without fetching: max over mean %.3f, reuse %.3f of %.3f", withoutFetchingRun.maxOverMean, withoutFetchingRun.reuse(), rendezvousRun.reuse())
 		}
-		if system.maxOverMean > factor || captions < minCaptionGain || system.reuse() < minReuse*rendezvousRun.reuse() {
-			b.Fatalf("max over mean %.3f, captions %.2f times better, reuse %.3f of %.3f", system.maxOverMean, captions, system.reuse(), rendezvousRun.reuse())
+		if systemRun.maxOverMean > factor || captionGain < minCaptionGain || systemRun.reuse() < minReuse*rendezvousRun.reuse() {
+			b.Fatalf("max over mean %.3f, captions %.2f times better, reuse %.3f of %.3f", systemRun.maxOverMean, captionGain, systemRun.reuse(), rendezvousRun.reuse())
 		}
 	}
 }
