--- a/test/integration/config_test.go
+++ b/test/integration/config_test.go
@@ -121,7 +121,7 @@
 		So(text, ShouldContainSubstring, "back to 1.")
 		rig.eventuallyAtRevision(3, entry)
 	})
-	Convey("apply names the process that lacks the revision; status lists the others", t, func() {
+	Convey("apply names the process that lacks the revision; status lists the processes", t, func() {
 		rig.proxies["orders-2"].Refuse(true)
 		rig.proxies["orders-2"].Cut()
 		text, code := apply("-base", four, "-edited-from", "3", "-wait", "-timeout", "4s")
@@ -171,8 +171,8 @@
 	t.Parallel()
 	// Guards against failed calls at a site that can't reach the store. A change is
 	// accepted meanwhile, and the command names the processes that lag. The site
-	// keeps the revision in force, and applies the change in time once it reaches
-	// the store again.
+	// keeps the revision in force, and applies the change within the bound once it
+	// reaches the store again.
 	rig := newRig(t, quickConfig())
 	directURL := rig.platformURL
 	storeProxy, closeStoreProxy, err := disturber.New(strings.TrimPrefix(rig.platformURL, "http://"), rig.clock)
--- a/test/integration/members_test.go
+++ b/test/integration/members_test.go
@@ -135,7 +135,7 @@
 			return chatName
 		}
 	}
-	rig.t.Fatal("no chat found with home", name)
+	rig.t.Fatal("no chat of 200 has its home at", name)
 	return ""
 }
 
@@ -143,9 +143,9 @@
 	t.Parallel()
 	// Guards against full traffic to a replica that has just resumed. The platform
 	// pauses its agent, which sends nothing more; its peers mark it dead and the
-	// entry learns that from them. When it resumes, its updates are accepted since
-	// no other process has its name, and its weight grows slowly. Callers see at
-	// most one slower answer.
+	// entry learns that from them. When it resumes, its digests are accepted since
+	// no other process has its name, and its weight grows slowly. Callers may see
+	// slower answers for a moment.
 	rig := newRig(t, siteConfig())
 	entry := rig.startFleet(4)
 	Convey("it is marked dead and returns with a low weight", t, func() {
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -38,9 +38,9 @@
 	// Guards against an order that runs twice or an answer that is lost. The
 	// connection between entry and agent is cut after each byte of a clean run, so
 	// at each frame boundary too, in each direction. The entry dials again and
-	// looks the request up: a request that ran is replayed from the agent's record;
-	// one that had not arrived gets a tombstone before it is offered again. The
-	// caller gets the answer or a correct "not run".
+	// looks the request up: the answer of a request that ran is replayed from the
+	// agent's record; a request that had not arrived gets a tombstone before it is
+	// offered again. The caller gets the answer or a correct "not run".
 	rig := newRig(t, siteConfig())
 	rig.addOrders("orders-1", 0)
 	entry := rig.addEntry("entry-1")
@@ -51,7 +51,7 @@
 			t.Fatal(got)
 		}
 		total := rig.proxies["orders-1"].Carried(direction)
-		Convey("cut after each part of "+strconv.FormatInt(total, 10)+" bytes", t, func() {
+		Convey("cut after each of "+strconv.FormatInt(total, 10)+" bytes", t, func() {
 			answered := 0
 			const step = 1
 			for at := int64(1); at <= total; at += step {
@@ -179,11 +179,11 @@
 
 func TestAPausedAgentRunsNothingTwice(t *testing.T) {
 	t.Parallel()
-	// Guards against a second run while the owner of a key is paused. The agent is
+	// Guards against a second run while the owner of a key is paused. All agents are
 	// paused during the call (SIGSTOP), its entry is killed, and the caller resends
 	// through another entry. No other agent takes the key over, however long the
 	// pause, since the claim names its owner. The first call breaks or ends as
-	// unknown; the resend gets the answer once the agent resumes.
+	// unknown; the resend gets the answer once the agents resume.
 	rig := newRig(t, siteConfig())
 	rig.addOrders("orders-1", 100*timekeeper.Millisecond)
 	rig.addOrders("orders-2", 100*timekeeper.Millisecond)
--- a/test/integration/record_test.go
+++ b/test/integration/record_test.go
@@ -133,7 +133,7 @@
 	started := rig.clock.Now()
 	agent := rig.addOrders("orders-1", 20*timekeeper.Second)
 	entry := rig.addEntry("entry-1")
-	Convey("the sixth promise is broken, with the order's record", t, func() {
+	Convey("the sixth promise is reported as broken, with the record of the order", t, func() {
 		done := make(chan reply)
 		go func() { done <- entry.call(t.Context(), "POST", "/orders", `{"meals":40}`) }()
 		rig.eventually("the order was granted", func() bool { return len(agent.logged("admission")) == 1 })
--- a/test/integration/rig_test.go
+++ b/test/integration/rig_test.go
@@ -238,7 +238,7 @@
 	select {
 	case <-ready:
 	case <-started.done:
-		rig.t.Fatalf("%s ended before it listened: %v", command, started.lines)
+		rig.t.Fatalf("%s exited before it listened: %v", command, started.lines)
 	}
 	return started
 }
@@ -301,14 +301,16 @@
 // tests have in flight end far sooner.
 const exitTimeout = 15 * timekeeper.Second
 
-// waitForExit waits until the process exits and returns its exit code.
+// waitForExit waits until the process exits and returns its exit code. After
+// exitTimeout it ends the process with SIGQUIT and logs its lines.
 func (proc *process) waitForExit() int {
 	late, release := timekeeper.Wall().After(exitTimeout)
 	defer release()
 	select {
 	case <-proc.done:
 	case <-late:
-		// SIGQUIT prints the goroutine stacks, which show what the process waits for.
+		// SIGQUIT makes the process print its goroutine stacks, which show what it waits
+		// for.
 		proc.signal(syscall.SIGQUIT)
 		<-proc.done
 		for _, line := range proc.lines {
--- a/test/integration/rolling_test.go
+++ b/test/integration/rolling_test.go
@@ -20,8 +20,8 @@
 )
 
 // replaceAgent sends an agent SIGTERM, starts its successor for the same upstream,
-// and replaces it on the instance list. It returns once the successor accepts work,
-// which a rolling replacement must wait for before the next agent.
+// and lists the successor in its place. It returns once the successor accepts work;
+// a rolling replacement must wait for that before the next agent.
 func (rig *rig) replaceAgent(name string) (exit int) {
 	rig.t.Helper()
 	old, service := rig.agents[name], ""
@@ -47,7 +47,7 @@
 	return proxy
 }
 
-// workload counts the calls that callers make throughout a test.
+// workload makes calls throughout a test and records their results.
 type workload struct {
 	calls   sync.WaitGroup
 	next    atomic.Int64
--- a/test/integration/stop_test.go
+++ b/test/integration/stop_test.go
@@ -54,30 +54,30 @@
 
 func TestADrainingAgentGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	// Guards against calls that fail or run at a draining replica. One of two
-	// replicas receives SIGTERM while it still serves a call, and the instance list
-	// keeps naming it. It refuses new calls as not run, and the entry offers them to
-	// the other replica at once.
+	// Guards against calls that fail because a replica drains, and against new calls
+	// that run at it. One of two replicas receives SIGTERM while it still serves a
+	// call, and the instance list keeps naming it. It refuses new calls as not run,
+	// and the entry offers them to the other replica at once.
 	rig := newRig(t, siteConfig())
 	rig.addOrders("orders-1", 300*timekeeper.Millisecond)
 	rig.addOrders("orders-2", 0)
 	entry := rig.addEntry("entry-1")
-	var held reply
+	var slowOrder reply
 	var caller sync.WaitGroup
 	caller.Go(func() {
-		for held.header.Get("Trefoilseam-Upstream") != "orders-1" {
-			held = entry.call(t.Context(), "POST", "/orders", "{}")
-			if held.err != nil {
+		for slowOrder.header.Get("Trefoilseam-Upstream") != "orders-1" {
+			slowOrder = entry.call(t.Context(), "POST", "/orders", "{}")
+			if slowOrder.err != nil {
 				return
 			}
 		}
 	})
-	rig.eventually("work at orders-1", func() bool { return len(rig.agents["orders-1"].logged("admission")) > 0 })
+	rig.eventually("orders-1 has admitted a call", func() bool { return len(rig.agents["orders-1"].logged("admission")) > 0 })
 	rig.agents["orders-1"].signal(syscall.SIGTERM)
 	caller.Wait()
 	before := len(rig.agents["orders-1"].logged("admission"))
 	Convey("every later call is answered by the other replica", t, func() {
-		So(held.status, ShouldEqual, 200)
+		So(slowOrder.status, ShouldEqual, 200)
 		for range 20 {
 			got := entry.call(t.Context(), "POST", "/orders", "{}")
 			So(got.status, ShouldEqual, 200)
--- a/test/integration/strikes_test.go
+++ b/test/integration/strikes_test.go
@@ -57,14 +57,14 @@
 		}
 		return got
 	}
-	whole := func(got reply) bool { return got.err == nil && got.status == 200 }
+	complete := func(got reply) bool { return got.err == nil && got.status == 200 }
 	struck := func(got reply) bool { return got.status == 422 }
 	Convey("two engines crash and no other request is refused", t, func() {
 		var callers sync.WaitGroup
 		results := make([]reply, 24)
 		for i := range results {
 			callers.Go(func() {
-				results[i] = resendUntil("innocent "+strconv.Itoa(i), 200, func(got reply) bool { return whole(got) || struck(got) })
+				results[i] = resendUntil("innocent "+strconv.Itoa(i), 200, func(got reply) bool { return complete(got) || struck(got) })
 			})
 		}
 		var bad reply
@@ -77,7 +77,7 @@
 			So(got.status, ShouldEqual, 200)
 		}
 	})
-	Convey("an operator lists the strikes and lifts them", t, func() {
+	Convey("an operator lists the strikes and lifts those of the refused request", t, func() {
 		var refused []string
 		for line := range strings.Lines(command(t, "strikes", "list", "-platform", rig.platformURL)) {
 			if fields := strings.Fields(line); fields[1] == "2" {
--- a/test/integration/twofaults_test.go
+++ b/test/integration/twofaults_test.go
@@ -12,9 +12,9 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// site has two entries and one replica whose orders take 200 ms, for an order that
-// is in flight through the first entry when faults occur.
-type site struct {
+// faultSite is a rig with two entries and one replica whose orders take 200 ms, and
+// the order under test, which the first entry carries when the faults occur.
+type faultSite struct {
 	rig     *rig
 	entries [2]*process
 	agent   *process
@@ -22,10 +22,10 @@
 	first   chan reply
 }
 
-// newSite starts the processes and, for a minted key, requests one.
-func newSite(t *testing.T, minted bool) *site {
+// newFaultSite starts the processes and, for a minted key, requests one.
+func newFaultSite(t *testing.T, minted bool) *faultSite {
 	rig := newRig(t, siteConfig())
-	created := &site{rig: rig, key: "two-faults", first: make(chan reply, 1)}
+	created := &faultSite{rig: rig, key: "two-faults", first: make(chan reply, 1)}
 	created.agent = rig.addOrders("orders-1", 200*timekeeper.Millisecond)
 	created.entries = [2]*process{rig.addEntry("entry-1"), rig.addEntry("entry-2")}
 	if minted {
@@ -48,24 +48,24 @@
 }
 
 // send sends the order through the first entry.
-func (site *site) send() {
+func (site *faultSite) send() {
 	go func() { site.first <- site.entries[0].order(site.rig.t.Context(), site.key, "{}") }()
 }
 
 // running waits until the service runs the order.
-func (site *site) running() {
+func (site *faultSite) running() {
 	site.rig.eventually("the order runs", func() bool { return site.rig.ledger.Runs(site.key) == 1 })
 }
 
 // checkTruthful checks that an answer "not run" is correct.
-func (site *site) checkTruthful(got reply) {
+func (site *faultSite) checkTruthful(got reply) {
 	if got.err == nil && got.ran() == "no" && site.rig.ledger.Runs(site.key) != 0 {
 		site.rig.t.Error("answered as not run, but the order ran", got)
 	}
 }
 
 // resend sends the same order through the second entry.
-func (site *site) resend() reply {
+func (site *faultSite) resend() reply {
 	return site.entries[1].order(site.rig.t.Context(), site.key, "{}")
 }
 
@@ -75,14 +75,14 @@
 		name   string
 		minted bool
 		// injectFaults causes the faults and returns the answer to the resend.
-		injectFaults func(site *site) reply
+		injectFaults func(site *faultSite) reply
 		// status lists the allowed statuses of the resend; answered is set when a last
 		// resend must get the answer.
 		status   []int
 		answered bool
 	}{
-		// The entry is killed while the order runs, and the store goes down. The agent
-		// owns the claim and needs no store to know its own run, so the caller's
+		// The store goes down while the order runs, and then the entry is killed. The
+		// agent owns the claim and needs no store to know its own run, so the caller's
 		// resend gets the first answer.
 		{"entry killed, store down", false, storeDownThenEntryKilled, []int{200}, true},
 		// The same with a minted key, sent when the store is already down.
@@ -104,7 +104,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			site := newSite(t, test.minted)
+			site := newFaultSite(t, test.minted)
 			got := test.injectFaults(site)
 			site.rig.platform.SetFaults(imitator.PlatformFaults{})
 			Convey(test.name, t, func() {
@@ -125,7 +125,7 @@
 	}
 }
 
-func storeDownThenEntryKilled(site *site) reply {
+func storeDownThenEntryKilled(site *faultSite) reply {
 	site.send()
 	site.running()
 	site.rig.platform.SetFaults(imitator.PlatformFaults{Down: true})
@@ -133,7 +133,7 @@
 	return site.resend()
 }
 
-func storeDownBeforeOrder(site *site) reply {
+func storeDownBeforeOrder(site *faultSite) reply {
 	site.rig.platform.SetFaults(imitator.PlatformFaults{Down: true})
 	site.send()
 	site.running()
@@ -141,7 +141,7 @@
 	return site.resend()
 }
 
-func agentPausedAndConnectionCut(site *site) reply {
+func agentPausedAndConnectionCut(site *faultSite) reply {
 	proxy := site.rig.proxies["orders-1"]
 	site.entries[0].order(site.rig.t.Context(), "warm", "{}")
 	proxy.Set(disturber.Back, disturber.Fault{Swallow: true})
@@ -157,7 +157,7 @@
 	return site.resend()
 }
 
-func agentKilled(site *site) reply {
+func agentKilled(site *faultSite) reply {
 	site.send()
 	site.running()
 	site.agent.kill()
@@ -165,7 +165,7 @@
 	return site.resend()
 }
 
-func storeAnswerLostAndEntryKilled(site *site) reply {
+func storeAnswerLostAndEntryKilled(site *faultSite) reply {
 	site.rig.platform.SetFaults(imitator.PlatformFaults{LoseAnswers: 1})
 	site.send()
 	site.running()
--- a/test/integration/views_test.go
+++ b/test/integration/views_test.go
@@ -19,8 +19,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// shortRound sets the silence timeout to 1.6 s, and how long an entry's own verdict
-// on a replica lasts to 2 s.
+// shortRound makes the silence timeout 1.6 s and the lifetime of an entry's own
+// verdict on a replica 2 s.
 const shortRound = "membership-round = \"200ms\"\n"
 
 // quickAgent starts an orders replica with short rounds at a site and replaces the
@@ -133,9 +133,9 @@
 	}{{"entry-1", boleReplicas}, {"entry-2", piazzaReplicas}}
 	entries, proxies := make([]*process, len(tests)), make([]map[string]*disturber.Proxy, len(tests))
 	for i, test := range tests {
-		var base string
-		base, proxies[i] = rig.separateProxies()
-		entries[i] = rig.quickEntry(test.name, base)
+		var platformURL string
+		platformURL, proxies[i] = rig.separateProxies()
+		entries[i] = rig.quickEntry(test.name, platformURL)
 		rig.eventually("all are live", func() bool { return entries[i].allAre("live", allReplicas...) })
 	}
 	Convey("both serve, and their views stay opposite until the proxies accept connections", t, func() {
@@ -203,7 +203,7 @@
 	rig.quickFleet()
 	entry := rig.quickEntry("entry-1", rig.platformURL)
 	rig.eventually("all are live", func() bool { return entry.allAre("live", allReplicas...) })
-	Convey("after two returns it has a low weight and few calls", t, func() {
+	Convey("after two returns its weight is about a tenth, and it gets few calls", t, func() {
 		for range 2 {
 			rig.agents["orders-4"].signal(syscall.SIGSTOP)
 			rig.eventually("it is marked dead", func() bool { return entry.allAre("dead", "orders-4") })
@@ -219,7 +219,7 @@
 
 func TestAPausedAgentResumesAfterItsSuccessorStarts(t *testing.T) {
 	// Guards against calls to a replaced agent. The platform pauses an agent and
-	// starts another of its name. The first one resumes and sends updates to its
+	// starts another of its name. The first one resumes and sends digests to its
 	// peers; its incarnation is lower than the one that they know, so they ignore it
 	// and calls go only to the successor.
 	t.Parallel()
