--- a/internal/disturber/proxy.go
+++ b/internal/disturber/proxy.go
@@ -15,8 +15,8 @@
 
 // The two directions.
 const (
-	// Forth is from the side that dialled to the target.
-	Forth Direction = iota
+	// ToTarget is from the side that dialled to the target.
+	ToTarget Direction = iota
 	// Back is from the target to the side that dialled.
 	Back
 )
@@ -145,7 +145,7 @@
 		}
 		return
 	}
-	go proxy.copy(Forth, near, far)
+	go proxy.copy(ToTarget, near, far)
 	proxy.copy(Back, far, near)
 }
 
