--- a/internal/disturber/proxy.go
+++ b/internal/disturber/proxy.go
@@ -17,8 +17,8 @@
 const (
 	// ToTarget is from the side that dialled to the target.
 	ToTarget Direction = iota
-	// Back is from the target to the side that dialled.
-	Back
+	// FromTarget is from the target to the side that dialled.
+	FromTarget
 )
 
 // Fault is what the proxy does to one direction. The zero value passes
@@ -146,7 +146,7 @@
 		return
 	}
 	go proxy.copy(ToTarget, near, far)
-	proxy.copy(Back, far, near)
+	proxy.copy(FromTarget, far, near)
 }
 
 func (proxy *Proxy) track(conns ...net.Conn) bool {
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -43,7 +43,7 @@
 	rig := newRig(t, siteConfig())
 	rig.addOrders("orders-1", 0)
 	entry := rig.addEntry("entry-1")
-	for _, direction := range []disturber.Direction{disturber.ToTarget, disturber.Back} {
+	for _, direction := range []disturber.Direction{disturber.ToTarget, disturber.FromTarget} {
 		rig.proxies["orders-1"].Cut()
 		rig.proxies["orders-1"].Set(direction, disturber.Fault{})
 		if got := entry.order(t.Context(), "clean-"+strconv.Itoa(int(direction)), "{}"); got.status != 200 {
--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -65,7 +65,7 @@
 	})
 	// Only now, so that no digest has used the bytes up before the call came.
 	rig.eventually("the engine runs", func() bool { return rig.engines["planner-1"].Counts().Runs == 1 })
-	rig.proxies["planner-1"].Set(disturber.Back, disturber.Fault{CutAfter: 600})
+	rig.proxies["planner-1"].Set(disturber.FromTarget, disturber.Fault{CutAfter: 600})
 	caller.Wait()
 	Convey("the part is not called whole", t, func() {
 		So(got.err, ShouldNotBeNil)
--- a/test/integration/stop_test.go
+++ b/test/integration/stop_test.go
@@ -35,7 +35,7 @@
 		rig := newRig(t, siteConfig())
 		rig.addPlanner("planner-1", imitator.EngineSettings{Step: 5 * timekeeper.Millisecond})
 		entry := rig.addEntry("entry-1")
-		rig.proxies["planner-1"].Set(disturber.Back, disturber.Fault{Delay: test.slow})
+		rig.proxies["planner-1"].Set(disturber.FromTarget, disturber.Fault{Delay: test.slow})
 		stopped := test.pick(rig, entry)
 		var got reply
 		var caller sync.WaitGroup
--- a/test/integration/streams_test.go
+++ b/test/integration/streams_test.go
@@ -32,7 +32,7 @@
 	// run in turn, so after each frame's edge too, in each direction. The entry
 	// dials again, looks the request up from the byte that the caller has, and
 	// goes on; what had not arrived is buried before the caller is told so.
-	for _, direction := range []disturber.Direction{disturber.ToTarget, disturber.Back} {
+	for _, direction := range []disturber.Direction{disturber.ToTarget, disturber.FromTarget} {
 		t.Run(strconv.Itoa(int(direction)), func(t *testing.T) {
 			t.Parallel()
 			cutStreams(t, direction)
@@ -99,7 +99,7 @@
 		})
 		return wordsOf(got.String()), err
 	}
-	for _, direction := range []disturber.Direction{disturber.ToTarget, disturber.Back} {
+	for _, direction := range []disturber.Direction{disturber.ToTarget, disturber.FromTarget} {
 		cut.Set(direction, disturber.Fault{})
 		clean, err := stream()
 		total := cut.Carried(direction)
--- a/test/integration/twofaults_test.go
+++ b/test/integration/twofaults_test.go
@@ -143,11 +143,11 @@
 func pausedAndCut(pair *pair) reply {
 	proxy := pair.rig.proxies["orders-1"]
 	pair.entries[0].order(pair.rig.t.Context(), "warm", "{}")
-	proxy.Set(disturber.Back, disturber.Fault{Swallow: true})
+	proxy.Set(disturber.FromTarget, disturber.Fault{Swallow: true})
 	pair.send()
 	pair.rig.eventually("the offer is there", func() bool { return len(pair.agent.logged("admission")) > 1 })
 	pair.agent.signal(syscall.SIGSTOP)
-	proxy.Set(disturber.Back, disturber.Fault{})
+	proxy.Set(disturber.FromTarget, disturber.Fault{})
 	proxy.Cut()
 	pair.truthful(<-pair.first)
 	const pastRunWait = 5500 * timekeeper.Millisecond
