--- a/internal/disturber/proxy.go
+++ b/internal/disturber/proxy.go
@@ -28,8 +28,8 @@
 	Delay timekeeper.Span
 	// Stall reads nothing, so that the sender's buffers fill: a half-open peer.
 	Stall bool
-	// Swallow reads everything and passes nothing on: a one-way cut.
-	Swallow bool
+	// Discard reads everything and passes nothing on: a one-way cut.
+	Discard bool
 	// CutAfter cuts a connection once it has carried this many bytes more; zero means never.
 	CutAfter int64
 	// Once clears the fault after its first cut, so that what dials again gets through.
@@ -199,7 +199,7 @@
 // pass hands a part on as the fault says; false means that the connection is cut.
 func (proxy *Proxy) pass(direction Direction, to net.Conn, part []byte) bool {
 	fault, _ := proxy.fault(direction)
-	if fault.Swallow {
+	if fault.Discard {
 		return true
 	}
 	if fault.Delay > 0 {
--- a/test/integration/members_test.go
+++ b/test/integration/members_test.go
@@ -188,7 +188,7 @@
 	entry := rig.fleet(4)
 	Convey("at most half is held dead, and all come back", t, func() {
 		for _, name := range []string{"orders-1", "orders-2", "orders-3"} {
-			rig.proxies[name].Set(disturber.FromTarget, disturber.Fault{Swallow: true})
+			rig.proxies[name].Set(disturber.FromTarget, disturber.Fault{Discard: true})
 		}
 		rig.eventually("some are held dead", func() bool { return rig.live(entry) < 4 })
 		So(rig.live(entry), ShouldBeGreaterThanOrEqualTo, 2)
--- a/test/integration/twofaults_test.go
+++ b/test/integration/twofaults_test.go
@@ -143,7 +143,7 @@
 func pausedAndCut(pair *pair) reply {
 	proxy := pair.rig.proxies["orders-1"]
 	pair.entries[0].order(pair.rig.t.Context(), "warm", "{}")
-	proxy.Set(disturber.FromTarget, disturber.Fault{Swallow: true})
+	proxy.Set(disturber.FromTarget, disturber.Fault{Discard: true})
 	pair.send()
 	pair.rig.eventually("the offer is there", func() bool { return len(pair.agent.logged("admission")) > 1 })
 	pair.agent.signal(syscall.SIGSTOP)
