--- a/internal/disturber/proxy.go
+++ b/internal/disturber/proxy.go
@@ -106,8 +106,8 @@
 	proxy.conns = map[net.Conn]struct{}{}
 }
 
-// Carried returns the bytes passed on in one direction since its fault was set.
-func (proxy *Proxy) Carried(direction Direction) int64 {
+// BytesForwarded returns the bytes passed on in one direction since its fault was set.
+func (proxy *Proxy) BytesForwarded(direction Direction) int64 {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	return proxy.carried[direction]
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -49,7 +49,7 @@
 		if got := entry.order(t.Context(), "clean-"+strconv.Itoa(int(direction)), "{}"); got.status != 200 {
 			t.Fatal(got)
 		}
-		total := rig.proxies["orders-1"].Carried(direction)
+		total := rig.proxies["orders-1"].BytesForwarded(direction)
 		Convey("cut after each part of "+strconv.FormatInt(total, 10)+" bytes", t, func() {
 			answered := 0
 			const step = 1
--- a/test/integration/streams_test.go
+++ b/test/integration/streams_test.go
@@ -50,7 +50,7 @@
 	clean := entry.call(t.Context(), "POST", "/v1/chat/completions", body)
 	// Ids grow, and the frame that closes a stream comes after the answer.
 	const margin = 48
-	total := proxy.Carried(direction) + margin
+	total := proxy.BytesForwarded(direction) + margin
 	Convey("cut after each of "+strconv.FormatInt(total, 10)+" bytes", t, func() {
 		So(clean.body, ShouldEndWith, wholeStream)
 		whole := int64(0)
@@ -102,7 +102,7 @@
 	for _, direction := range []disturber.Direction{disturber.ToTarget, disturber.FromTarget} {
 		cut.Set(direction, disturber.Fault{})
 		clean, err := stream()
-		total := cut.Carried(direction)
+		total := cut.BytesForwarded(direction)
 		Convey("direction "+strconv.Itoa(int(direction))+", "+strconv.FormatInt(total, 10)+" bytes", t, func() {
 			So(err, ShouldBeNil)
 			const step = 7
