--- a/internal/assembler/budget_test.go
+++ b/internal/assembler/budget_test.go
@@ -39,7 +39,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	meter := storekeeper.NewMeter(storekeeper.MeterSettings{Clock: clock})
-	platform := meter.Wrap(store.Seams())
+	platform := meter.Wrap(store.InProcess())
 	watcher := publisher.NewWatcher(publisher.Settings{Platform: platform, Clock: clock, Log: log})
 	return storeClient{
 		meter:   meter,
@@ -81,7 +81,7 @@
 	clock := timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour))
 	store := imitator.NewPlatform(clock.Clock())
 	bundle := resolver.Bundle{Base: "[services.planner]\nkind = \"model\"\nmodels = [\"planner\"]\nadapters = [\"vans\"]\n"}
-	if _, err := publisher.Accept(t.Context(), store.Seams(), bundle, 0, "rig"); err != nil {
+	if _, err := publisher.Accept(t.Context(), store.InProcess(), bundle, 0, "rig"); err != nil {
 		t.Fatal(err)
 	}
 	before := store.Counts()
--- a/internal/assembler/dev.go
+++ b/internal/assembler/dev.go
@@ -115,7 +115,7 @@
 		return err
 	}
 	dev.Platform = address
-	dev.env.Platform = dev.platform.Seams()
+	dev.env.Platform = dev.platform.InProcess()
 	if _, err := publisher.Accept(ctx, dev.env.Platform, devConfig(), 0, "dev"); err != nil {
 		return err
 	}
--- a/internal/assembler/path_bench_test.go
+++ b/internal/assembler/path_bench_test.go
@@ -60,7 +60,7 @@
 	log.SetOutput(io.Discard)
 	log.SetLevel(logrus.WarnLevel)
 	platform := imitator.NewPlatform(timekeeper.Wall())
-	env := Environment{Clock: timekeeper.Wall(), Log: log, Platform: platform.Seams()}
+	env := Environment{Clock: timekeeper.Wall(), Log: log, Platform: platform.InProcess()}
 	if _, err := publisher.Accept(b.Context(), env.Platform, roomyConfig(), 0, "bench"); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/claimer/claimer_bench_test.go
+++ b/internal/claimer/claimer_bench_test.go
@@ -18,7 +18,7 @@
 func writesPerCall(rate int) float64 {
 	clock := timekeeper.NewManual(1)
 	platform := imitator.NewPlatform(clock.Clock())
-	committer := NewCommitter(platform.Seams().Table, clock.Now)
+	committer := NewCommitter(platform.InProcess().Table, clock.Now)
 	random := rand.New(rand.NewPCG(1, uint64(rate)))
 	calls, busy := 0, timekeeper.Span(0)
 	var queue []Row
@@ -64,7 +64,7 @@
 func answeredThroughOutage(minted bool) float64 {
 	clock := timekeeper.NewManual(1)
 	platform := imitator.NewPlatform(clock.Clock())
-	committer := NewCommitter(platform.Seams().Table, clock.Now)
+	committer := NewCommitter(platform.InProcess().Table, clock.Now)
 	book := NewBook(Settings{Name: "a", Incarnation: 1})
 	mint := minter.New("a", 1, 0)
 	platform.SetFaults(imitator.PlatformFaults{Down: true})
--- a/internal/claimer/committer_test.go
+++ b/internal/claimer/committer_test.go
@@ -87,7 +87,7 @@
 	for client := range 4 {
 		clients.Go(func() {
 			random := rand.New(rand.NewPCG(uint64(client), 11))
-			committer := NewCommitter(platform.Seams().Table, clock.Now)
+			committer := NewCommitter(platform.InProcess().Table, clock.Now)
 			for round := range 150 {
 				if random.IntN(3) == 0 {
 					platform.SetFaults(imitator.PlatformFaults{LoseAnswers: random.IntN(2), LoseWrites: random.IntN(2), Down: random.IntN(8) == 0})
@@ -111,7 +111,7 @@
 	// Rows past the grace are deleted in one write; younger ones stay and bind.
 	clock := timekeeper.NewManual(1)
 	platform := imitator.NewPlatform(clock.Clock())
-	committer := NewCommitter(platform.Seams().Table, clock.Now)
+	committer := NewCommitter(platform.InProcess().Table, clock.Now)
 	rows := make([]Row, 10)
 	for i := range rows {
 		life := timekeeper.Hour
--- a/internal/claimer/faults_test.go
+++ b/internal/claimer/faults_test.go
@@ -77,7 +77,7 @@
 	world.agents[i] = &node{
 		name: name, incarnation: world.serial,
 		book:      NewBook(Settings{Name: name, Incarnation: world.serial}),
-		committer: NewCommitter(world.platform.Seams().Table, world.clock.Now),
+		committer: NewCommitter(world.platform.InProcess().Table, world.clock.Now),
 		mint:      minter.New(name, world.serial, 0),
 		tombs:     map[string]bool{}, done: map[string]string{},
 	}
--- a/internal/claimer/release_test.go
+++ b/internal/claimer/release_test.go
@@ -26,7 +26,7 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			now := func() timekeeper.Instant { return 0 }
-			committer := NewCommitter(imitator.NewPlatform(timekeeper.Wall()).Seams().Table, now)
+			committer := NewCommitter(imitator.NewPlatform(timekeeper.Wall()).InProcess().Table, now)
 			book := NewBook(Settings{Name: "leaver", Incarnation: 1})
 			ask := Ask{Key: "key", Request: "first", Fingerprint: 9}
 			row := book.Ask(ask, 0).Row
--- a/internal/imitator/platform.go
+++ b/internal/imitator/platform.go
@@ -60,8 +60,8 @@
 	return &Platform{clock: clock, rows: map[string]storekeeper.Row{}, objects: map[string][]byte{}}
 }
 
-// Seams returns the platform as the project's processes see it, without HTTP between.
-func (platform *Platform) Seams() storekeeper.Platform {
+// InProcess returns the platform as the project's processes see it, without HTTP between.
+func (platform *Platform) InProcess() storekeeper.Platform {
 	return storekeeper.Platform{
 		Table:     storekeeper.Table{Get: platform.getRow, Scan: platform.scan, Commit: platform.commit},
 		Objects:   storekeeper.Objects{Put: platform.put, Get: platform.get, List: platform.list},
--- a/internal/imitator/platform_http.go
+++ b/internal/imitator/platform_http.go
@@ -17,7 +17,7 @@
 // lets a test set faults with a POST to /faults and the instance list with a
 // POST to /instances.
 func (platform *Platform) Handler() http.Handler {
-	seams := platform.Seams()
+	seams := platform.InProcess()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /table/row", func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
--- a/internal/publisher/propose_test.go
+++ b/internal/publisher/propose_test.go
@@ -120,7 +120,7 @@
 		for step := 1; step <= steps; step++ {
 			Convey(fmt.Sprintf("%s at step %d", test.name, step), t, func() {
 				platform := imitator.NewPlatform(hasty())
-				seams := platform.Seams()
+				seams := platform.InProcess()
 				_, err := Accept(t.Context(), seams, bundleOf(0), 0, "first")
 				So(err, ShouldBeNil)
 				proposal := Proposal{Bundle: bundleOf(1), Edited: 1, Operator: "almaz"}
@@ -154,7 +154,7 @@
 	// command reads back, another operator's change is accepted on top of it.
 	Convey("the change is found by its id", t, func() {
 		platform := imitator.NewPlatform(hasty())
-		seams := platform.Seams()
+		seams := platform.InProcess()
 		_, _ = Accept(t.Context(), seams, bundleOf(0), 0, "first")
 		hurt := tap(seams, func(call int) error {
 			switch call {
@@ -177,7 +177,7 @@
 
 func TestTheLoserIsToldWhatChanged(t *testing.T) {
 	Convey("with the changes since, and their differences", t, func() {
-		seams := imitator.NewPlatform(hasty()).Seams()
+		seams := imitator.NewPlatform(hasty()).InProcess()
 		_, _ = Accept(t.Context(), seams, bundleOf(0), 0, "first")
 		proposer := Proposer{Platform: seams, Clock: hasty()}
 		_, err := proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(1), Edited: 1, Operator: "almaz", Comment: "more slots"})
@@ -201,7 +201,7 @@
 	// and the history has each of them once, in order.
 	const wanted = 1000
 	platform := imitator.NewPlatform(hasty())
-	seams := platform.Seams()
+	seams := platform.InProcess()
 	var operators sync.WaitGroup
 	var mu sync.Mutex
 	accepted := map[uint64]string{}
@@ -252,7 +252,7 @@
 	// An operator runs an old command again, after a later change was accepted.
 	// The record must not show the old revision as accepted after the later one.
 	Convey("the event carries the time of the change", t, func() {
-		seams := imitator.NewPlatform(hasty()).Seams()
+		seams := imitator.NewPlatform(hasty()).InProcess()
 		var events []recorder.Event
 		run := func(number int, at timekeeper.Instant) {
 			clock := hasty()
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -21,14 +21,14 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return recorder.Settings{
-		Origin: origin, Objects: platform.Seams().Objects, Clock: timekeeper.Wall(), Log: log,
+		Origin: origin, Objects: platform.InProcess().Objects, Clock: timekeeper.Wall(), Log: log,
 		FlushEvery: 5 * timekeeper.Millisecond,
 	}
 }
 
 func verify(tb testing.TB, platform *imitator.Platform) verifier.Trail {
 	tb.Helper()
-	objects, err := verifier.Fetch(tb.Context(), platform.Seams().Objects, timekeeper.Wall())
+	objects, err := verifier.Fetch(tb.Context(), platform.InProcess().Objects, timekeeper.Wall())
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -55,7 +55,7 @@
 	agent, release, err := New(Settings{
 		Name: "orders-1", Service: "orders", Incarnation: 7, Upstream: made.upstream.URL, Log: log, Scope: tally.NoopScope,
 		Config: func() resolver.Config { return config },
-		Table:  imitator.NewPlatform(wall).Seams().Table,
+		Table:  imitator.NewPlatform(wall).InProcess().Table,
 		Clock: timekeeper.Clock{
 			Now:   func() timekeeper.Instant { return wall.Now().Add(timekeeper.Span(made.ahead.Load())) },
 			After: wall.After,
--- a/internal/striker/siege_test.go
+++ b/internal/striker/siege_test.go
@@ -45,7 +45,7 @@
 func newSite(policy policy, seed uint64) *site {
 	made := &site{policy: policy, random: rand.New(rand.NewPCG(seed, 3)), clock: timekeeper.NewManual(1), refused: map[uint64]bool{}}
 	made.platform = imitator.NewPlatform(made.clock.Clock())
-	made.book = NewBook(made.platform.Seams().Table, made.clock.Now)
+	made.book = NewBook(made.platform.InProcess().Table, made.clock.Now)
 	for i := range siegeEngines {
 		made.ledgers = append(made.ledgers, NewLedger(fmt.Sprint("engine-", i), 0))
 	}
@@ -232,7 +232,7 @@
 	// holds also when the answer to it was lost.
 	clock := timekeeper.NewManual(1)
 	platform := imitator.NewPlatform(clock.Clock())
-	book := NewBook(platform.Seams().Table, clock.Now)
+	book := NewBook(platform.InProcess().Table, clock.Now)
 	ctx := context.Background()
 	first := Strike{Fingerprint: 9}.More("crashed", clock.Now().Add(DefaultLife))
 	if err := book.Add(ctx, Strike{Fingerprint: 9, Expires: first.Expires}, "crashed"); err != nil {
--- a/test/integration/apply_test.go
+++ b/test/integration/apply_test.go
@@ -77,7 +77,7 @@
 	operators.Wait()
 	for i, test := range tests {
 		revisions := func() int {
-			changes, err := publisher.History(t.Context(), rigs[i].platform.Seams(), 0, 100)
+			changes, err := publisher.History(t.Context(), rigs[i].platform.InProcess(), 0, 100)
 			So(err, ShouldBeNil)
 			return len(changes)
 		}
--- a/test/integration/config_test.go
+++ b/test/integration/config_test.go
@@ -157,7 +157,7 @@
 			operators.Wait()
 			So(codes[0]+codes[1], ShouldEqual, 1)
 		}
-		changes, err := publisher.History(t.Context(), rig.platform.Seams(), 0, 100)
+		changes, err := publisher.History(t.Context(), rig.platform.InProcess(), 0, 100)
 		So(err, ShouldBeNil)
 		So(changes, ShouldHaveLength, rounds+1)
 		for i, change := range changes {
--- a/test/integration/orders_test.go
+++ b/test/integration/orders_test.go
@@ -83,7 +83,7 @@
 		})
 		So(engine.Orders().Orders, ShouldHaveLength, orders)
 		rig.platform.SetFaults(imitator.PlatformFaults{})
-		head, _, err := publisher.ReadHead(t.Context(), rig.platform.Seams())
+		head, _, err := publisher.ReadHead(t.Context(), rig.platform.InProcess())
 		So(err, ShouldBeNil)
 		So(head.Revision, ShouldEqual, 2)
 	})
--- a/test/integration/record_test.go
+++ b/test/integration/record_test.go
@@ -104,7 +104,7 @@
 // forged returns the address of a platform that holds the rig's record with one
 // bit of one segment changed.
 func (rig *rig) forged() string {
-	objects, err := verifier.Fetch(rig.t.Context(), rig.platform.Seams().Objects, rig.clock)
+	objects, err := verifier.Fetch(rig.t.Context(), rig.platform.InProcess().Objects, rig.clock)
 	if err != nil {
 		rig.t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 		if i == len(objects)/2 {
 			object.Body[len(object.Body)/2] ^= 1
 		}
-		if err := platform.Seams().Objects.Put(rig.t.Context(), object.Name, object.Body); err != nil {
+		if err := platform.InProcess().Objects.Put(rig.t.Context(), object.Name, object.Body); err != nil {
 			rig.t.Fatal(err)
 		}
 	}
--- a/test/integration/rig_test.go
+++ b/test/integration/rig_test.go
@@ -135,7 +135,7 @@
 		platform:  imitator.NewPlatform(timekeeper.Wall()),
 	}
 	rig.base = rig.serve(rig.platform.Handler())
-	if _, err := publisher.Accept(t.Context(), rig.platform.Seams(), bundle, 0, "rig"); err != nil {
+	if _, err := publisher.Accept(t.Context(), rig.platform.InProcess(), bundle, 0, "rig"); err != nil {
 		t.Fatal(err)
 	}
 	return rig
--- a/test/integration/views_test.go
+++ b/test/integration/views_test.go
@@ -65,7 +65,7 @@
 // proxies of its own, and these proxies by the replica's name.
 func (rig *rig) ownWays() (string, map[string]*disturber.Proxy) {
 	platform, ways := imitator.NewPlatform(rig.clock), map[string]*disturber.Proxy{}
-	if _, err := publisher.Accept(rig.t.Context(), platform.Seams(), siteConfig(), 0, "rig"); err != nil {
+	if _, err := publisher.Accept(rig.t.Context(), platform.InProcess(), siteConfig(), 0, "rig"); err != nil {
 		rig.t.Fatal(err)
 	}
 	listed := slices.Clone(rig.instances)
