--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -21,8 +21,8 @@
 	Prefill int
 	// CacheTokens is the memory of the prefix cache; zero means 65,536.
 	CacheTokens int
-	// LateCancel is how long after the client left the sequence still runs.
-	LateCancel timekeeper.Span
+	// CancelDelay is how long after the client left the sequence still runs.
+	CancelDelay timekeeper.Span
 	// LoadLag is how old the reported load is; zero means one second.
 	LoadLag timekeeper.Span
 	// EventLag is how late a cache event is told; zero means one second.
--- a/internal/imitator/engine_http.go
+++ b/internal/imitator/engine_http.go
@@ -145,8 +145,8 @@
 	case <-crashed:
 		return "", false, errCrashed
 	case <-r.Context().Done():
-		if engine.settings.LateCancel > 0 {
-			fired, release := engine.settings.Clock.After(engine.settings.LateCancel)
+		if engine.settings.CancelDelay > 0 {
+			fired, release := engine.settings.Clock.After(engine.settings.CancelDelay)
 			defer release()
 			<-fired
 		}
--- a/internal/imitator/engine_test.go
+++ b/internal/imitator/engine_test.go
@@ -39,7 +39,7 @@
 }
 
 func TestAnEngineResumesAndCancelsStreams(t *testing.T) {
-	engine, stop := NewEngine(EngineSettings{Clock: timekeeper.Wall(), LateCancel: 500 * timekeeper.Millisecond})
+	engine, stop := NewEngine(EngineSettings{Clock: timekeeper.Wall(), CancelDelay: 500 * timekeeper.Millisecond})
 	t.Cleanup(stop)
 	server := httptest.NewServer(engine.Handler())
 	t.Cleanup(server.Close)
