--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -17,8 +17,8 @@
 	Step timekeeper.Span
 	// BatchSize is how many sequences run at once; zero means 8.
 	BatchSize int
-	// Prefill is how many prompt tokens one step reads; zero means 512.
-	Prefill int
+	// PrefillPerStep is how many prompt tokens one step reads; zero means 512.
+	PrefillPerStep int
 	// CacheTokens is the memory of the prefix cache; zero means 65,536.
 	CacheTokens int
 	// CancelDelay is how long after the client left the sequence still runs.
@@ -38,7 +38,7 @@
 func (settings EngineSettings) withDefaults() EngineSettings {
 	setDefault(&settings.Step, 4*timekeeper.Millisecond)
 	setDefault(&settings.BatchSize, 8)
-	setDefault(&settings.Prefill, 512)
+	setDefault(&settings.PrefillPerStep, 512)
 	setDefault(&settings.CacheTokens, 65536)
 	setDefault(&settings.LoadLag, timekeeper.Second)
 	setDefault(&settings.EventLag, timekeeper.Second)
@@ -104,7 +104,7 @@
 
 func (engine *Engine) reset() {
 	cache := newPrefixCache(engine.settings.CacheTokens)
-	engine.batch = &batch{most: engine.settings.BatchSize, prefill: engine.settings.Prefill, cache: cache}
+	engine.batch = &batch{most: engine.settings.BatchSize, prefill: engine.settings.PrefillPerStep, cache: cache}
 	engine.live = map[string]*sequence{}
 	engine.kept, engine.keptOrder = nil, nil
 	engine.crashed = make(chan struct{})
