--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -29,8 +29,8 @@
 	EventLag timekeeper.Span
 	// Poison is a word that crashes the engine when a prompt holds it.
 	Poison string
-	// Restart is how long the engine is away after a crash; zero means one second.
-	Restart timekeeper.Span
+	// RestartTime is how long the engine is away after a crash; zero means one second.
+	RestartTime timekeeper.Span
 	// ChecksOrders says that the engine refuses an order with an old fencing number.
 	ChecksOrders bool
 }
@@ -42,7 +42,7 @@
 	setDefault(&settings.CacheTokens, 65536)
 	setDefault(&settings.LoadLag, timekeeper.Second)
 	setDefault(&settings.EventLag, timekeeper.Second)
-	setDefault(&settings.Restart, timekeeper.Second)
+	setDefault(&settings.RestartTime, timekeeper.Second)
 	return settings
 }
 
@@ -176,7 +176,7 @@
 
 func (engine *Engine) crash() {
 	engine.counts.Crashes++
-	engine.awayTo = engine.settings.Clock.Now().Add(engine.settings.Restart)
+	engine.awayTo = engine.settings.Clock.Now().Add(engine.settings.RestartTime)
 	close(engine.crashed)
 	engine.reset()
 }
--- a/test/integration/strikes_test.go
+++ b/test/integration/strikes_test.go
@@ -41,7 +41,7 @@
 	rig := newRig(t, siteConfig())
 	for i := range 4 {
 		rig.addPlanner("planner-"+strconv.Itoa(i+1), imitator.EngineSettings{
-			Poison: "venom", Restart: 100 * timekeeper.Millisecond, Step: 2 * timekeeper.Millisecond,
+			Poison: "venom", RestartTime: 100 * timekeeper.Millisecond, Step: 2 * timekeeper.Millisecond,
 		})
 	}
 	entries := []*process{rig.addEntry("entry-1"), rig.addEntry("entry-2")}
