--- a/cmd/trefoilseam/experiment.go
+++ b/cmd/trefoilseam/experiment.go
@@ -74,7 +74,7 @@
 	}
 	sweep.Site.Entries = cmp.Or(size.entries, sweep.Site.Entries)
 	sweep.Site.Engines = cmp.Or(size.engines, sweep.Site.Engines)
-	sweep.Site.Digest = cmp.Or(size.digest, sweep.Site.Digest)
+	sweep.Site.DigestInterval = cmp.Or(size.digest, sweep.Site.DigestInterval)
 	return nil
 }
 
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -100,8 +100,8 @@
 	if run.settings.Restart > 0 && run.settings.Policy == Fleet {
 		run.at(float64(run.settings.Restart), run.restart)
 	}
-	if site.Digest > 0 && run.settings.Policy == Fleet {
-		run.at(float64(site.Digest), run.digests)
+	if site.DigestInterval > 0 && run.settings.Policy == Fleet {
+		run.at(float64(site.DigestInterval), run.digests)
 	}
 	if run.settings.Policy == Fleet {
 		run.at(tick, run.look)
@@ -134,7 +134,7 @@
 		}
 	}
 	if now < run.last() {
-		run.at(now+float64(run.settings.Site.Digest), run.digests)
+		run.at(now+float64(run.settings.Site.DigestInterval), run.digests)
 	}
 }
 
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -32,9 +32,9 @@
 	Engines int
 	Engine  EngineSettings
 	Classes []Class
-	// Digest is the time between two digests of an entry; zero means that entries
+	// DigestInterval is the time between two digests of an entry; zero means that entries
 	// never hear of each other.
-	Digest timekeeper.Span
+	DigestInterval timekeeper.Span
 	// Bound is how many times the mean a replica may hold.
 	Bound float64
 	// ReadPrice is what the operators pay for a thousand shared tokens that are read
@@ -48,7 +48,7 @@
 // are least urgent.
 func Kitchen() Site {
 	return Site{
-		Entries: 4, Engines: 9, Digest: 100, Bound: 2,
+		Entries: 4, Engines: 9, DigestInterval: 100, Bound: 2,
 		Engine: EngineSettings{
 			Slots: 64, Memory: 316000, Step: 3.4, StepEach: 0.017, ReadRate: 44, Chunk: 1024,
 		},
@@ -74,7 +74,7 @@
 // all prompts are new.
 func Halls() Site {
 	site := Kitchen()
-	site.Entries, site.Engines, site.Digest = 31, 56, 600
+	site.Entries, site.Engines, site.DigestInterval = 31, 56, 600
 	site.Engine.Memory = 173000
 	site.Classes = slices.Clone(site.Classes)
 	for i, things := range []int{129, 166, 158} {
@@ -89,7 +89,7 @@
 // for a token, long catalogues that are most urgent, replies, and short tags.
 func Counter() Site {
 	return Site{
-		Entries: 4, Engines: 18, Digest: 100, Bound: 2,
+		Entries: 4, Engines: 18, DigestInterval: 100, Bound: 2,
 		Engine: EngineSettings{
 			Slots: 64, Memory: 539000, Step: 3, StepEach: 0.12, ReadRate: 92, Chunk: 1024,
 			TokenBytes: 35136, LinkRate: 1.375e8,
@@ -142,6 +142,6 @@
 
 // WithDigest returns the site with another time between digests.
 func (site Site) WithDigest(span timekeeper.Span) Site {
-	site.Digest = span
+	site.DigestInterval = span
 	return site
 }
