--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -145,7 +145,7 @@
 	// was empty when it was sent: four requests in a hundred would reach an engine
 	// beyond its share, and a sixteenth of the callers' worth would come too late.
 	for _, digest := range []timekeeper.Span{300, 600} {
-		settings := Settings{Site: Halls().WithDigest(digest), Load: 1, Length: 6 * timekeeper.Second}
+		settings := Settings{Site: Halls().WithDigestInterval(digest), Load: 1, Length: 6 * timekeeper.Second}
 		Convey("few engines get more than their share", t, func() {
 			So(mean(settings, func(report Report) float64 { return report.Overfull }), ShouldBeLessThan, 0.015)
 			So(mean(settings, worth), ShouldBeGreaterThan, 0.98)
@@ -170,7 +170,7 @@
 func TestEntriesThatDontHearOfEachOther(t *testing.T) {
 	// Digests are lost, all of them. Each entry reads the prompts into engines of
 	// its own choice at most; callers are still served.
-	settings := Settings{Site: Kitchen().WithDigest(0), Load: 2}
+	settings := Settings{Site: Kitchen().WithDigestInterval(0), Load: 2}
 	Convey("callers are served", t, func() {
 		So(mean(settings, worth), ShouldBeGreaterThan, 0.97)
 	})
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -140,8 +140,8 @@
 	return site
 }
 
-// WithDigest returns the site with another time between digests.
-func (site Site) WithDigest(span timekeeper.Span) Site {
+// WithDigestInterval returns the site with another time between digests.
+func (site Site) WithDigestInterval(span timekeeper.Span) Site {
 	site.DigestInterval = span
 	return site
 }
