--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -323,7 +323,7 @@
 		total += engine.held()
 	}
 	run.placed++
-	limit := run.settings.Site.Bound*float64(total)/float64(len(run.engines)) + 3
+	limit := run.settings.Site.LoadFactor*float64(total)/float64(len(run.engines)) + 3
 	if float64(run.engines[chosen].held()) > limit {
 		run.overfull++
 	}
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -35,8 +35,8 @@
 	// DigestInterval is the time between two digests of an entry; zero means that entries
 	// never hear of each other.
 	DigestInterval timekeeper.Span
-	// Bound is how many times the mean a replica may hold.
-	Bound float64
+	// LoadFactor is how many times the mean a replica may hold.
+	LoadFactor float64
 	// ReadPrice is what the operators pay for a thousand shared tokens that are read
 	// again, MovePrice for a gigabyte that engines hand each other, both in the unit of
 	// worth. Entries are told their ratio; where one is zero they go by their default.
@@ -48,7 +48,7 @@
 // are least urgent.
 func Kitchen() Site {
 	return Site{
-		Entries: 4, Engines: 9, DigestInterval: 100, Bound: 2,
+		Entries: 4, Engines: 9, DigestInterval: 100, LoadFactor: 2,
 		Engine: EngineSettings{
 			Slots: 64, Memory: 316000, Step: 3.4, StepEach: 0.017, ReadRate: 44, Chunk: 1024,
 		},
@@ -89,7 +89,7 @@
 // for a token, long catalogues that are most urgent, replies, and short tags.
 func Counter() Site {
 	return Site{
-		Entries: 4, Engines: 18, DigestInterval: 100, Bound: 2,
+		Entries: 4, Engines: 18, DigestInterval: 100, LoadFactor: 2,
 		Engine: EngineSettings{
 			Slots: 64, Memory: 539000, Step: 3, StepEach: 0.12, ReadRate: 92, Chunk: 1024,
 			TokenBytes: 35136, LinkRate: 1.375e8,
@@ -136,7 +136,7 @@
 
 // WithBound returns the site with another bound.
 func (site Site) WithBound(bound float64) Site {
-	site.Bound = bound
+	site.LoadFactor = bound
 	return site
 }
 
