--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -191,7 +191,7 @@
 		again := func(report Report) float64 { return float64(report.ReadAgain) }
 		handed, read := 0.0, 0.0
 		for _, load := range []float64{1, 2, 4} {
-			settings := Settings{Site: Counter(), Load: load, Restart: restart}
+			settings := Settings{Site: FastEngines(), Load: load, Restart: restart}
 			handed += mean(settings, again)
 			earned := mean(settings, worth)
 			settings.Site = settings.Site.WithTransfers(0, 0)
@@ -205,7 +205,7 @@
 func TestEnginesOfAnotherMake(t *testing.T) {
 	// Engines that read three times as fast, or as slowly, as entries take them to, with
 	// callers in proportion. Callers are served as well as if entries knew the rate.
-	for _, site := range []Site{Kitchen(), Counter()} {
+	for _, site := range []Site{Kitchen(), FastEngines()} {
 		for _, faster := range []float64{1.0 / 3, 3} {
 			other := site
 			other.Engine.ReadRate *= faster
@@ -226,7 +226,7 @@
 func TestLinksThatAreNoGain(t *testing.T) {
 	// The link takes longer than reading, or a token has so much memory that moving
 	// it is dearer. Engines read as if they could not hand on.
-	slow, large := Counter().WithTransfers(35136, 1e6), Counter().WithTransfers(2e6, 1.375e8)
+	slow, large := FastEngines().WithTransfers(35136, 1e6), FastEngines().WithTransfers(2e6, 1.375e8)
 	for _, site := range []Site{slow, large} {
 		Convey("nothing is fetched", t, func() {
 			So(mean(Settings{Site: site, Load: 2}, func(report Report) float64 { return float64(report.Fetched) }), ShouldEqual, 0)
@@ -249,7 +249,7 @@
 	}{
 		{"moving is dearer than reading", Heavy(), 1, 0.88},
 		{"the same at twice the load", Heavy(), 2, 0.85},
-		{"moving is cheap", Counter().WithPrices(0.63, 2.7), 1, 0.975},
+		{"moving is cheap", FastEngines().WithPrices(0.63, 2.7), 1, 0.975},
 		{"moving is cheaper than reading", kitchen, 1, 0.97},
 	}
 	for _, test := range tests {
@@ -282,7 +282,7 @@
 func TestASourceThatIsGone(t *testing.T) {
 	// From the middle of the run on one engine hands on nothing. Requests that name
 	// it read their prompt after all; callers don't notice.
-	settings := Settings{Site: Counter(), Load: 2, Down: 1, Restart: 500}
+	settings := Settings{Site: FastEngines(), Load: 2, Down: 1, Restart: 500}
 	Convey("nearly all are on time", t, func() {
 		So(mean(settings, worth), ShouldBeGreaterThan, 0.99)
 	})
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -84,10 +84,10 @@
 	return site
 }
 
-// Counter returns a site of the kind that joined last: four entries before eighteen
+// FastEngines returns a site of the kind that joined last: four entries before eighteen
 // engines that read twice as fast as those of the kitchen, with a fifth of the memory
 // for a token, long catalogues that are most urgent, replies, and short tags.
-func Counter() Site {
+func FastEngines() Site {
 	return Site{
 		Entries: 4, Engines: 18, DigestInterval: 100, LoadFactor: 2,
 		Engine: EngineSettings{
@@ -115,7 +115,7 @@
 // have nine times as much memory for a token, so that moving a prompt costs the
 // operators a quarter more than reading it again.
 func Heavy() Site {
-	site := Counter().WithTransfers(300000, 1.375e8)
+	site := FastEngines().WithTransfers(300000, 1.375e8)
 	site.Engine.ReadRate, site.Engine.Memory = 30, 300000
 	site.ReadPrice, site.MovePrice = 0.63, 2.7
 	return site
