--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -247,8 +247,8 @@
 		load float64
 		net  float64
 	}{
-		{"moving is dearer than reading", Heavy(), 1, 0.88},
-		{"the same at twice the load", Heavy(), 2, 0.85},
+		{"moving is dearer than reading", CostlyTransfers(), 1, 0.88},
+		{"the same at twice the load", CostlyTransfers(), 2, 0.85},
 		{"moving is cheap", FastEngines().WithPrices(0.63, 2.7), 1, 0.975},
 		{"moving is cheaper than reading", kitchen, 1, 0.97},
 	}
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -111,10 +111,10 @@
 	}
 }
 
-// Heavy returns a site whose engines read a third as fast as those of the counter and
+// CostlyTransfers returns a site whose engines read a third as fast as those of the counter and
 // have nine times as much memory for a token, so that moving a prompt costs the
 // operators a quarter more than reading it again.
-func Heavy() Site {
+func CostlyTransfers() Site {
 	site := FastEngines().WithTransfers(300000, 1.375e8)
 	site.Engine.ReadRate, site.Engine.Memory = 30, 300000
 	site.ReadPrice, site.MovePrice = 0.63, 2.7
