--- a/internal/simulator/engine.go
+++ b/internal/simulator/engine.go
@@ -16,9 +16,9 @@
 	// Step is the time of a step without requests, in milliseconds, and StepEach
 	// what each running request adds.
 	Step, StepEach float64
-	// ReadRate is how many prompt tokens are read in a millisecond, Chunk how
+	// PrefillRate is how many prompt tokens are read in a millisecond, Chunk how
 	// many at most in one step.
-	ReadRate float64
+	PrefillRate float64
 	Chunk    int
 	// TokenBytes is the memory of one token, LinkRate how many bytes the link of an
 	// engine carries in a millisecond; zero means that engines hand on nothing.
@@ -104,7 +104,7 @@
 		budget -= part
 	}
 	span := engine.settings.Step + engine.settings.StepEach*float64(len(engine.running))
-	span += float64(engine.settings.Chunk-budget) / engine.settings.ReadRate
+	span += float64(engine.settings.Chunk-budget) / engine.settings.PrefillRate
 	engine.busy, engine.next = true, now+span
 }
 
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -87,7 +87,7 @@
 		if i == 0 {
 			figures.Step *= run.settings.Slow
 			figures.StepEach *= run.settings.Slow
-			figures.ReadRate /= run.settings.Slow
+			figures.PrefillRate /= run.settings.Slow
 		}
 		id := fmt.Sprintf("engine-%02d", i)
 		run.engines = append(run.engines, newEngine(id, figures))
--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -208,13 +208,13 @@
 	for _, site := range []Site{Kitchen(), FastEngines()} {
 		for _, faster := range []float64{1.0 / 3, 3} {
 			other := site
-			other.Engine.ReadRate *= faster
+			other.Engine.PrefillRate *= faster
 			other.Engine.Step /= faster
 			other.Engine.StepEach /= faster
 			for _, load := range []float64{1, 2, 4} {
 				settings := Settings{Site: other, Load: load * faster}
 				told := settings
-				told.ReadRate = other.Engine.ReadRate
+				told.ReadRate = other.Engine.PrefillRate
 				Convey("as with the rate that is right", t, func() {
 					So(mean(settings, worth), ShouldBeGreaterThan, mean(told, worth)-0.015)
 				})
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -50,7 +50,7 @@
 	return Site{
 		Entries: 4, Engines: 9, DigestInterval: 100, LoadFactor: 2,
 		Engine: EngineSettings{
-			Slots: 64, Memory: 316000, Step: 3.4, StepEach: 0.017, ReadRate: 44, Chunk: 1024,
+			Slots: 64, Memory: 316000, Step: 3.4, StepEach: 0.017, PrefillRate: 44, Chunk: 1024,
 		},
 		Classes: []Class{
 			{
@@ -91,7 +91,7 @@
 	return Site{
 		Entries: 4, Engines: 18, DigestInterval: 100, LoadFactor: 2,
 		Engine: EngineSettings{
-			Slots: 64, Memory: 539000, Step: 3, StepEach: 0.12, ReadRate: 92, Chunk: 1024,
+			Slots: 64, Memory: 539000, Step: 3, StepEach: 0.12, PrefillRate: 92, Chunk: 1024,
 			TokenBytes: 35136, LinkRate: 1.375e8,
 		},
 		Classes: []Class{
@@ -116,7 +116,7 @@
 // operators a quarter more than reading it again.
 func CostlyTransfers() Site {
 	site := FastEngines().WithTransfers(300000, 1.375e8)
-	site.Engine.ReadRate, site.Engine.Memory = 30, 300000
+	site.Engine.PrefillRate, site.Engine.Memory = 30, 300000
 	site.ReadPrice, site.MovePrice = 0.63, 2.7
 	return site
 }
