--- a/internal/simulator/entry.go
+++ b/internal/simulator/entry.go
@@ -22,7 +22,7 @@
 func (run *run) newEntry(number uint64) *entry {
 	site := run.settings.Site
 	settings := balancer.Settings{
-		Seed: run.settings.Seed + number, LoadFactor: site.LoadFactor, PrefillRate: run.settings.ReadRate,
+		Seed: run.settings.Seed + number, LoadFactor: site.LoadFactor, PrefillRate: run.settings.PrefillRate,
 		KnownParts: run.settings.KnownParts,
 	}
 	if site.ReadPrice > 0 {
--- a/internal/simulator/policy.go
+++ b/internal/simulator/policy.go
@@ -99,9 +99,9 @@
 	// Down is an engine that hands on nothing from the middle of the run on, by its
 	// number from one; zero means none.
 	Down int
-	// ReadRate is what entries take the engines to read in a millisecond; zero means
+	// PrefillRate is what entries take the engines to read in a millisecond; zero means
 	// what they take without being told.
-	ReadRate float64
+	PrefillRate float64
 	// KnownParts is how many prompt parts an entry remembers of all engines together;
 	// zero means what it remembers without being told.
 	KnownParts int
--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -214,7 +214,7 @@
 			for _, load := range []float64{1, 2, 4} {
 				settings := Settings{Site: other, Load: load * faster}
 				told := settings
-				told.ReadRate = other.Engine.PrefillRate
+				told.PrefillRate = other.Engine.PrefillRate
 				Convey("as with the rate that is right", t, func() {
 					So(mean(settings, worth), ShouldBeGreaterThan, mean(told, worth)-0.015)
 				})
