--- a/internal/simulator/engine.go
+++ b/internal/simulator/engine.go
@@ -13,9 +13,9 @@
 	Slots int
 	// Memory is how many tokens running requests and cached parts hold together.
 	Memory int
-	// Step is the time of a step without requests, in milliseconds, and StepEach
+	// Step is the time of a step without requests, in milliseconds, and StepPerRequest
 	// what each running request adds.
-	Step, StepEach float64
+	Step, StepPerRequest float64
 	// PrefillRate is how many prompt tokens are read in a millisecond, Chunk how
 	// many at most in one step.
 	PrefillRate float64
@@ -103,7 +103,7 @@
 		job.unread -= part
 		budget -= part
 	}
-	span := engine.settings.Step + engine.settings.StepEach*float64(len(engine.running))
+	span := engine.settings.Step + engine.settings.StepPerRequest*float64(len(engine.running))
 	span += float64(engine.settings.Chunk-budget) / engine.settings.PrefillRate
 	engine.busy, engine.next = true, now+span
 }
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -86,7 +86,7 @@
 		figures := site.Engine
 		if i == 0 {
 			figures.Step *= run.settings.Slow
-			figures.StepEach *= run.settings.Slow
+			figures.StepPerRequest *= run.settings.Slow
 			figures.PrefillRate /= run.settings.Slow
 		}
 		id := fmt.Sprintf("engine-%02d", i)
--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -210,7 +210,7 @@
 			other := site
 			other.Engine.PrefillRate *= faster
 			other.Engine.Step /= faster
-			other.Engine.StepEach /= faster
+			other.Engine.StepPerRequest /= faster
 			for _, load := range []float64{1, 2, 4} {
 				settings := Settings{Site: other, Load: load * faster}
 				told := settings
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -50,7 +50,7 @@
 	return Site{
 		Entries: 4, Engines: 9, DigestInterval: 100, LoadFactor: 2,
 		Engine: EngineSettings{
-			Slots: 64, Memory: 316000, Step: 3.4, StepEach: 0.017, PrefillRate: 44, Chunk: 1024,
+			Slots: 64, Memory: 316000, Step: 3.4, StepPerRequest: 0.017, PrefillRate: 44, Chunk: 1024,
 		},
 		Classes: []Class{
 			{
@@ -91,7 +91,7 @@
 	return Site{
 		Entries: 4, Engines: 18, DigestInterval: 100, LoadFactor: 2,
 		Engine: EngineSettings{
-			Slots: 64, Memory: 539000, Step: 3, StepEach: 0.12, PrefillRate: 92, Chunk: 1024,
+			Slots: 64, Memory: 539000, Step: 3, StepPerRequest: 0.12, PrefillRate: 92, Chunk: 1024,
 			TokenBytes: 35136, LinkRate: 1.375e8,
 		},
 		Classes: []Class{
