--- a/internal/simulator/entry.go
+++ b/internal/simulator/entry.go
@@ -25,8 +25,8 @@
 		Seed: run.settings.Seed + number, LoadFactor: site.LoadFactor, PrefillRate: run.settings.PrefillRate,
 		KnownParts: run.settings.KnownParts,
 	}
-	if site.ReadPrice > 0 {
-		settings.MovePrice = thousand * site.MovePrice / site.ReadPrice
+	if site.PrefillPrice > 0 {
+		settings.MovePrice = thousand * site.MovePrice / site.PrefillPrice
 	}
 	fleet := balancer.New(settings)
 	fleet.SetEngine("planner", balancer.Engine{
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -387,7 +387,7 @@
 	}
 	run.report.Worth = earned / math.Max(owed, 1)
 	site := run.settings.Site
-	again := site.ReadPrice * float64(run.report.ReadAgain) / thousand
+	again := site.PrefillPrice * float64(run.report.ReadAgain) / thousand
 	moved := site.MovePrice * float64(run.report.Fetched) * site.Engine.TokenBytes / gigabyte
 	run.report.Price = (again + moved) / math.Max(owed, 1)
 	run.report.Skew = run.skew / math.Max(float64(run.samples), 1)
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -37,10 +37,10 @@
 	DigestInterval timekeeper.Span
 	// LoadFactor is how many times the mean a replica may hold.
 	LoadFactor float64
-	// ReadPrice is what the operators pay for a thousand shared tokens that are read
+	// PrefillPrice is what the operators pay for a thousand shared tokens that are read
 	// again, MovePrice for a gigabyte that engines hand each other, both in the unit of
 	// worth. Entries are told their ratio; where one is zero they go by their default.
-	ReadPrice, MovePrice float64
+	PrefillPrice, MovePrice float64
 }
 
 // Kitchen returns a site of today's size: four entries before nine engines, long
@@ -117,7 +117,7 @@
 func CostlyTransfers() Site {
 	site := FastEngines().WithTransfers(300000, 1.375e8)
 	site.Engine.PrefillRate, site.Engine.Memory = 30, 300000
-	site.ReadPrice, site.MovePrice = 0.63, 2.7
+	site.PrefillPrice, site.MovePrice = 0.63, 2.7
 	return site
 }
 
@@ -130,7 +130,7 @@
 
 // WithPrices returns the site with what reading again and moving cost.
 func (site Site) WithPrices(read, move float64) Site {
-	site.ReadPrice, site.MovePrice = read, move
+	site.PrefillPrice, site.MovePrice = read, move
 	return site
 }
 
