--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -188,7 +188,7 @@
 
 // prompt draws the parts of a request.
 func (run *run) prompt(index int, class *Class) []balancer.Part {
-	thing := run.draws.IntN(class.Things)
+	thing := run.draws.IntN(class.Contexts)
 	if run.draws.Float64() < run.settings.Hot {
 		thing = 0
 	}
