--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -196,7 +196,7 @@
 	return []balancer.Part{
 		{ID: base | uint64(thing%class.Roots), Tokens: class.RootTokens},
 		{ID: base | 1<<16 | uint64(thing), Tokens: class.ContextTokens},
-		{ID: run.draws.Uint64() | 1<<63, Tokens: class.OwnTokens},
+		{ID: run.draws.Uint64() | 1<<63, Tokens: class.UniqueTokens},
 	}
 }
 
