--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -217,7 +217,7 @@
 		run.send(fresh, chosen, nil, now)
 		return
 	}
-	class, left := fresh.class, float64(fresh.class.Patience)
+	class, left := fresh.class, float64(fresh.class.Timeout)
 	waiter := &balancer.Waiter{
 		Request: balancer.Request{
 			Service: "planner", Parts: fresh.parts, Priority: class.Urgency, MaxEngineWait: class.Target,
@@ -265,7 +265,7 @@
 // its patience.
 func (run *run) refuse(request *request, wait, now float64) {
 	pause := comeBack + run.draws.Float64()*comeBackWidth + wait
-	pause = math.Min(pause, float64(request.class.Patience)/3)
+	pause = math.Min(pause, float64(request.class.Timeout)/3)
 	if request.again {
 		run.tally(request.class, func(tally *Tally) { tally.Refused++ })
 		return
@@ -305,7 +305,7 @@
 			run.step(engine)
 		}
 	})
-	run.at(request.arrived+float64(request.class.Patience), func(now float64) {
+	run.at(request.arrived+float64(request.class.Timeout), func(now float64) {
 		if request.answered || request.over {
 			return
 		}
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -13,9 +13,9 @@
 	PerSecond float64
 	// Urgency orders classes; zero is first.
 	Urgency int
-	// Target is the time to the first event that counts as on time, Patience how
+	// Target is the time to the first event that counts as on time, Timeout how
 	// long the caller waits for it.
-	Target, Patience timekeeper.Span
+	Target, Timeout timekeeper.Span
 	// Roots is how many first parts there are, of RootTokens each; Things how many
 	// second parts, of ThingTokens each; each thing has one root.
 	Roots, RootTokens   int
@@ -54,15 +54,15 @@
 		},
 		Classes: []Class{
 			{
-				Name: "rebuild", PerSecond: 17.5, Urgency: 1, Target: 600, Patience: 2400, Worth: 3.9,
+				Name: "rebuild", PerSecond: 17.5, Urgency: 1, Target: 600, Timeout: 2400, Worth: 3.9,
 				Roots: 4, RootTokens: 2520, Contexts: 26, ContextTokens: 6100, UniqueTokens: 580, Output: 52,
 			},
 			{
-				Name: "summary", PerSecond: 22.5, Urgency: 0, Target: 400, Patience: 2000, Worth: 2,
+				Name: "summary", PerSecond: 22.5, Urgency: 0, Target: 400, Timeout: 2000, Worth: 2,
 				Roots: 20, RootTokens: 341, Contexts: 34, ContextTokens: 1700, UniqueTokens: 360, Output: 24,
 			},
 			{
-				Name: "chat", PerSecond: 21.4, Urgency: 2, Target: 300, Patience: 2000, Worth: 0.49,
+				Name: "chat", PerSecond: 21.4, Urgency: 2, Target: 300, Timeout: 2000, Worth: 0.49,
 				Roots: 40, RootTokens: 103, Contexts: 32, ContextTokens: 500, UniqueTokens: 110, Output: 280,
 			},
 		},
@@ -96,15 +96,15 @@
 		},
 		Classes: []Class{
 			{
-				Name: "catalogue", PerSecond: 28.5, Urgency: 0, Target: 800, Patience: 3200, Worth: 5.6,
+				Name: "catalogue", PerSecond: 28.5, Urgency: 0, Target: 800, Timeout: 3200, Worth: 5.6,
 				Roots: 3, RootTokens: 512, Contexts: 43, ContextTokens: 10000, UniqueTokens: 1300, Output: 384,
 			},
 			{
-				Name: "reply", PerSecond: 41.7, Urgency: 1, Target: 800, Patience: 3200, Worth: 1.2,
+				Name: "reply", PerSecond: 41.7, Urgency: 1, Target: 800, Timeout: 3200, Worth: 1.2,
 				Roots: 40, RootTokens: 119, Contexts: 94, ContextTokens: 580, UniqueTokens: 130, Output: 294,
 			},
 			{
-				Name: "tag", PerSecond: 55.1, Urgency: 2, Target: 1200, Patience: 3000, Worth: 0.32,
+				Name: "tag", PerSecond: 55.1, Urgency: 2, Target: 1200, Timeout: 3000, Worth: 0.32,
 				Roots: 20, RootTokens: 341, Contexts: 83, ContextTokens: 1700, UniqueTokens: 360, Output: 24,
 			},
 		},
