--- a/internal/simulator/report.go
+++ b/internal/simulator/report.go
@@ -8,16 +8,16 @@
 
 // Tally is what became of the callers of one class.
 type Tally struct {
-	Asked, OnTime, Late, Refused, Left int
+	Arrived, OnTime, Late, Refused, Left int
 }
 
 // Served returns the share of callers who got an answer.
 func (tally Tally) Served() float64 {
-	return share(tally.OnTime+tally.Late, tally.Asked)
+	return share(tally.OnTime+tally.Late, tally.Arrived)
 }
 
 // Timely returns the share of callers whose answer began on time.
-func (tally Tally) Timely() float64 { return share(tally.OnTime, tally.Asked) }
+func (tally Tally) Timely() float64 { return share(tally.OnTime, tally.Arrived) }
 
 func share(part, whole int) float64 {
 	if whole == 0 {
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -209,7 +209,7 @@
 // arrive gives a request to an entry.
 func (run *run) arrive(fresh *request, now float64) {
 	if !fresh.again {
-		run.tally(fresh.class, func(tally *Tally) { tally.Asked++ })
+		run.tally(fresh.class, func(tally *Tally) { tally.Arrived++ })
 	}
 	fresh.entry = run.entries[run.draws.IntN(len(run.entries))]
 	if run.settings.Policy != Fleet {
@@ -382,7 +382,7 @@
 	owed, earned := 0.0, 0.0
 	for _, class := range run.settings.Site.Classes {
 		tally := run.report.Classes[class.Name]
-		owed += class.Worth * float64(tally.Asked)
+		owed += class.Worth * float64(tally.Arrived)
 		earned += class.Worth * (float64(tally.OnTime) + float64(tally.Late)/2)
 	}
 	run.report.Worth = earned / math.Max(owed, 1)
