--- a/internal/simulator/report.go
+++ b/internal/simulator/report.go
@@ -8,7 +8,7 @@
 
 // Tally is what became of the callers of one class.
 type Tally struct {
-	Arrived, OnTime, Late, Refused, Left int
+	Arrived, OnTime, Late, Refused, TimedOut int
 }
 
 // Served returns the share of callers who got an answer.
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -309,7 +309,7 @@
 		if request.answered || request.over {
 			return
 		}
-		run.tally(request.class, func(tally *Tally) { tally.Left++ })
+		run.tally(request.class, func(tally *Tally) { tally.TimedOut++ })
 		work.gone = true
 		end(balancer.Abandoned, now)
 	})
--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -85,7 +85,7 @@
 			left := mean(settings, func(report Report) float64 {
 				left, asked := 0, 0
 				for _, tally := range report.Classes {
-					left, asked = left+tally.Left, asked+tally.Arrived
+					left, asked = left+tally.TimedOut, asked+tally.Arrived
 				}
 				return share(left, asked)
 			})
