--- a/internal/simulator/report.go
+++ b/internal/simulator/report.go
@@ -11,8 +11,8 @@
 	Arrived, OnTime, Late, Refused, TimedOut int
 }
 
-// Served returns the share of callers who got an answer.
-func (tally Tally) Served() float64 {
+// ServedShare returns the share of callers who got an answer.
+func (tally Tally) ServedShare() float64 {
 	return share(tally.OnTime+tally.Late, tally.Arrived)
 }
 
@@ -68,7 +68,7 @@
 		report.ReadAgain, report.Fetched, report.Skew, report.Overfull)
 	for _, name := range names {
 		tally := report.Classes[name]
-		fmt.Fprintf(&out, " | %s on time %.2f served %.2f", name, tally.Timely(), tally.Served())
+		fmt.Fprintf(&out, " | %s on time %.2f served %.2f", name, tally.Timely(), tally.ServedShare())
 	}
 	return out.String()
 }
