--- a/internal/simulator/report.go
+++ b/internal/simulator/report.go
@@ -16,8 +16,8 @@
 	return share(tally.OnTime+tally.Late, tally.Arrived)
 }
 
-// Timely returns the share of callers whose answer began on time.
-func (tally Tally) Timely() float64 { return share(tally.OnTime, tally.Arrived) }
+// OnTimeShare returns the share of callers whose answer began on time.
+func (tally Tally) OnTimeShare() float64 { return share(tally.OnTime, tally.Arrived) }
 
 func share(part, whole int) float64 {
 	if whole == 0 {
@@ -68,7 +68,7 @@
 		report.ReadAgain, report.Fetched, report.Skew, report.Overfull)
 	for _, name := range names {
 		tally := report.Classes[name]
-		fmt.Fprintf(&out, " | %s on time %.2f served %.2f", name, tally.Timely(), tally.ServedShare())
+		fmt.Fprintf(&out, " | %s on time %.2f served %.2f", name, tally.OnTimeShare(), tally.ServedShare())
 	}
 	return out.String()
 }
--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -70,7 +70,7 @@
 	for _, load := range []float64{12, 16} {
 		settings := Settings{Site: Kitchen(), Load: load}
 		Convey("the most urgent are on time", t, func() {
-			So(mean(settings, func(report Report) float64 { return report.Classes["summary"].Timely() }), ShouldBeGreaterThan, 0.7)
+			So(mean(settings, func(report Report) float64 { return report.Classes["summary"].OnTimeShare() }), ShouldBeGreaterThan, 0.7)
 			So(mean(settings, func(report Report) float64 { return report.Classes["summary"].ServedShare() }), ShouldBeGreaterThan, 0.9)
 		})
 		Convey("more of the worth is served than by baselines", t, func() {
--- a/internal/simulator/sweep.go
+++ b/internal/simulator/sweep.go
@@ -50,7 +50,7 @@
 		point.Overfull += part * report.Overfull
 		point.ReadAgain += part * float64(report.ReadAgain) / 1000
 		for i, class := range sweep.Site.Classes {
-			point.Timely[i] += part * report.Classes[class.Name].Timely()
+			point.Timely[i] += part * report.Classes[class.Name].OnTimeShare()
 		}
 	}
 	return point
