--- a/internal/simulator/sweep.go
+++ b/internal/simulator/sweep.go
@@ -24,8 +24,8 @@
 	Load   float64
 	// Worth, Reuse, Skew and Overfull are as in Report, ReadAgain in thousands.
 	Worth, Reuse, Skew, Overfull, ReadAgain float64
-	// Timely is the share of on-time answers by class, in the order of the site.
-	Timely []float64
+	// OnTimeShare is the share of on-time answers by class, in the order of the site.
+	OnTimeShare []float64
 }
 
 // Run makes the runs and calls each with every point as it is known.
@@ -38,7 +38,7 @@
 }
 
 func (sweep Sweep) point(policy Policy, load float64) Point {
-	point := Point{Policy: policy, Load: load, Timely: make([]float64, len(sweep.Site.Classes))}
+	point := Point{Policy: policy, Load: load, OnTimeShare: make([]float64, len(sweep.Site.Classes))}
 	part := 1 / float64(sweep.Seeds)
 	for seed := range sweep.Seeds {
 		report := Run(Settings{
@@ -50,7 +50,7 @@
 		point.Overfull += part * report.Overfull
 		point.ReadAgain += part * float64(report.ReadAgain) / 1000
 		for i, class := range sweep.Site.Classes {
-			point.Timely[i] += part * report.Classes[class.Name].OnTimeShare()
+			point.OnTimeShare[i] += part * report.Classes[class.Name].OnTimeShare()
 		}
 	}
 	return point
@@ -71,7 +71,7 @@
 	sweep.Run(func(point Point) {
 		fmt.Fprintf(table, "%g\t%s\t%.3f\t%.3f\t%.0fk\t%.2f\t%.3f",
 			point.Load, point.Policy, point.Worth, point.Reuse, point.ReadAgain, point.Skew, point.Overfull)
-		for _, timely := range point.Timely {
+		for _, timely := range point.OnTimeShare {
 			fmt.Fprintf(table, "\t%.2f", timely)
 		}
 		fmt.Fprintf(table, "\t%s\n", strings.Repeat("#", int(point.Worth*barWidth+0.5)))
