--- a/internal/simulator/report.go
+++ b/internal/simulator/report.go
@@ -35,8 +35,8 @@
 	// Price is what reading again and moving cost the operators, as a share of the
 	// callers' worth.
 	Price float64
-	// ReadAgain are shared tokens that an engine read though another had them.
-	ReadAgain int
+	// PrefilledAgain are shared tokens that an engine read though another had them.
+	PrefilledAgain int
 	// Fetched are shared tokens that an engine got from another one.
 	Fetched int
 	// Read are all shared tokens that were read, Kept those that were cached.
@@ -65,7 +65,7 @@
 	slices.Sort(names)
 	var out strings.Builder
 	fmt.Fprintf(&out, "worth %.3f price %.3f reuse %.3f read-again %d fetched %d skew %.2f overfull %.3f", report.Worth, report.Price, report.Reuse(),
-		report.ReadAgain, report.Fetched, report.Skew, report.Overfull)
+		report.PrefilledAgain, report.Fetched, report.Skew, report.Overfull)
 	for _, name := range names {
 		tally := report.Classes[name]
 		fmt.Fprintf(&out, " | %s on time %.2f served %.2f", name, tally.OnTimeShare(), tally.ServedShare())
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -342,7 +342,7 @@
 		}
 		run.report.Read += part.Tokens
 		if len(run.holders[part.ID]) > 0 {
-			run.report.ReadAgain += part.Tokens
+			run.report.PrefilledAgain += part.Tokens
 		}
 		if run.holders[part.ID] == nil {
 			run.holders[part.ID] = map[int]bool{}
@@ -387,7 +387,7 @@
 	}
 	run.report.Worth = earned / math.Max(owed, 1)
 	site := run.settings.Site
-	again := site.PrefillPrice * float64(run.report.ReadAgain) / thousand
+	again := site.PrefillPrice * float64(run.report.PrefilledAgain) / thousand
 	moved := site.MovePrice * float64(run.report.Fetched) * site.Engine.TokenBytes / gigabyte
 	run.report.Price = (again + moved) / math.Max(owed, 1)
 	run.report.Skew = run.skew / math.Max(float64(run.samples), 1)
--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -36,11 +36,11 @@
 	Convey("at one and two times the usual load", t, func() {
 		So(mean(Settings{Site: Kitchen(), Load: 1}, worth), ShouldBeGreaterThan, 0.99)
 		So(mean(Settings{Site: Kitchen(), Load: 2}, worth), ShouldBeGreaterThan, 0.99)
-		again := mean(Settings{Site: Kitchen(), Load: 2}, func(report Report) float64 { return float64(report.ReadAgain) })
+		again := mean(Settings{Site: Kitchen(), Load: 2}, func(report Report) float64 { return float64(report.PrefilledAgain) })
 		So(again, ShouldBeLessThan, 150_000)
-		random := mean(Settings{Site: Kitchen(), Load: 2, Policy: Random}, func(report Report) float64 { return float64(report.ReadAgain) })
+		random := mean(Settings{Site: Kitchen(), Load: 2, Policy: Random}, func(report Report) float64 { return float64(report.PrefilledAgain) })
 		So(again*8, ShouldBeLessThan, random)
-		usual := mean(Settings{Site: Kitchen(), Load: 1}, func(report Report) float64 { return float64(report.ReadAgain) })
+		usual := mean(Settings{Site: Kitchen(), Load: 1}, func(report Report) float64 { return float64(report.PrefilledAgain) })
 		So(usual, ShouldBeLessThan, 75_000)
 	})
 }
@@ -56,7 +56,7 @@
 	}
 	Convey("nearly all are served, and prompts are read once", t, func() {
 		So(mean(settings, worth), ShouldBeGreaterThan, 0.93)
-		again := mean(settings, func(report Report) float64 { return float64(report.ReadAgain) })
+		again := mean(settings, func(report Report) float64 { return float64(report.PrefilledAgain) })
 		So(again, ShouldBeLessThan, 350_000)
 		settings.Policy = LeastOutstanding
 		So(mean(settings, worth), ShouldBeLessThan, 0.8)
@@ -133,7 +133,7 @@
 	for _, test := range tests {
 		settings := Settings{Site: Kitchen(), Load: test.load, Restart: 500}
 		Convey("few prompts are read by another engine", t, func() {
-			So(mean(settings, func(report Report) float64 { return float64(report.ReadAgain) }), ShouldBeLessThan, test.again)
+			So(mean(settings, func(report Report) float64 { return float64(report.PrefilledAgain) }), ShouldBeLessThan, test.again)
 			So(mean(settings, worth), ShouldBeGreaterThan, 0.99)
 		})
 	}
@@ -188,7 +188,7 @@
 	// that has to take over a catalogue fetches it from the one that is full; without
 	// them it reads it, which is what makes the least urgent callers late.
 	for _, restart := range []timekeeper.Span{0, 500} {
-		again := func(report Report) float64 { return float64(report.ReadAgain) }
+		again := func(report Report) float64 { return float64(report.PrefilledAgain) }
 		handed, read := 0.0, 0.0
 		for _, load := range []float64{1, 2, 4} {
 			settings := Settings{Site: FastEngines(), Load: load, Restart: restart}
--- a/internal/simulator/sweep.go
+++ b/internal/simulator/sweep.go
@@ -48,7 +48,7 @@
 		point.Reuse += part * report.Reuse()
 		point.Skew += part * report.Skew
 		point.Overfull += part * report.Overfull
-		point.ReadAgain += part * float64(report.ReadAgain) / 1000
+		point.ReadAgain += part * float64(report.PrefilledAgain) / 1000
 		for i, class := range sweep.Site.Classes {
 			point.OnTimeShare[i] += part * report.Classes[class.Name].OnTimeShare()
 		}
