--- a/internal/simulator/sweep.go
+++ b/internal/simulator/sweep.go
@@ -22,8 +22,8 @@
 type Point struct {
 	Policy Policy
 	Load   float64
-	// Worth, Reuse, Skew and Overfull are as in Report, ReadAgain in thousands.
-	Worth, Reuse, Skew, Overfull, ReadAgain float64
+	// Worth, Reuse, Skew and Overfull are as in Report, PrefilledAgain in thousands.
+	Worth, Reuse, Skew, Overfull, PrefilledAgain float64
 	// OnTimeShare is the share of on-time answers by class, in the order of the site.
 	OnTimeShare []float64
 }
@@ -48,7 +48,7 @@
 		point.Reuse += part * report.Reuse()
 		point.Skew += part * report.Skew
 		point.Overfull += part * report.Overfull
-		point.ReadAgain += part * float64(report.PrefilledAgain) / 1000
+		point.PrefilledAgain += part * float64(report.PrefilledAgain) / 1000
 		for i, class := range sweep.Site.Classes {
 			point.OnTimeShare[i] += part * report.Classes[class.Name].OnTimeShare()
 		}
@@ -70,7 +70,7 @@
 	fmt.Fprintln(table)
 	sweep.Run(func(point Point) {
 		fmt.Fprintf(table, "%g\t%s\t%.3f\t%.3f\t%.0fk\t%.2f\t%.3f",
-			point.Load, point.Policy, point.Worth, point.Reuse, point.ReadAgain, point.Skew, point.Overfull)
+			point.Load, point.Policy, point.Worth, point.Reuse, point.PrefilledAgain, point.Skew, point.Overfull)
 		for _, timely := range point.OnTimeShare {
 			fmt.Fprintf(table, "\t%.2f", timely)
 		}
