--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -340,7 +340,7 @@
 			run.report.Fetched += part.Tokens
 			continue
 		}
-		run.report.Read += part.Tokens
+		run.report.Prefilled += part.Tokens
 		if len(run.holders[part.ID]) > 0 {
 			run.report.PrefilledAgain += part.Tokens
 		}
