--- a/internal/simulator/report.go
+++ b/internal/simulator/report.go
@@ -39,8 +39,8 @@
 	PrefilledAgain int
 	// Fetched are shared tokens that an engine got from another one.
 	Fetched int
-	// Prefilled are all shared tokens that were read, Kept those that were cached.
-	Prefilled, Kept int
+	// Prefilled are all shared tokens that were read, Cached those that were cached.
+	Prefilled, Cached int
 	// Skew is the busiest engine's requests over the mean, averaged over time.
 	Skew float64
 	// Overfull is the share of requests that reached an engine holding more than
@@ -53,7 +53,7 @@
 
 // Reuse returns the share of the shared tokens that were found cached.
 func (report Report) Reuse() float64 {
-	return share(report.Kept, report.Kept+report.Prefilled+report.Fetched)
+	return share(report.Cached, report.Cached+report.Prefilled+report.Fetched)
 }
 
 // String returns the report as one line.
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -333,7 +333,7 @@
 	}
 	for i, part := range request.parts[:len(request.parts)-1] {
 		if _, cached := run.engines[chosen].cached[part.ID]; cached {
-			run.report.Kept += part.Tokens
+			run.report.Cached += part.Tokens
 			continue
 		}
 		if i < handed {
