--- a/internal/simulator/policy.go
+++ b/internal/simulator/policy.go
@@ -96,9 +96,9 @@
 	Restart timekeeper.Span
 	// Slow is the factor by which the first engine is slower; zero means one.
 	Slow float64
-	// Down is an engine that hands on nothing from the middle of the run on, by its
+	// FailedSource is an engine that hands on nothing from the middle of the run on, by its
 	// number from one; zero means none.
-	Down int
+	FailedSource int
 	// PrefillRate is what entries take the engines to read in a millisecond; zero means
 	// what they take without being told.
 	PrefillRate float64
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -107,7 +107,7 @@
 		run.at(tick, run.look)
 	}
 	run.at(tick, run.sample)
-	if down := run.settings.Down; down > 0 {
+	if down := run.settings.FailedSource; down > 0 {
 		run.at(float64(run.settings.Length)/2, func(float64) { run.engines[down-1].down = true })
 	}
 }
--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -282,7 +282,7 @@
 func TestASourceThatIsGone(t *testing.T) {
 	// From the middle of the run on one engine hands on nothing. Requests that name
 	// it read their prompt after all; callers don't notice.
-	settings := Settings{Site: FastEngines(), Load: 2, Down: 1, Restart: 500}
+	settings := Settings{Site: FastEngines(), Load: 2, FailedSource: 1, Restart: 500}
 	Convey("nearly all are on time", t, func() {
 		So(mean(settings, worth), ShouldBeGreaterThan, 0.99)
 	})
