--- a/internal/simulator/entry.go
+++ b/internal/simulator/entry.go
@@ -42,6 +42,6 @@
 	run.restarts++
 	run.entries[run.restarts%len(run.entries)] = run.newEntry(uint64(len(run.entries) + run.restarts))
 	if now < run.last() {
-		run.at(now+float64(run.settings.Restart), run.restart)
+		run.at(now+float64(run.settings.RestartInterval), run.restart)
 	}
 }
--- a/internal/simulator/policy.go
+++ b/internal/simulator/policy.go
@@ -91,9 +91,9 @@
 	Burst float64
 	// BurstFrom, BurstFor and Length are spans of the run.
 	BurstFrom, BurstFor, Length timekeeper.Span
-	// Restart is the time from one replacement of an entry to the next; zero means
+	// RestartInterval is the time from one replacement of an entry to the next; zero means
 	// that none is replaced. Only the policy Fleet has entries to replace.
-	Restart timekeeper.Span
+	RestartInterval timekeeper.Span
 	// Slow is the factor by which the first engine is slower; zero means one.
 	Slow float64
 	// FailedSource is an engine that hands on nothing from the middle of the run on, by its
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -97,8 +97,8 @@
 	for i := range site.Entries {
 		run.entries = append(run.entries, run.newEntry(uint64(i)))
 	}
-	if run.settings.Restart > 0 && run.settings.Policy == Fleet {
-		run.at(float64(run.settings.Restart), run.restart)
+	if run.settings.RestartInterval > 0 && run.settings.Policy == Fleet {
+		run.at(float64(run.settings.RestartInterval), run.restart)
 	}
 	if site.DigestInterval > 0 && run.settings.Policy == Fleet {
 		run.at(float64(site.DigestInterval), run.digests)
--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -131,7 +131,7 @@
 		again float64
 	}{{1, 350_000}, {2, 480_000}}
 	for _, test := range tests {
-		settings := Settings{Site: Kitchen(), Load: test.load, Restart: 500}
+		settings := Settings{Site: Kitchen(), Load: test.load, RestartInterval: 500}
 		Convey("few prompts are read by another engine", t, func() {
 			So(mean(settings, func(report Report) float64 { return float64(report.PrefilledAgain) }), ShouldBeLessThan, test.again)
 			So(mean(settings, worth), ShouldBeGreaterThan, 0.99)
@@ -191,7 +191,7 @@
 		again := func(report Report) float64 { return float64(report.PrefilledAgain) }
 		handed, read := 0.0, 0.0
 		for _, load := range []float64{1, 2, 4} {
-			settings := Settings{Site: FastEngines(), Load: load, Restart: restart}
+			settings := Settings{Site: FastEngines(), Load: load, RestartInterval: restart}
 			handed += mean(settings, again)
 			earned := mean(settings, worth)
 			settings.Site = settings.Site.WithTransfers(0, 0)
@@ -256,7 +256,7 @@
 		Convey(test.name, t, func() {
 			stays := Settings{Site: test.site, Load: test.load}
 			restarts := stays
-			restarts.Restart = 500
+			restarts.RestartInterval = 500
 			So((mean(stays, Report.Net)+mean(restarts, Report.Net))/2, ShouldBeGreaterThan, test.net)
 			So(mean(stays, worth), ShouldBeGreaterThan, 0.985)
 		})
@@ -282,7 +282,7 @@
 func TestASourceThatIsGone(t *testing.T) {
 	// From the middle of the run on one engine hands on nothing. Requests that name
 	// it read their prompt after all; callers don't notice.
-	settings := Settings{Site: FastEngines(), Load: 2, FailedSource: 1, Restart: 500}
+	settings := Settings{Site: FastEngines(), Load: 2, FailedSource: 1, RestartInterval: 500}
 	Convey("nearly all are on time", t, func() {
 		So(mean(settings, worth), ShouldBeGreaterThan, 0.99)
 	})
