--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -134,8 +134,8 @@
 	return site
 }
 
-// WithBound returns the site with another bound.
-func (site Site) WithBound(bound float64) Site {
+// WithLoadFactor returns the site with another bound.
+func (site Site) WithLoadFactor(bound float64) Site {
 	site.LoadFactor = bound
 	return site
 }
