--- a/internal/simulator/engine.go
+++ b/internal/simulator/engine.go
@@ -7,21 +7,21 @@
 	"github.com/trefoilseam/trefoilseam/internal/balancer"
 )
 
-// EngineSettings are the figures of a model engine.
+// EngineSettings are the capacity and speed of a model engine.
 type EngineSettings struct {
-	// Slots is how many requests run at once.
+	// Slots is how many requests run concurrently.
 	Slots int
-	// Memory is how many tokens running requests and cached parts hold together.
+	// Memory is how many tokens running requests and cached parts can hold together.
 	Memory int
-	// Step is the time of a step without requests, in milliseconds, and StepPerRequest
-	// what each running request adds.
+	// Step is the duration of an empty step in milliseconds, StepPerRequest what each
+	// running request adds.
 	Step, StepPerRequest float64
-	// PrefillRate is how many prompt tokens are read in a millisecond, Chunk how
-	// many at most in one step.
+	// PrefillRate is how many prompt tokens are prefilled in a millisecond, Chunk the
+	// maximum in one step.
 	PrefillRate float64
-	Chunk    int
-	// TokenBytes is the memory of one token, LinkRate how many bytes the link of an
-	// engine carries in a millisecond; zero means that engines hand on nothing.
+	Chunk       int
+	// TokenBytes is the cache memory of one token, LinkRate how many bytes an engine's
+	// link transfers in a millisecond; zero disables transfers between engines.
 	TokenBytes, LinkRate float64
 }
 
@@ -31,12 +31,12 @@
 	output   int
 	priority int
 	number   int
-	// unread are the prompt tokens that are still to be read.
-	unread int
-	made   int
-	// first and done are called at the first token and at the end.
-	first, done func(now float64)
-	gone        bool
+	// pending is the number of prompt tokens that are not prefilled yet.
+	pending   int
+	generated int
+	// firstToken and done are called at the first token and at the end.
+	firstToken, done func(now float64)
+	abandoned        bool
 }
 
 // engine is one model engine in virtual time.
@@ -46,48 +46,49 @@
 	waiting  []*job
 	running  []*job
 	cached   map[uint64]*cachedPart
-	used     int
-	// next is when the current step ends; idle engines have none.
-	next float64
-	busy bool
-	// read counts the shared tokens that were read, fetched those that came from
-	// another engine.
-	read, fetched int
-	// linkFree is when the link has carried all that was asked of it.
-	linkFree float64
-	// down engines hand on nothing.
-	down bool
+	// used is the number of tokens in memory.
+	used int
+	// stepEnd is when the current step ends; it has no meaning while the engine is idle.
+	stepEnd float64
+	busy    bool
+	// prefilled counts the shared tokens that were prefilled, fetched those that were
+	// transferred from another engine.
+	prefilled, fetched int
+	// linkFreeAt is when the link has finished all transfers requested so far.
+	linkFreeAt float64
+	// failedSource means that the engine transfers nothing to others.
+	failedSource bool
 }
 
 type cachedPart struct {
-	tokens int
-	used   float64
+	tokens   int
+	lastUsed float64
 }
 
 func newEngine(id string, settings EngineSettings) *engine {
 	return &engine{id: id, settings: settings, cached: map[uint64]*cachedPart{}}
 }
 
-// held returns how many requests the engine has.
-func (engine *engine) held() int { return len(engine.waiting) + len(engine.running) }
+// inFlight returns the number of waiting and running requests.
+func (engine *engine) inFlight() int { return len(engine.waiting) + len(engine.running) }
 
-// add takes a request at an instant.
-func (engine *engine) add(fresh *job, now float64) {
-	at, _ := slices.BinarySearchFunc(engine.waiting, fresh, func(a, b *job) int {
+// enqueue inserts a job by priority, then by number, and starts a step if the engine is idle.
+func (engine *engine) enqueue(added *job, now float64) {
+	at, _ := slices.BinarySearchFunc(engine.waiting, added, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.number, b.number))
 	})
-	engine.waiting = slices.Insert(engine.waiting, at, fresh)
+	engine.waiting = slices.Insert(engine.waiting, at, added)
 	if !engine.busy {
-		engine.begin(now)
+		engine.startStep(now)
 	}
 }
 
-// begin starts a step: requests join, one chunk is read.
-func (engine *engine) begin(now float64) {
-	engine.drop()
+// startStep admits waiting requests to the batch and prefills one chunk.
+func (engine *engine) startStep(now float64) {
+	engine.removeAbandoned()
 	for len(engine.running) < engine.settings.Slots && len(engine.waiting) > 0 {
 		job := engine.waiting[0]
-		if !engine.fits(job, now) && len(engine.running) > 0 {
+		if !engine.admit(job, now) && len(engine.running) > 0 {
 			break
 		}
 		engine.waiting = engine.waiting[1:]
@@ -99,38 +100,39 @@
 	}
 	budget := engine.settings.Chunk
 	for _, job := range engine.running {
-		part := min(budget, job.unread)
-		job.unread -= part
-		budget -= part
+		chunk := min(budget, job.pending)
+		job.pending -= chunk
+		budget -= chunk
 	}
-	span := engine.settings.Step + engine.settings.StepPerRequest*float64(len(engine.running))
-	span += float64(engine.settings.Chunk-budget) / engine.settings.PrefillRate
-	engine.busy, engine.next = true, now+span
+	duration := engine.settings.Step + engine.settings.StepPerRequest*float64(len(engine.running))
+	duration += float64(engine.settings.Chunk-budget) / engine.settings.PrefillRate
+	engine.busy, engine.stepEnd = true, now+duration
 }
 
-// fits makes room for a request and finds out what it has to read.
-func (engine *engine) fits(job *job, now float64) bool {
-	unread, whole := 0, true
+// admit reserves memory for a request, evicts unused parts, and computes its pending
+// tokens. It returns false if the memory does not suffice.
+func (engine *engine) admit(job *job, now float64) bool {
+	pending, prefixCached := 0, true
 	last := len(job.parts) - 1
 	for i, part := range job.parts {
-		known, found := engine.cached[part.ID]
+		hit, found := engine.cached[part.ID]
 		if !found {
-			whole = false
+			prefixCached = false
 		}
-		if !whole {
-			unread += part.Tokens
+		if !prefixCached {
+			pending += part.Tokens
 			if i < last {
-				engine.read += part.Tokens
+				engine.prefilled += part.Tokens
 			}
 		}
 		if found {
-			known.used = now
+			hit.lastUsed = now
 			continue
 		}
-		engine.cached[part.ID] = &cachedPart{tokens: part.Tokens, used: now}
+		engine.cached[part.ID] = &cachedPart{tokens: part.Tokens, lastUsed: now}
 		engine.used += part.Tokens
 	}
-	job.unread = unread
+	job.pending = pending
 	engine.used += job.output
 	for engine.used > engine.settings.Memory && engine.evict(now) {
 		continue
@@ -138,13 +140,14 @@
 	return engine.used <= engine.settings.Memory
 }
 
-// evict drops the part that was used longest ago, unless it is in use now.
+// evict removes the least recently used part and returns false if none was last used
+// before now.
 func (engine *engine) evict(now float64) bool {
 	var oldest uint64
 	var part *cachedPart
-	for id, known := range engine.cached {
-		if known.used < now && (part == nil || known.used < part.used) {
-			oldest, part = id, known
+	for id, candidate := range engine.cached {
+		if candidate.lastUsed < now && (part == nil || candidate.lastUsed < part.lastUsed) {
+			oldest, part = id, candidate
 		}
 	}
 	if part == nil {
@@ -155,36 +158,37 @@
 	return true
 }
 
-// drop takes out requests whose callers have left.
-func (engine *engine) drop() {
-	engine.waiting = slices.DeleteFunc(engine.waiting, func(job *job) bool { return job.gone })
+// removeAbandoned removes requests whose callers have left.
+func (engine *engine) removeAbandoned() {
+	engine.waiting = slices.DeleteFunc(engine.waiting, func(job *job) bool { return job.abandoned })
 	engine.running = slices.DeleteFunc(engine.running, func(job *job) bool {
-		if job.gone {
+		if job.abandoned {
 			engine.used -= job.output
 		}
-		return job.gone
+		return job.abandoned
 	})
 }
 
-// end ends the step: each request whose prompt is read makes a token.
-func (engine *engine) end(now float64) {
+// endStep generates a token for each request whose prompt is prefilled, and starts the
+// next step.
+func (engine *engine) endStep(now float64) {
 	var ended []*job
 	for _, job := range engine.running {
-		if job.unread > 0 || job.gone {
+		if job.pending > 0 || job.abandoned {
 			continue
 		}
-		job.made++
-		if job.made == 1 {
-			job.first(now)
+		job.generated++
+		if job.generated == 1 {
+			job.firstToken(now)
 		}
-		if job.made >= job.output {
+		if job.generated >= job.output {
 			ended = append(ended, job)
 		}
 	}
-	engine.running = slices.DeleteFunc(engine.running, func(job *job) bool { return job.made >= job.output })
+	engine.running = slices.DeleteFunc(engine.running, func(job *job) bool { return job.generated >= job.output })
 	for _, job := range ended {
 		engine.used -= job.output
 		job.done(now)
 	}
-	engine.begin(now)
+	engine.startStep(now)
 }
--- a/internal/simulator/entry.go
+++ b/internal/simulator/entry.go
@@ -2,12 +2,13 @@
 
 import "github.com/trefoilseam/trefoilseam/internal/balancer"
 
-// entry is one entry in virtual time.
+// entry is one simulated entry.
 type entry struct {
-	fleet   *balancer.Fleet
-	running []int
-	waiting map[*balancer.Waiter]*request
-	placed  []placedPrompt
+	fleet       *balancer.Fleet
+	outstanding []int
+	waiting     map[*balancer.Waiter]*request
+	// unsentPrompts are the placed prompts that no digest has reported yet.
+	unsentPrompts []placedPrompt
 }
 
 type placedPrompt struct {
@@ -15,10 +16,10 @@
 	parts  []balancer.Part
 }
 
-// thousand tokens are what ReadPrice is for.
+// thousand is the number of tokens that PrefillPrice refers to.
 const thousand = 1000
 
-// newEntry returns an entry that knows the engines and nothing else.
+// newEntry returns an entry that knows the engines but not what they have cached.
 func (run *run) newEntry(number uint64) *entry {
 	site := run.settings.Site
 	settings := balancer.Settings{
@@ -33,15 +34,15 @@
 		Memory: site.Engine.Memory, TokenBytes: site.Engine.TokenBytes, LinkRate: site.Engine.LinkRate,
 	})
 	fleet.SetReplicas(run.replicas, 1)
-	return &entry{fleet: fleet, running: make([]int, site.Engines), waiting: map[*balancer.Waiter]*request{}}
+	return &entry{fleet: fleet, outstanding: make([]int, site.Engines), waiting: map[*balancer.Waiter]*request{}}
 }
 
-// restart replaces the entry whose turn it is. What it has under way goes on; who
-// waits there leaves.
-func (run *run) restart(now float64) {
-	run.restarts++
-	run.entries[run.restarts%len(run.entries)] = run.newEntry(uint64(len(run.entries) + run.restarts))
-	if now < run.last() {
-		run.at(now+float64(run.settings.RestartInterval), run.restart)
+// replaceEntry replaces the next entry in rotation with a new one. Requests in flight
+// at engines continue; callers that wait at the old entry leave.
+func (run *run) replaceEntry(now float64) {
+	run.replaced++
+	run.entries[run.replaced%len(run.entries)] = run.newEntry(uint64(len(run.entries) + run.replaced))
+	if now < run.lastTick() {
+		run.at(now+float64(run.settings.RestartInterval), run.replaceEntry)
 	}
 }
--- a/internal/simulator/policy.go
+++ b/internal/simulator/policy.go
@@ -9,21 +9,20 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Policy is how entries choose engines.
+// Policy is a placement policy: how entries choose engines.
 type Policy string
 
-// The policies. All but Fleet are baselines: they send each request at once.
+// All policies but Fleet are baselines, which send each request at once, without queueing.
 const (
-	// Fleet is package balancer as entries use it.
+	// Fleet is the policy of package balancer, which entries use in production.
 	Fleet Policy = "fleet"
-	// Random takes any engine.
+	// Random chooses an engine at random.
 	Random Policy = "random"
-	// LeastOutstanding takes the engine with the fewest requests of this entry.
+	// LeastOutstanding chooses the engine with the fewest requests of this entry.
 	LeastOutstanding Policy = "least-outstanding"
-	// Rendezvous ranks engines by the deepest shared prompt part, and looks at
-	// nothing else.
+	// Rendezvous chooses by a rendezvous hash of the deepest shared prompt part alone.
 	Rendezvous Policy = "rendezvous"
-	// TwoChoices takes the emptier of the two that rendezvous ranks first.
+	// TwoChoices chooses the less loaded of the two engines that rendezvous ranks first.
 	TwoChoices Policy = "two-choices"
 )
 
@@ -32,38 +31,38 @@
 	return []Policy{Fleet, Rendezvous, TwoChoices, LeastOutstanding, Random}
 }
 
-// baseline chooses an engine by a policy that isn't Fleet. running counts this
-// entry's requests at each engine.
-func (policy Policy) baseline(parts []balancer.Part, running []int, draws *rand.Rand) int {
+// baseline chooses an engine by a baseline policy. outstanding counts this entry's
+// requests at each engine.
+func (policy Policy) baseline(parts []balancer.Part, outstanding []int, rng *rand.Rand) int {
 	switch policy {
 	case LeastOutstanding:
-		return leastOf(running)
+		return indexOfMin(outstanding)
 	case Rendezvous:
-		first, _ := ranked(parts, len(running))
+		first, _ := topTwo(parts, len(outstanding))
 		return first
 	case TwoChoices:
-		first, second := ranked(parts, len(running))
-		if running[second] < running[first] {
+		first, second := topTwo(parts, len(outstanding))
+		if outstanding[second] < outstanding[first] {
 			return second
 		}
 		return first
 	case Random, Fleet:
 	}
-	return draws.IntN(len(running))
+	return rng.IntN(len(outstanding))
 }
 
-func leastOf(running []int) int {
+func indexOfMin(outstanding []int) int {
 	least := 0
-	for i := range running {
-		if running[i] < running[least] {
+	for i := range outstanding {
+		if outstanding[i] < outstanding[least] {
 			least = i
 		}
 	}
 	return least
 }
 
-// ranked returns the two engines that rendezvous ranks first for a prompt.
-func ranked(parts []balancer.Part, engines int) (first, second int) {
+// topTwo returns the two engines with the highest rendezvous hash for a prompt.
+func topTwo(parts []balancer.Part, engines int) (first, second int) {
 	shared := parts[max(0, len(parts)-2)].ID
 	weights := make([]uint64, engines)
 	for i := range weights {
@@ -81,31 +80,33 @@
 	return first, second
 }
 
-// Settings of a run.
+// Settings are the site, policy and load of a run.
 type Settings struct {
 	Site   Site
 	Policy Policy
-	// Load multiplies the arrivals, all the time, and Burst from BurstFrom for
-	// BurstFor on top of that; zero means one.
+	// Load multiplies the arrival rate throughout the run; Burst multiplies it again
+	// from BurstFrom for BurstFor. Zero means one.
 	Load  float64
 	Burst float64
-	// BurstFrom, BurstFor and Length are spans of the run.
+	// BurstFrom is the start of the burst, BurstFor its duration, Length the duration of
+	// arrivals; a Length of zero means ten seconds.
 	BurstFrom, BurstFor, Length timekeeper.Span
-	// RestartInterval is the time from one replacement of an entry to the next; zero means
-	// that none is replaced. Only the policy Fleet has entries to replace.
+	// RestartInterval is the time between replacements of an entry; zero means that none
+	// is replaced. It applies only to the policy Fleet.
 	RestartInterval timekeeper.Span
 	// Slow is the factor by which the first engine is slower; zero means one.
 	Slow float64
-	// FailedSource is an engine that hands on nothing from the middle of the run on, by its
-	// number from one; zero means none.
+	// FailedSource is the number, counted from one, of an engine that transfers nothing to
+	// others from the middle of the run on; zero means none.
 	FailedSource int
-	// PrefillRate is what entries take the engines to read in a millisecond; zero means
-	// what they take without being told.
+	// PrefillRate is how many tokens entries assume that engines prefill in a millisecond;
+	// zero means the balancer's default.
 	PrefillRate float64
-	// KnownParts is how many prompt parts an entry remembers of all engines together;
-	// zero means what it remembers without being told.
+	// KnownParts is how many prompt parts an entry remembers for all engines together;
+	// zero means the balancer's default.
 	KnownParts int
-	// Hot is the share of each class's requests that are about one thing.
+	// Hot is the share of each class's requests that use one hot context. Requests drawn at
+	// random may use it too.
 	Hot  float64
 	Seed uint64
 }
--- a/internal/simulator/report.go
+++ b/internal/simulator/report.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Tally is what became of the callers of one class.
+// Tally counts the callers of one class by outcome.
 type Tally struct {
 	Arrived, OnTime, Late, Refused, TimedOut int
 }
 
-// ServedShare returns the share of callers who got an answer.
+// ServedShare returns the share of callers whose answer began.
 func (tally Tally) ServedShare() float64 {
-	return share(tally.OnTime+tally.Late, tally.Arrived)
+	return ratio(tally.OnTime+tally.Late, tally.Arrived)
 }
 
 // OnTimeShare returns the share of callers whose answer began on time.
-func (tally Tally) OnTimeShare() float64 { return share(tally.OnTime, tally.Arrived) }
+func (tally Tally) OnTimeShare() float64 { return ratio(tally.OnTime, tally.Arrived) }
 
-func share(part, whole int) float64 {
+func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 1
 	}
@@ -29,31 +29,32 @@
 // Report is the outcome of a run.
 type Report struct {
 	Classes map[string]Tally
-	// Worth is the share of the callers' worth that was served on time, with half
-	// of it for late answers.
+	// Worth is the share of the callers' total worth that was earned: all of it for an
+	// answer on time, half of it for a late one.
 	Worth float64
-	// Price is what reading again and moving cost the operators, as a share of the
-	// callers' worth.
+	// Price is the operators' cost of repeated prefill and of transfers, as a share of the
+	// callers' total worth.
 	Price float64
-	// PrefilledAgain are shared tokens that an engine read though another had them.
+	// PrefilledAgain is how many shared tokens were prefilled although some engine had
+	// prefilled them before.
 	PrefilledAgain int
-	// Fetched are shared tokens that an engine got from another one.
+	// Fetched is how many shared tokens were transferred from another engine.
 	Fetched int
-	// Prefilled are all shared tokens that were read, Cached those that were cached.
+	// Prefilled is how many shared tokens were prefilled, Cached how many were cached.
 	Prefilled, Cached int
-	// Skew is the busiest engine's requests over the mean, averaged over time.
+	// Skew is the ratio of the busiest engine's requests to the mean, averaged over time.
 	Skew float64
-	// Overfull is the share of requests that reached an engine holding more than
-	// the bound on its share and three.
+	// Overfull is the share of requests sent to an engine that held more than LoadFactor
+	// times the mean plus three.
 	Overfull float64
 }
 
-// Net returns the share of the callers' worth that is left after the price.
+// Net returns Worth minus Price.
 func (report Report) Net() float64 { return report.Worth - report.Price }
 
-// Reuse returns the share of the shared tokens that were found cached.
+// Reuse returns the share of the shared tokens that were found cached on the chosen engine.
 func (report Report) Reuse() float64 {
-	return share(report.Cached, report.Cached+report.Prefilled+report.Fetched)
+	return ratio(report.Cached, report.Cached+report.Prefilled+report.Fetched)
 }
 
 // String returns the report as one line.
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -11,174 +11,178 @@
 )
 
 const (
-	// transit is the time from an entry to an engine, and between entries, in
+	// networkLatency is the time from an entry to an engine, and between entries, in
+	// milliseconds.
+	networkLatency = 1.0
+	// tick is the interval of dispatches from the queues of entries and of skew samples, in
 	// milliseconds.
-	transit = 1.0
-	// tick is how often entries look at who waits, in milliseconds.
 	tick = 20.0
-	// epoch keeps instants away from zero, which means "never" to decisions.
+	// epoch is the start of virtual time; it keeps instants away from zero, which means
+	// "never" in package balancer.
 	epoch = 1_000_000
-	// comeBack and its spread are when a refused caller comes again, in
-	// milliseconds, beside what the queue needs to drain.
-	comeBack, comeBackWidth = 250.0, 500.0
-	// waitTargets and waitShare bound a wait at the entry as the entry does.
-	waitTargets, waitShare = 2.0, 0.3
+	// retryDelay and retryJitter are the minimum and the spread of a refused caller's
+	// backoff, in milliseconds, on top of the wait that the entry estimates.
+	retryDelay, retryJitter = 250.0, 500.0
+	// maxWaitTargets and maxWaitShare limit the wait at an entry, as a multiple of the target
+	// and a share of the timeout. Real entries use the same limits.
+	maxWaitTargets, maxWaitShare = 2.0, 0.3
 )
 
-// gigabyte is in bytes.
+// gigabyte is the number of bytes that MovePrice refers to.
 const gigabyte = 1e9
 
-// request is one try of a caller.
+// request is a caller's request; a retry after a refusal reuses it.
 type request struct {
 	class    *Class
 	parts    []balancer.Part
 	arrived  float64
 	entry    *entry
-	again    bool
+	retried  bool
 	answered bool
-	over     bool
+	ended    bool
 }
 
-// run is the state of a run.
+// run is the state of one simulation.
 type run struct {
-	settings Settings
-	draws    *rand.Rand
-	agenda   agenda
-	numbers  int
-	engines  []*engine
-	replicas []balancer.Replica
-	entries  []*entry
-	restarts int
-	report   Report
-	// holders counts the engines that have read a part.
-	holders  map[uint64]map[int]bool
-	samples  int
-	skew     float64
+	settings   Settings
+	rng        *rand.Rand
+	events     events
+	lastNumber int
+	engines    []*engine
+	replicas   []balancer.Replica
+	entries    []*entry
+	replaced   int
+	report     Report
+	// prefilledOn has the engines that have prefilled each shared part.
+	prefilledOn map[uint64]map[int]bool
+	skewSamples int
+	skewSum     float64
+	// placed counts the requests sent to engines, overfull those above the load bound.
 	placed   int
 	overfull int
 }
 
-// Run plays a site and returns what became of its callers.
+// Run simulates a site and returns the report.
 func Run(settings Settings) Report {
 	settings = settings.withDefaults()
 	run := &run{
-		settings: settings, draws: rand.New(rand.NewPCG(settings.Seed, 31)),
-		report: Report{Classes: map[string]Tally{}}, holders: map[uint64]map[int]bool{},
+		settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 31)),
+		report: Report{Classes: map[string]Tally{}}, prefilledOn: map[uint64]map[int]bool{},
 	}
 	run.build()
-	run.arrivals()
-	for len(run.agenda) > 0 {
-		next := heap.Pop(&run.agenda).(event)
+	run.scheduleArrivals()
+	for len(run.events) > 0 {
+		next := heap.Pop(&run.events).(event)
 		next.do(next.at)
 	}
 	return run.finish()
 }
 
 func (run *run) at(when float64, do func(now float64)) {
-	run.numbers++
-	heap.Push(&run.agenda, event{at: when, number: run.numbers, do: do})
+	run.lastNumber++
+	heap.Push(&run.events, event{at: when, number: run.lastNumber, do: do})
 }
 
 func (run *run) build() {
 	site := run.settings.Site
 	replicas := make([]balancer.Replica, 0, site.Engines)
 	for i := range site.Engines {
-		figures := site.Engine
+		engineSettings := site.Engine
 		if i == 0 {
-			figures.Step *= run.settings.Slow
-			figures.StepPerRequest *= run.settings.Slow
-			figures.PrefillRate /= run.settings.Slow
+			engineSettings.Step *= run.settings.Slow
+			engineSettings.StepPerRequest *= run.settings.Slow
+			engineSettings.PrefillRate /= run.settings.Slow
 		}
 		id := fmt.Sprintf("engine-%02d", i)
-		run.engines = append(run.engines, newEngine(id, figures))
-		replicas = append(replicas, balancer.Replica{ID: id, Service: "planner", Address: id, Slots: figures.Slots})
+		run.engines = append(run.engines, newEngine(id, engineSettings))
+		replicas = append(replicas, balancer.Replica{ID: id, Service: "planner", Address: id, Slots: engineSettings.Slots})
 	}
 	run.replicas = replicas
 	for i := range site.Entries {
 		run.entries = append(run.entries, run.newEntry(uint64(i)))
 	}
 	if run.settings.RestartInterval > 0 && run.settings.Policy == Fleet {
-		run.at(float64(run.settings.RestartInterval), run.restart)
+		run.at(float64(run.settings.RestartInterval), run.replaceEntry)
 	}
 	if site.DigestInterval > 0 && run.settings.Policy == Fleet {
-		run.at(float64(site.DigestInterval), run.digests)
+		run.at(float64(site.DigestInterval), run.sendDigests)
 	}
 	if run.settings.Policy == Fleet {
-		run.at(tick, run.look)
+		run.at(tick, run.dispatchAll)
 	}
-	run.at(tick, run.sample)
-	if down := run.settings.FailedSource; down > 0 {
-		run.at(float64(run.settings.Length)/2, func(float64) { run.engines[down-1].down = true })
+	run.at(tick, run.sampleSkew)
+	if failedSource := run.settings.FailedSource; failedSource > 0 {
+		run.at(float64(run.settings.Length)/2, func(float64) { run.engines[failedSource-1].failedSource = true })
 	}
 }
 
-// last is when the run ends for what repeats.
-func (run *run) last() float64 { return float64(run.settings.Length) + 5000 }
+// lastTick is when recurring events stop.
+func (run *run) lastTick() float64 { return float64(run.settings.Length) + 5000 }
 
-// digests sends what each entry has under way to all others.
-func (run *run) digests(now float64) {
+// sendDigests sends each entry's requests in flight and new placements to its peers.
+func (run *run) sendDigests(now float64) {
 	for i, from := range run.entries {
-		held, placed := from.fleet.InFlight(), from.placed
-		from.placed = nil
+		inFlight, unsentPrompts := from.fleet.InFlight(), from.unsentPrompts
+		from.unsentPrompts = nil
 		for j, to := range run.entries {
 			if i == j {
 				continue
 			}
 			name := fmt.Sprintf("entry-%d", i)
-			run.at(now+transit, func(now float64) {
-				to.fleet.SetPeerInFlight(name, held, timekeeper.Second, instant(now))
-				for _, prompt := range placed {
+			run.at(now+networkLatency, func(now float64) {
+				to.fleet.SetPeerInFlight(name, inFlight, timekeeper.Second, instant(now))
+				for _, prompt := range unsentPrompts {
 					to.fleet.RecordCached(balancer.KeyOf(run.engines[prompt.engine].id), prompt.parts, instant(now))
 				}
 			})
 		}
 	}
-	if now < run.last() {
-		run.at(now+float64(run.settings.Site.DigestInterval), run.digests)
+	if now < run.lastTick() {
+		run.at(now+float64(run.settings.Site.DigestInterval), run.sendDigests)
 	}
 }
 
-func (run *run) look(now float64) {
+func (run *run) dispatchAll(now float64) {
 	for _, entry := range run.entries {
 		run.dispatch(entry, now)
 	}
-	if now < run.last() {
-		run.at(now+tick, run.look)
+	if now < run.lastTick() {
+		run.at(now+tick, run.dispatchAll)
 	}
 }
 
-// sample measures the skew.
-func (run *run) sample(now float64) {
-	total, most := 0, 0
+// sampleSkew adds a sample of the load skew between engines.
+func (run *run) sampleSkew(now float64) {
+	total, highest := 0, 0
 	for _, engine := range run.engines {
-		total += engine.held()
-		most = max(most, engine.held())
+		total += engine.inFlight()
+		highest = max(highest, engine.inFlight())
 	}
 	if total > 0 {
-		run.samples++
-		run.skew += float64(most) * float64(len(run.engines)) / float64(total)
+		run.skewSamples++
+		run.skewSum += float64(highest) * float64(len(run.engines)) / float64(total)
 	}
-	if now < run.last() {
-		run.at(now+tick, run.sample)
+	if now < run.lastTick() {
+		run.at(now+tick, run.sampleSkew)
 	}
 }
 
 func instant(now float64) timekeeper.Instant { return timekeeper.Instant(epoch + now) }
 
-// arrivals draws all callers.
-func (run *run) arrivals() {
+// scheduleArrivals draws the arrival times and prompts of all callers.
+func (run *run) scheduleArrivals() {
 	for i := range run.settings.Site.Classes {
 		class := &run.settings.Site.Classes[i]
 		for now := 0.0; now < float64(run.settings.Length); {
-			rate := class.PerSecond * run.settings.Load * run.burst(now) / 1000
-			now += run.draws.ExpFloat64() / rate
-			fresh := &request{class: class, parts: run.prompt(i, class), arrived: now}
-			run.at(now, func(now float64) { run.arrive(fresh, now) })
+			rate := class.PerSecond * run.settings.Load * run.burstFactor(now) / 1000
+			now += run.rng.ExpFloat64() / rate
+			incoming := &request{class: class, parts: run.prompt(i, class), arrived: now}
+			run.at(now, func(now float64) { run.arrive(incoming, now) })
 		}
 	}
 }
 
-func (run *run) burst(now float64) float64 {
+func (run *run) burstFactor(now float64) float64 {
 	from := float64(run.settings.BurstFrom)
 	if now >= from && now < from+float64(run.settings.BurstFor) {
 		return run.settings.Burst
@@ -186,17 +190,17 @@
 	return 1
 }
 
-// prompt draws the parts of a request.
+// prompt draws the parts of a prompt: root, context and unique part.
 func (run *run) prompt(index int, class *Class) []balancer.Part {
-	thing := run.draws.IntN(class.Contexts)
-	if run.draws.Float64() < run.settings.Hot {
-		thing = 0
+	context := run.rng.IntN(class.Contexts)
+	if run.rng.Float64() < run.settings.Hot {
+		context = 0
 	}
 	base := uint64(index+1) << 32
 	return []balancer.Part{
-		{ID: base | uint64(thing%class.Roots), Tokens: class.RootTokens},
-		{ID: base | 1<<16 | uint64(thing), Tokens: class.ContextTokens},
-		{ID: run.draws.Uint64() | 1<<63, Tokens: class.UniqueTokens},
+		{ID: base | uint64(context%class.Roots), Tokens: class.RootTokens},
+		{ID: base | 1<<16 | uint64(context), Tokens: class.ContextTokens},
+		{ID: run.rng.Uint64() | 1<<63, Tokens: class.UniqueTokens},
 	}
 }
 
@@ -206,33 +210,33 @@
 	run.report.Classes[class.Name] = tally
 }
 
-// arrive gives a request to an entry.
-func (run *run) arrive(fresh *request, now float64) {
-	if !fresh.again {
-		run.tally(fresh.class, func(tally *Tally) { tally.Arrived++ })
+// arrive hands a request to a random entry, which places or queues it.
+func (run *run) arrive(incoming *request, now float64) {
+	if !incoming.retried {
+		run.tally(incoming.class, func(tally *Tally) { tally.Arrived++ })
 	}
-	fresh.entry = run.entries[run.draws.IntN(len(run.entries))]
+	incoming.entry = run.entries[run.rng.IntN(len(run.entries))]
 	if run.settings.Policy != Fleet {
-		chosen := run.settings.Policy.baseline(fresh.parts, fresh.entry.running, run.draws)
-		run.send(fresh, chosen, nil, now)
+		chosen := run.settings.Policy.baseline(incoming.parts, incoming.entry.outstanding, run.rng)
+		run.send(incoming, chosen, nil, now)
 		return
 	}
-	class, left := fresh.class, float64(fresh.class.Timeout)
+	class, timeout := incoming.class, float64(incoming.class.Timeout)
 	waiter := &balancer.Waiter{
 		Request: balancer.Request{
-			Service: "planner", Parts: fresh.parts, Priority: class.Urgency, MaxEngineWait: class.Target,
+			Service: "planner", Parts: incoming.parts, Priority: class.Urgency, MaxEngineWait: class.Target,
 		},
 		Rank: class.Urgency, Team: "team", Due: instant(now).Add(class.Target),
-		Until: instant(now + math.Min(waitTargets*float64(class.Target), waitShare*left)),
+		Until: instant(now + math.Min(maxWaitTargets*float64(class.Target), maxWaitShare*timeout)),
 	}
-	fresh.entry.fleet.Enqueue(waiter, instant(now))
-	if !run.decided(fresh, waiter, now) {
-		fresh.entry.waiting[waiter] = fresh
+	incoming.entry.fleet.Enqueue(waiter, instant(now))
+	if !run.applyDecision(incoming, waiter, now) {
+		incoming.entry.waiting[waiter] = incoming
 	}
 }
 
-// decided acts on a decision, if there is one.
-func (run *run) decided(request *request, waiter *balancer.Waiter, now float64) bool {
+// applyDecision sends or refuses a request and returns false while it is undecided.
+func (run *run) applyDecision(request *request, waiter *balancer.Waiter, now float64) bool {
 	switch {
 	case waiter.Placement != nil:
 		run.send(request, run.indexOf(waiter.Placement.Replica.ID), waiter.Placement, now)
@@ -257,102 +261,101 @@
 	for _, waiter := range entry.fleet.Dispatch(instant(now)) {
 		request := entry.waiting[waiter]
 		delete(entry.waiting, waiter)
-		run.decided(request, waiter, now)
+		run.applyDecision(request, waiter, now)
 	}
 }
 
-// refuse tells a caller to come back; each comes back once, within a third of
-// its patience.
+// refuse refuses a request. Each caller retries once, within a third of its timeout.
 func (run *run) refuse(request *request, wait, now float64) {
-	pause := comeBack + run.draws.Float64()*comeBackWidth + wait
-	pause = math.Min(pause, float64(request.class.Timeout)/3)
-	if request.again {
+	delay := retryDelay + run.rng.Float64()*retryJitter + wait
+	delay = math.Min(delay, float64(request.class.Timeout)/3)
+	if request.retried {
 		run.tally(request.class, func(tally *Tally) { tally.Refused++ })
 		return
 	}
-	request.again = true
-	run.at(now+pause, func(now float64) { run.arrive(request, now) })
+	request.retried = true
+	run.at(now+delay, func(now float64) { run.arrive(request, now) })
 }
 
-// send gives a request to an engine.
+// send schedules a request at an engine and its abandonment at the caller's timeout.
 func (run *run) send(request *request, chosen int, placement *balancer.Placement, now float64) {
 	engine, entry := run.engines[chosen], request.entry
-	entry.running[chosen]++
+	entry.outstanding[chosen]++
 	if placement != nil {
-		entry.placed = append(entry.placed, placedPrompt{engine: chosen, parts: request.parts})
-	}
-	run.count(request, chosen, placement)
-	run.numbers++
-	work := &job{parts: request.parts, output: request.class.Output, priority: request.class.Urgency, number: run.numbers}
-	end := func(ending balancer.Outcome, now float64) {
-		request.over = true
-		entry.running[chosen]--
+		entry.unsentPrompts = append(entry.unsentPrompts, placedPrompt{engine: chosen, parts: request.parts})
+	}
+	run.recordPlacement(request, chosen, placement)
+	run.lastNumber++
+	work := &job{parts: request.parts, output: request.class.Output, priority: request.class.Urgency, number: run.lastNumber}
+	end := func(outcome balancer.Outcome, now float64) {
+		request.ended = true
+		entry.outstanding[chosen]--
 		if placement != nil {
-			entry.fleet.End(placement, ending, instant(now))
+			entry.fleet.End(placement, outcome, instant(now))
 			run.dispatch(entry, now)
 		}
 	}
-	work.first = func(now float64) { run.first(request, placement, now) }
+	work.firstToken = func(now float64) { run.firstToken(request, placement, now) }
 	work.done = func(now float64) { end(balancer.Served, now) }
-	ready := now + transit
+	ready := now + networkLatency
 	if placement != nil && placement.Source != "" && run.settings.Site.Engine.LinkRate > 0 {
 		ready = engine.fetch(request.parts, run.engines[run.indexOf(placement.Source)], ready)
 	}
 	run.at(ready, func(now float64) {
 		idle := !engine.busy
-		engine.add(work, now)
+		engine.enqueue(work, now)
 		if idle {
-			run.step(engine)
+			run.scheduleStep(engine)
 		}
 	})
 	run.at(request.arrived+float64(request.class.Timeout), func(now float64) {
-		if request.answered || request.over {
+		if request.answered || request.ended {
 			return
 		}
 		run.tally(request.class, func(tally *Tally) { tally.TimedOut++ })
-		work.gone = true
+		work.abandoned = true
 		end(balancer.Abandoned, now)
 	})
 }
 
-// count notes whether the engine has to read what another has, and whether it
-// holds more than its share.
-func (run *run) count(request *request, chosen int, placement *balancer.Placement) {
+// recordPlacement counts the cached, fetched and prefilled shared tokens of a request,
+// and whether its engine was above the load bound.
+func (run *run) recordPlacement(request *request, chosen int, placement *balancer.Placement) {
 	total := 0
 	for _, engine := range run.engines {
-		total += engine.held()
+		total += engine.inFlight()
 	}
 	run.placed++
 	limit := run.settings.Site.LoadFactor*float64(total)/float64(len(run.engines)) + 3
-	if float64(run.engines[chosen].held()) > limit {
+	if float64(run.engines[chosen].inFlight()) > limit {
 		run.overfull++
 	}
-	handed := 0
+	transferable := 0
 	if placement != nil && placement.Source != "" && run.settings.Site.Engine.LinkRate > 0 {
-		handed = run.engines[run.indexOf(placement.Source)].prefix(request.parts)
+		transferable = run.engines[run.indexOf(placement.Source)].cachedPrefix(request.parts)
 	}
 	for i, part := range request.parts[:len(request.parts)-1] {
 		if _, cached := run.engines[chosen].cached[part.ID]; cached {
 			run.report.Cached += part.Tokens
 			continue
 		}
-		if i < handed {
+		if i < transferable {
 			run.report.Fetched += part.Tokens
 			continue
 		}
 		run.report.Prefilled += part.Tokens
-		if len(run.holders[part.ID]) > 0 {
+		if len(run.prefilledOn[part.ID]) > 0 {
 			run.report.PrefilledAgain += part.Tokens
 		}
-		if run.holders[part.ID] == nil {
-			run.holders[part.ID] = map[int]bool{}
+		if run.prefilledOn[part.ID] == nil {
+			run.prefilledOn[part.ID] = map[int]bool{}
 		}
-		run.holders[part.ID][chosen] = true
+		run.prefilledOn[part.ID][chosen] = true
 	}
 }
 
-// first notes the first event of an answer.
-func (run *run) first(request *request, placement *balancer.Placement, now float64) {
+// firstToken records the first event of an answer.
+func (run *run) firstToken(request *request, placement *balancer.Placement, now float64) {
 	if placement != nil {
 		request.entry.fleet.AnswerStarted(placement, instant(now))
 	}
@@ -367,30 +370,31 @@
 	})
 }
 
-// step lets an engine go on until it is idle.
-func (run *run) step(engine *engine) {
+// scheduleStep schedules the end of the current step, and of all that follow, until the
+// engine is idle.
+func (run *run) scheduleStep(engine *engine) {
 	if !engine.busy {
 		return
 	}
-	run.at(engine.next, func(now float64) {
-		engine.end(now)
-		run.step(engine)
+	run.at(engine.stepEnd, func(now float64) {
+		engine.endStep(now)
+		run.scheduleStep(engine)
 	})
 }
 
 func (run *run) finish() Report {
-	owed, earned := 0.0, 0.0
+	possible, earned := 0.0, 0.0
 	for _, class := range run.settings.Site.Classes {
 		tally := run.report.Classes[class.Name]
-		owed += class.Worth * float64(tally.Arrived)
+		possible += class.Worth * float64(tally.Arrived)
 		earned += class.Worth * (float64(tally.OnTime) + float64(tally.Late)/2)
 	}
-	run.report.Worth = earned / math.Max(owed, 1)
+	run.report.Worth = earned / math.Max(possible, 1)
 	site := run.settings.Site
-	again := site.PrefillPrice * float64(run.report.PrefilledAgain) / thousand
-	moved := site.MovePrice * float64(run.report.Fetched) * site.Engine.TokenBytes / gigabyte
-	run.report.Price = (again + moved) / math.Max(owed, 1)
-	run.report.Skew = run.skew / math.Max(float64(run.samples), 1)
-	run.report.Overfull = share(run.overfull, run.placed)
+	prefillCost := site.PrefillPrice * float64(run.report.PrefilledAgain) / thousand
+	transferCost := site.MovePrice * float64(run.report.Fetched) * site.Engine.TokenBytes / gigabyte
+	run.report.Price = (prefillCost + transferCost) / math.Max(possible, 1)
+	run.report.Skew = run.skewSum / math.Max(float64(run.skewSamples), 1)
+	run.report.Overfull = ratio(run.overfull, run.placed)
 	return run.report
 }
--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -8,7 +8,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// mean runs the settings over seeds and returns the mean of what it picks.
+// mean returns the mean of a figure of the report over runs with several seeds.
 func mean(settings Settings, pick func(report Report) float64) float64 {
 	const seeds = 3
 	sum := 0.0
@@ -21,7 +21,7 @@
 
 func worth(report Report) float64 { return report.Worth }
 
-func TestARunFollowsItsSeed(t *testing.T) {
+func TestRunIsDeterminedByItsSeed(t *testing.T) {
 	settings := Settings{Site: Kitchen(), Load: 2, Seed: 7}
 	Convey("the same seed gives the same report", t, func() {
 		So(Run(settings), ShouldResemble, Run(settings))
@@ -30,10 +30,11 @@
 	})
 }
 
-func TestReuseAtTodaysLoad(t *testing.T) {
-	// Callers return with shared prompts by four entries. At the usual load nearly
-	// every answer begins on time, and few prompts are read by a second engine.
-	Convey("at one and two times the usual load", t, func() {
+func TestReuseAtUsualLoad(t *testing.T) {
+	// Callers return through four entries with shared prompts. At one and two times the
+	// usual load nearly every answer must begin on time, and few prompts may be prefilled
+	// by a second engine.
+	Convey("nearly all answers are on time and few prompts are prefilled again", t, func() {
 		So(mean(Settings{Site: Kitchen(), Load: 1}, worth), ShouldBeGreaterThan, 0.99)
 		So(mean(Settings{Site: Kitchen(), Load: 2}, worth), ShouldBeGreaterThan, 0.99)
 		again := mean(Settings{Site: Kitchen(), Load: 2}, func(report Report) float64 { return float64(report.PrefilledAgain) })
@@ -45,16 +46,15 @@
 	})
 }
 
-func TestABurstDoesNotCollapse(t *testing.T) {
-	// Six times the usual load comes at once for five seconds, half of what the
-	// engines can do when they read each prompt once. If requests left full engines
-	// for others that have to read their prompts, reading would take all engines'
-	// time, and callers would go on leaving without an answer until the burst is
-	// over. Most answers begin on time instead.
+func TestBurstDoesNotCauseCollapse(t *testing.T) {
+	// Guards against a prefill storm: for five seconds the load is six times the usual,
+	// half the engines' capacity if each prompt is prefilled once. If requests moved from
+	// full engines to others that must prefill their prompts, prefill would take all of
+	// the engines' time, and callers would leave unanswered until the burst ends.
 	settings := Settings{
 		Site: Kitchen(), Burst: 6, BurstFrom: 2 * timekeeper.Second, BurstFor: 5 * timekeeper.Second,
 	}
-	Convey("nearly all are served, and prompts are read once", t, func() {
+	Convey("nearly all answers are on time and few prompts are prefilled again", t, func() {
 		So(mean(settings, worth), ShouldBeGreaterThan, 0.93)
 		again := mean(settings, func(report Report) float64 { return float64(report.PrefilledAgain) })
 		So(again, ShouldBeLessThan, 350_000)
@@ -63,45 +63,45 @@
 	})
 }
 
-func TestBeyondWhatEnginesCanDo(t *testing.T) {
-	// Twelve and sixteen times the usual load come all the time, more than the
-	// engines can do. The most urgent callers are served on time; who can't be
-	// served is refused, not kept waiting until it leaves.
+func TestOverload(t *testing.T) {
+	// Throughout the run the load is twelve or sixteen times the usual, more than the
+	// engines' capacity. The most urgent callers must be served on time; callers that
+	// can't be served must be refused, not kept waiting until their timeout.
 	for _, load := range []float64{12, 16} {
 		settings := Settings{Site: Kitchen(), Load: load}
-		Convey("the most urgent are on time", t, func() {
+		Convey("most answers of the most urgent class are on time", t, func() {
 			So(mean(settings, func(report Report) float64 { return report.Classes["summary"].OnTimeShare() }), ShouldBeGreaterThan, 0.7)
 			So(mean(settings, func(report Report) float64 { return report.Classes["summary"].ServedShare() }), ShouldBeGreaterThan, 0.9)
 		})
-		Convey("more of the worth is served than by baselines", t, func() {
+		Convey("no baseline policy earns clearly more worth", t, func() {
 			fleet := mean(settings, worth)
 			for _, policy := range []Policy{Random, LeastOutstanding, TwoChoices, Rendezvous} {
 				settings.Policy = policy
 				So(fleet, ShouldBeGreaterThan, mean(settings, worth)-0.01)
 			}
 		})
-		Convey("few leave without having been told", t, func() {
+		Convey("few callers leave without an answer or a refusal", t, func() {
 			settings.Policy = Fleet
-			left := mean(settings, func(report Report) float64 {
-				left, asked := 0, 0
+			timedOut := mean(settings, func(report Report) float64 {
+				timedOut, arrived := 0, 0
 				for _, tally := range report.Classes {
-					left, asked = left+tally.TimedOut, asked+tally.Arrived
+					timedOut, arrived = timedOut+tally.TimedOut, arrived+tally.Arrived
 				}
-				return share(left, asked)
+				return ratio(timedOut, arrived)
 			})
-			So(left, ShouldBeLessThan, 0.1)
+			So(timedOut, ShouldBeLessThan, 0.1)
 		})
 	}
 }
 
-func TestNoEngineHoldsMoreThanItsShare(t *testing.T) {
-	// Half of each class's requests are about one thing. The engine that has its
-	// prompt may hold a multiple of the mean; beyond it the next one reads the
-	// prompt too. Rendezvous alone breaks the bound for a part of the requests.
+func TestHotContextStaysWithinLoadBound(t *testing.T) {
+	// Half of each class's requests use one hot context. The engine that has it cached
+	// may hold a multiple of the mean; above that bound the next engine must prefill the
+	// prompt too. Rendezvous hashing alone exceeds the bound for some requests.
 	for _, load := range []float64{2, 4, 8} {
 		settings := Settings{Site: Kitchen(), Load: load, Hot: 0.5}
 		overfull := func(report Report) float64 { return report.Overfull }
-		Convey("at a hot thing", t, func() {
+		Convey("few requests exceed the bound, more with rendezvous alone", t, func() {
 			So(mean(settings, overfull), ShouldBeLessThan, 0.01)
 			settings.Policy = Rendezvous
 			So(mean(settings, overfull), ShouldBeGreaterThan, 0.03)
@@ -110,10 +110,10 @@
 }
 
 func TestOneSlowEngine(t *testing.T) {
-	// One engine of nine works at a quarter of its speed. Its requests would be
-	// late, one in nine; entries find out by the first answers and send it less.
+	// One engine of nine runs at a quarter of its speed, so that one request in nine would
+	// be late. Entries must detect it by the first answers and send it fewer requests.
 	settings := Settings{Site: Kitchen(), Load: 3, Slow: 4}
-	Convey("few callers notice", t, func() {
+	Convey("few answers are late", t, func() {
 		fleet := mean(settings, worth)
 		So(fleet, ShouldBeGreaterThan, 0.95)
 		settings.Policy = Rendezvous
@@ -121,55 +121,56 @@
 	})
 }
 
-func TestEntriesThatStartAgain(t *testing.T) {
-	// One entry of four is replaced every half second, a rolling update at its
-	// fastest. The new ones know nothing of what engines have cached. If they went by
-	// load, they would read prompts into other engines than the rest, 521 and 750
-	// thousand tokens of them; they follow the preference order that the rest follows.
+func TestRollingUpdateOfEntries(t *testing.T) {
+	// One entry of four is replaced every half second, as in the fastest rolling update.
+	// New entries don't know what engines have cached. If they placed requests by load,
+	// 521 and 750 thousand tokens would be prefilled by other engines than their peers
+	// choose; they must use the same preference order as their peers.
 	tests := []struct {
-		load  float64
-		again float64
+		load              float64
+		maxPrefilledAgain float64
 	}{{1, 350_000}, {2, 480_000}}
 	for _, test := range tests {
 		settings := Settings{Site: Kitchen(), Load: test.load, RestartInterval: 500}
-		Convey("few prompts are read by another engine", t, func() {
-			So(mean(settings, func(report Report) float64 { return float64(report.PrefilledAgain) }), ShouldBeLessThan, test.again)
+		Convey("few prompts are prefilled by a second engine", t, func() {
+			So(mean(settings, func(report Report) float64 { return float64(report.PrefilledAgain) }), ShouldBeLessThan, test.maxPrefilledAgain)
 			So(mean(settings, worth), ShouldBeGreaterThan, 0.99)
 		})
 	}
 }
 
-func TestManyEntriesWithOldDigests(t *testing.T) {
-	// Thirty-one entries start with empty engines and hear of each other every 300
-	// or 600 ms. If each followed the last digest, all would go to the engine that
-	// was empty when it was sent: four requests in a hundred would reach an engine
-	// beyond its share, and a sixteenth of the callers' worth would come too late.
+func TestManyEntriesWithStaleDigests(t *testing.T) {
+	// Guards against herding: 31 entries start with empty engines and exchange digests
+	// every 300 or 600 ms. If each trusted the last digest, all would choose the engine
+	// that was empty when it was sent: 4 in 100 requests would reach an engine above its
+	// bound, and a sixteenth of the callers' worth would be late.
 	for _, digest := range []timekeeper.Span{300, 600} {
 		settings := Settings{Site: Halls().WithDigestInterval(digest), Load: 1, Length: 6 * timekeeper.Second}
-		Convey("few engines get more than their share", t, func() {
+		Convey("few requests exceed the bound", t, func() {
 			So(mean(settings, func(report Report) float64 { return report.Overfull }), ShouldBeLessThan, 0.015)
 			So(mean(settings, worth), ShouldBeGreaterThan, 0.98)
 		})
 	}
 }
 
-func TestAHotThingByManyEntries(t *testing.T) {
-	// Three requests in ten are about one thing, by thirty-one entries. No entry
-	// sees more than one or two of them between digests, and all know the one engine
-	// that has the prompt. Without counting on each other they put 0.14 and more of
-	// all requests beyond its share; what is left are those of the first second.
+func TestHotContextAcrossManyEntries(t *testing.T) {
+	// Three requests in ten use one hot context, spread over 31 entries. Each entry
+	// receives only one or two of them between digests, and all know the one engine that
+	// has it cached. Entries that don't allow for their peers' requests put a share of
+	// 0.14 and more of all requests above the bound; those that remain fall into the
+	// first second.
 	for _, load := range []float64{1, 2} {
 		settings := Settings{Site: Halls(), Load: load, Hot: 0.3, Length: 6 * timekeeper.Second}
-		Convey("its requests are shared by several engines", t, func() {
+		Convey("several engines serve the hot context", t, func() {
 			So(mean(settings, func(report Report) float64 { return report.Overfull }), ShouldBeLessThan, 0.1)
 			So(mean(settings, worth), ShouldBeGreaterThan, 0.92)
 		})
 	}
 }
 
-func TestEntriesThatDontHearOfEachOther(t *testing.T) {
-	// Digests are lost, all of them. Each entry reads the prompts into engines of
-	// its own choice at most; callers are still served.
+func TestEntriesWithoutDigests(t *testing.T) {
+	// All digests are lost. At worst each entry has the prompts prefilled by engines of
+	// its own choice; callers must still be served.
 	settings := Settings{Site: Kitchen().WithDigestInterval(0), Load: 2}
 	Convey("callers are served", t, func() {
 		So(mean(settings, worth), ShouldBeGreaterThan, 0.97)
@@ -182,29 +183,29 @@
 	}
 }
 
-func TestEnginesThatHandOn(t *testing.T) {
-	// Long catalogues at the usual load, twice and four times it, by entries that stay
-	// and by entries of which one is replaced every half second. With transfers an engine
-	// that has to take over a catalogue fetches it from the one that is full; without
-	// them it reads it, which is what makes the least urgent callers late.
+func TestTransfersBetweenEngines(t *testing.T) {
+	// Long catalogues arrive at one, two and four times the usual load, with stable entries
+	// and with one entry replaced every half second. With transfers, an engine that takes
+	// over a catalogue must fetch it from the full engine. Without them it prefills the
+	// catalogue, which makes the least urgent callers late.
 	for _, restart := range []timekeeper.Span{0, 500} {
-		again := func(report Report) float64 { return float64(report.PrefilledAgain) }
-		handed, read := 0.0, 0.0
+		prefilledAgain := func(report Report) float64 { return float64(report.PrefilledAgain) }
+		withTransfers, without := 0.0, 0.0
 		for _, load := range []float64{1, 2, 4} {
 			settings := Settings{Site: FastEngines(), Load: load, RestartInterval: restart}
-			handed += mean(settings, again)
+			withTransfers += mean(settings, prefilledAgain)
 			earned := mean(settings, worth)
 			settings.Site = settings.Site.WithTransfers(0, 0)
-			read += mean(settings, again)
-			Convey("no caller is worse off", t, func() { So(earned, ShouldBeGreaterThan, mean(settings, worth)-0.002) })
+			without += mean(settings, prefilledAgain)
+			Convey("transfers cost no worth", t, func() { So(earned, ShouldBeGreaterThan, mean(settings, worth)-0.002) })
 		}
-		Convey("little is read again", t, func() { So(handed, ShouldBeLessThan, read/5) })
+		Convey("transfers avoid most repeated prefill", t, func() { So(withTransfers, ShouldBeLessThan, without/5) })
 	}
 }
 
-func TestEnginesOfAnotherMake(t *testing.T) {
-	// Engines that read three times as fast, or as slowly, as entries take them to, with
-	// callers in proportion. Callers are served as well as if entries knew the rate.
+func TestUnknownPrefillRate(t *testing.T) {
+	// Engines prefill three times as fast, or as slowly, as entries assume, with load in
+	// proportion. Callers must be served as well as if the rate were configured.
 	for _, site := range []Site{Kitchen(), FastEngines()} {
 		for _, faster := range []float64{1.0 / 3, 3} {
 			other := site
@@ -213,19 +214,19 @@
 			other.Engine.StepPerRequest /= faster
 			for _, load := range []float64{1, 2, 4} {
 				settings := Settings{Site: other, Load: load * faster}
-				told := settings
-				told.PrefillRate = other.Engine.PrefillRate
-				Convey("as with the rate that is right", t, func() {
-					So(mean(settings, worth), ShouldBeGreaterThan, mean(told, worth)-0.015)
+				configured := settings
+				configured.PrefillRate = other.Engine.PrefillRate
+				Convey("nearly as much worth is earned as with the right rate", t, func() {
+					So(mean(settings, worth), ShouldBeGreaterThan, mean(configured, worth)-0.015)
 				})
 			}
 		}
 	}
 }
 
-func TestLinksThatAreNoGain(t *testing.T) {
-	// The link takes longer than reading, or a token has so much memory that moving
-	// it is dearer. Engines read as if they could not hand on.
+func TestNoTransferThatIsSlowerOrCostlierThanPrefill(t *testing.T) {
+	// The link is slower than prefill, or a token needs so much memory that its transfer
+	// costs more. Engines must prefill as if transfers were not possible.
 	slow, large := FastEngines().WithTransfers(35136, 1e6), FastEngines().WithTransfers(2e6, 1.375e8)
 	for _, site := range []Site{slow, large} {
 		Convey("nothing is fetched", t, func() {
@@ -234,12 +235,12 @@
 	}
 }
 
-func TestOperatorsPayLittleWhileEnginesHaveSlack(t *testing.T) {
-	// Engines are half idle, so callers are served in time whether a prompt stays where
-	// it is cached, is moved or is read again. What differs is what the operators pay. If
-	// a millisecond of an idle engine counted as much as that, prompts would leave their
-	// engines to save waiting that nobody notices: 0.83 of the worth would be left on the
-	// heavy engines, 0.967 and 0.965 on the others.
+func TestPlacementCostWithIdleCapacity(t *testing.T) {
+	// Engines are half idle, so answers are on time whether a prompt stays where it is
+	// cached, is transferred or is prefilled again; only the operators' cost differs. If a
+	// millisecond of an idle engine weighed as much as that cost, prompts would leave their
+	// engines to save waits that no caller notices: 0.83 of the worth would remain on
+	// CostlyTransfers, 0.967 and 0.965 on the other sites.
 	kitchen := Kitchen().WithTransfers(163840, 1.375e8).WithPrices(0.52, 0.64)
 	tests := []struct {
 		name string
@@ -247,41 +248,41 @@
 		load float64
 		net  float64
 	}{
-		{"moving is dearer than reading", CostlyTransfers(), 1, 0.88},
-		{"the same at twice the load", CostlyTransfers(), 2, 0.85},
-		{"moving is cheap", FastEngines().WithPrices(0.63, 2.7), 1, 0.975},
-		{"moving is cheaper than reading", kitchen, 1, 0.97},
+		{"a transfer costs more than prefill", CostlyTransfers(), 1, 0.88},
+		{"a transfer costs more than prefill, at twice the load", CostlyTransfers(), 2, 0.85},
+		{"a transfer is cheap", FastEngines().WithPrices(0.63, 2.7), 1, 0.975},
+		{"a transfer costs less than prefill", kitchen, 1, 0.97},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
-			stays := Settings{Site: test.site, Load: test.load}
-			restarts := stays
-			restarts.RestartInterval = 500
-			So((mean(stays, Report.Net)+mean(restarts, Report.Net))/2, ShouldBeGreaterThan, test.net)
-			So(mean(stays, worth), ShouldBeGreaterThan, 0.985)
+			stable := Settings{Site: test.site, Load: test.load}
+			restarting := stable
+			restarting.RestartInterval = 500
+			So((mean(stable, Report.Net)+mean(restarting, Report.Net))/2, ShouldBeGreaterThan, test.net)
+			So(mean(stable, worth), ShouldBeGreaterThan, 0.985)
 		})
 	}
 }
 
-func TestEntriesThatRememberLittleOfEachEngine(t *testing.T) {
-	// At 3,100 engines an entry remembers 84 prompt parts of each, of those that were
-	// used last. Callers come back with prompts that it has forgotten; the preference
-	// order, which needs no memory, finds their engine.
-	const each = 84
+func TestReuseWithFewKnownParts(t *testing.T) {
+	// With 3,100 engines an entry remembers only the 84 last used prompt parts of each.
+	// Callers return with prompts that it has forgotten; the preference order, which needs
+	// no memory, must find their engine.
+	const partsPerEngine = 84
 	for _, load := range []float64{1, 2} {
 		settings := Settings{Site: Halls(), Load: load, Length: 6 * timekeeper.Second}
-		Convey("reuse stays the same", t, func() {
+		Convey("reuse and worth hardly change", t, func() {
 			reuse, earned := mean(settings, Report.Reuse), mean(settings, worth)
-			settings.KnownParts = each * settings.Site.Engines
+			settings.KnownParts = partsPerEngine * settings.Site.Engines
 			So(mean(settings, Report.Reuse), ShouldBeGreaterThan, reuse-0.01)
 			So(mean(settings, worth), ShouldBeGreaterThan, earned-0.01)
 		})
 	}
 }
 
-func TestASourceThatIsGone(t *testing.T) {
-	// From the middle of the run on one engine hands on nothing. Requests that name
-	// it read their prompt after all; callers don't notice.
+func TestFailedTransferSource(t *testing.T) {
+	// From the middle of the run on one engine transfers nothing. Requests that name it as
+	// their source must have their prompt prefilled instead, and still be on time.
 	settings := Settings{Site: FastEngines(), Load: 2, FailedSource: 1, RestartInterval: 500}
 	Convey("nearly all are on time", t, func() {
 		So(mean(settings, worth), ShouldBeGreaterThan, 0.99)
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -6,46 +6,47 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Class is one kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name string
-	// PerSecond is how many come a second at a load of one.
+	// PerSecond is the arrival rate at a load of one.
 	PerSecond float64
-	// Urgency orders classes; zero is first.
+	// Urgency is the priority of the class; zero is the highest.
 	Urgency int
-	// Target is the time to the first event that counts as on time, Timeout how
-	// long the caller waits for it.
+	// Target is the time within which the first event counts as on time, Timeout how long
+	// the caller waits for it.
 	Target, Timeout timekeeper.Span
-	// Roots is how many first parts there are, of RootTokens each; Things how many
-	// second parts, of ThingTokens each; each thing has one root.
-	Roots, RootTokens   int
+	// Roots is the number of distinct first prompt parts, of RootTokens each. Contexts is
+	// the number of distinct second parts, of ContextTokens each; a context always follows
+	// the same root.
+	Roots, RootTokens       int
 	Contexts, ContextTokens int
-	// UniqueTokens is the part that no other request shares, Output the answer.
+	// UniqueTokens is the size of the part that no other request shares, Output the number
+	// of tokens of the answer.
 	UniqueTokens, Output int
-	// Worth weighs the class in the sum of a run.
+	// Worth is the weight of one request of the class in Report.Worth.
 	Worth float64
 }
 
-// Site is what a run plays.
+// Site is the simulated fleet and its load.
 type Site struct {
 	Entries int
 	Engines int
 	Engine  EngineSettings
 	Classes []Class
-	// DigestInterval is the time between two digests of an entry; zero means that entries
-	// never hear of each other.
+	// DigestInterval is the time between two digests of an entry; zero disables digests.
 	DigestInterval timekeeper.Span
-	// LoadFactor is how many times the mean a replica may hold.
+	// LoadFactor bounds the requests of a replica, as a multiple of the mean.
 	LoadFactor float64
-	// PrefillPrice is what the operators pay for a thousand shared tokens that are read
-	// again, MovePrice for a gigabyte that engines hand each other, both in the unit of
-	// worth. Entries are told their ratio; where one is zero they go by their default.
+	// PrefillPrice is the operators' cost of prefilling a thousand shared tokens again,
+	// MovePrice that of transferring a gigabyte between engines, both in the unit of Worth.
+	// Entries are configured with the ratio of the two; if either is zero, they use the
+	// balancer's default.
 	PrefillPrice, MovePrice float64
 }
 
-// Kitchen returns a site of today's size: four entries before nine engines, long
-// prompts that are urgent, short ones that are more so, and long answers that
-// are least urgent.
+// Kitchen returns a site of the current size: four entries in front of nine engines.
+// Long prompts are urgent, short ones more urgent, and long answers least urgent.
 func Kitchen() Site {
 	return Site{
 		Entries: 4, Engines: 9, DigestInterval: 100, LoadFactor: 2,
@@ -69,24 +70,24 @@
 	}
 }
 
-// Halls returns a site of the size that is planned next: 31 entries before 56
-// engines, six times as many callers, and digests that come at their slowest while
-// all prompts are new.
+// Halls returns a site of the next planned size: 31 entries in front of 56 engines,
+// six times as many callers, and the longest interval between digests, while all
+// prompts are new.
 func Halls() Site {
 	site := Kitchen()
 	site.Entries, site.Engines, site.DigestInterval = 31, 56, 600
 	site.Engine.Memory = 173000
 	site.Classes = slices.Clone(site.Classes)
-	for i, things := range []int{129, 166, 158} {
+	for i, contexts := range []int{129, 166, 158} {
 		site.Classes[i].PerSecond *= 6.3
-		site.Classes[i].Contexts = things
+		site.Classes[i].Contexts = contexts
 	}
 	return site
 }
 
-// FastEngines returns a site of the kind that joined last: four entries before eighteen
-// engines that read twice as fast as those of the kitchen, with a fifth of the memory
-// for a token, long catalogues that are most urgent, replies, and short tags.
+// FastEngines returns a site like the one added last: four entries in front of eighteen
+// engines that prefill twice as fast as those of Kitchen and need a fifth of the memory
+// for a token. Long catalogues are most urgent, then replies, then short tags.
 func FastEngines() Site {
 	return Site{
 		Entries: 4, Engines: 18, DigestInterval: 100, LoadFactor: 2,
@@ -111,9 +112,9 @@
 	}
 }
 
-// CostlyTransfers returns a site whose engines read a third as fast as those of the counter and
-// have nine times as much memory for a token, so that moving a prompt costs the
-// operators a quarter more than reading it again.
+// CostlyTransfers returns a site whose engines prefill a third as fast as those of
+// FastEngines and need nine times as much memory for a token, so that transferring a
+// prompt costs the operators a quarter more than prefilling it again.
 func CostlyTransfers() Site {
 	site := FastEngines().WithTransfers(300000, 1.375e8)
 	site.Engine.PrefillRate, site.Engine.Memory = 30, 300000
@@ -121,27 +122,27 @@
 	return site
 }
 
-// WithTransfers returns the site with engines that hand on what they have cached:
-// the memory of a token in bytes, and the bytes that a link carries in a millisecond.
+// WithTransfers returns the site with transfers of cached parts between engines, given
+// the memory of a token in bytes and the bytes that a link transfers in a millisecond.
 func (site Site) WithTransfers(tokenBytes, linkRate float64) Site {
 	site.Engine.TokenBytes, site.Engine.LinkRate = tokenBytes, linkRate
 	return site
 }
 
-// WithPrices returns the site with what reading again and moving cost.
-func (site Site) WithPrices(read, move float64) Site {
-	site.PrefillPrice, site.MovePrice = read, move
+// WithPrices returns the site with other prices of prefill and of transfers.
+func (site Site) WithPrices(prefill, move float64) Site {
+	site.PrefillPrice, site.MovePrice = prefill, move
 	return site
 }
 
-// WithLoadFactor returns the site with another bound.
-func (site Site) WithLoadFactor(bound float64) Site {
-	site.LoadFactor = bound
+// WithLoadFactor returns the site with another load factor.
+func (site Site) WithLoadFactor(factor float64) Site {
+	site.LoadFactor = factor
 	return site
 }
 
-// WithDigestInterval returns the site with another time between digests.
-func (site Site) WithDigestInterval(span timekeeper.Span) Site {
-	site.DigestInterval = span
+// WithDigestInterval returns the site with another interval between digests.
+func (site Site) WithDigestInterval(interval timekeeper.Span) Site {
+	site.DigestInterval = interval
 	return site
 }
--- a/internal/simulator/sweep_test.go
+++ b/internal/simulator/sweep_test.go
@@ -8,12 +8,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestASweepIsATable(t *testing.T) {
+func TestSweepWritesTable(t *testing.T) {
 	sweep := Sweep{Site: Kitchen(), Policies: []Policy{Fleet, Random}, Loads: []float64{0.5}, Seeds: 1}
 	var out strings.Builder
 	err := sweep.WriteTable(&out)
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	Convey("with a line for each policy at each load", t, func() {
+	Convey("the table has a header and a line for each policy and load", t, func() {
 		So(err, ShouldBeNil)
 		So(lines, ShouldHaveLength, 3)
 		So(lines[0], ShouldContainSubstring, "rebuild")
--- a/internal/simulator/transfer.go
+++ b/internal/simulator/transfer.go
@@ -6,13 +6,12 @@
 	"github.com/trefoilseam/trefoilseam/internal/balancer"
 )
 
-// transferSetup is what a transfer takes beside its bytes, in milliseconds.
+// transferSetup is the fixed time of a transfer, in milliseconds.
 const transferSetup = 2.0
 
-// prefix returns how many shared parts of a prompt an engine can hand on, from the
-// root on.
-func (engine *engine) prefix(parts []balancer.Part) int {
-	if engine.down {
+// cachedPrefix returns how many leading shared parts of a prompt the engine can transfer.
+func (engine *engine) cachedPrefix(parts []balancer.Part) int {
+	if engine.failedSource {
 		return 0
 	}
 	for i, part := range balancer.SharedParts(parts) {
@@ -23,24 +22,24 @@
 	return len(parts) - 1
 }
 
-// fetch brings what a source has of a prompt into the memory of an engine, beyond
-// what that one has, and returns when it is there. The links of both carry one
-// transfer after the other. A source that has nothing costs the setup, one that is
-// down as well.
+// fetch copies the parts of a prompt that the source has cached and the engine lacks
+// into the engine's memory, and returns when the transfer ends. Transfers on the link
+// of either engine run one after another. If the source has nothing or has failed, the
+// transfer still takes the setup time.
 func (engine *engine) fetch(parts []balancer.Part, source *engine, now float64) float64 {
 	tokens := 0
-	var fresh []balancer.Part
-	for _, part := range parts[:source.prefix(parts)] {
+	var missing []balancer.Part
+	for _, part := range parts[:source.cachedPrefix(parts)] {
 		if _, found := engine.cached[part.ID]; !found {
 			tokens += part.Tokens
-			fresh = append(fresh, part)
+			missing = append(missing, part)
 		}
 	}
-	begin := math.Max(now, math.Max(engine.linkFree, source.linkFree))
-	end := begin + transferSetup + float64(tokens)*engine.settings.TokenBytes/engine.settings.LinkRate
-	engine.linkFree, source.linkFree = end, end
-	for _, part := range fresh {
-		engine.cached[part.ID] = &cachedPart{tokens: part.Tokens, used: end}
+	start := math.Max(now, math.Max(engine.linkFreeAt, source.linkFreeAt))
+	end := start + transferSetup + float64(tokens)*engine.settings.TokenBytes/engine.settings.LinkRate
+	engine.linkFreeAt, source.linkFreeAt = end, end
+	for _, part := range missing {
+		engine.cached[part.ID] = &cachedPart{tokens: part.Tokens, lastUsed: end}
 		engine.used += part.Tokens
 	}
 	engine.fetched += tokens
