--- a/internal/imitator/batch.go
+++ b/internal/imitator/batch.go
@@ -8,51 +8,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// sequence is one request inside the engine.
+// sequence is the state of one request in the engine.
 type sequence struct {
-	id       string
-	chat     string
-	priority int
-	prompt   []string
-	cached   int
-	prefill  int
-	seed     uint64
-	made     []string
-	most     int
-	out      chan string
-	started  chan struct{}
-	canceled bool
+	id            string
+	chat          string
+	priority      int
+	prompt        []string
+	cached        int
+	pendingTokens int
+	seed          uint64
+	generated     []string
+	maxTokens     int
+	out           chan string
+	started       chan struct{}
+	canceled      bool
 }
 
-func newSequence(id string, priority int, prompt []string, most int) *sequence {
+func newSequence(id string, priority int, prompt []string, maxTokens int) *sequence {
 	digest := xxhash.New()
 	for _, token := range prompt {
 		_, _ = digest.WriteString(token)
 	}
 	return &sequence{
-		id:       id,
-		priority: priority,
-		prompt:   prompt,
-		seed:     digest.Sum64(),
-		most:     most,
-		out:      make(chan string, most),
-		started:  make(chan struct{}),
+		id:        id,
+		priority:  priority,
+		prompt:    prompt,
+		seed:      digest.Sum64(),
+		maxTokens: maxTokens,
+		out:       make(chan string, maxTokens),
+		started:   make(chan struct{}),
 	}
 }
 
-// word returns the i-th word of the answer; the same prompt always gets the same words.
+// word returns the i-th word of the answer, which depends only on the prompt.
 func (seq *sequence) word(i int) string {
 	return fmt.Sprintf("w%04x", uint16(seq.seed>>uint(i%48))+uint16(i))
 }
 
-// batch is the continuous batch of one engine: sequences join and leave
-// between steps. Its owner holds a lock around it.
+// batch is the continuous batch of one engine: sequences join and leave between
+// steps. The caller must hold the engine's lock.
 type batch struct {
-	most    int
-	prefill int
-	cache   *prefixCache
-	waiting []*sequence
-	running []*sequence
+	maxRunning     int
+	prefillPerStep int
+	cache          *prefixCache
+	waiting        []*sequence
+	running        []*sequence
 }
 
 func (batch *batch) add(seq *sequence) {
@@ -65,48 +65,48 @@
 	batch.waiting = slices.Insert(batch.waiting, at, seq)
 }
 
-// step admits what fits, spends the step's prefill budget in order, and makes
-// one token for each sequence whose prompt is done.
+// step admits waiting sequences, spends the prefill budget in order of admission, and
+// generates one token for each sequence whose prompt is prefilled.
 func (batch *batch) step() {
 	batch.dropCanceled()
-	for len(batch.running) < batch.most && len(batch.waiting) > 0 {
+	for len(batch.running) < batch.maxRunning && len(batch.waiting) > 0 {
 		batch.admit(batch.waiting[0])
 		batch.waiting = batch.waiting[1:]
 	}
-	budget := batch.prefill
+	budget := batch.prefillPerStep
 	for _, seq := range batch.running {
-		spent := min(budget, seq.prefill)
-		seq.prefill -= spent
+		spent := min(budget, seq.pendingTokens)
+		seq.pendingTokens -= spent
 		budget -= spent
-		if seq.prefill == 0 {
+		if seq.pendingTokens == 0 {
 			batch.decode(seq)
 		}
 	}
-	batch.running = slices.DeleteFunc(batch.running, func(seq *sequence) bool { return len(seq.made) >= seq.most })
+	batch.running = slices.DeleteFunc(batch.running, func(seq *sequence) bool { return len(seq.generated) >= seq.maxTokens })
 }
 
 func (batch *batch) admit(seq *sequence) {
-	seq.cached = batch.cache.match(chain(seq.prompt)) * blockTokens
-	seq.prefill = len(seq.prompt) - seq.cached
+	seq.cached = batch.cache.match(blockHashes(seq.prompt)) * blockTokens
+	seq.pendingTokens = len(seq.prompt) - seq.cached
 	close(seq.started)
 	batch.running = append(batch.running, seq)
 }
 
 func (batch *batch) decode(seq *sequence) {
-	word := seq.word(len(seq.made))
-	seq.made = append(seq.made, word)
+	word := seq.word(len(seq.generated))
+	seq.generated = append(seq.generated, word)
 	seq.out <- word
-	if len(seq.made) >= seq.most {
-		whole := append(slices.Clone(seq.prompt), "assistant")
-		blocks := chain(append(whole, seq.made...))
+	if len(seq.generated) >= seq.maxTokens {
+		tokens := append(slices.Clone(seq.prompt), "assistant")
+		blocks := blockHashes(append(tokens, seq.generated...))
 		batch.cache.add(blocks)
-		batch.cache.name(seq.chat, blocks)
+		batch.cache.setChat(seq.chat, blocks)
 		close(seq.out)
 	}
 }
 
-// dropCanceled takes canceled sequences out. Their readers see the output
-// close before the last token.
+// dropCanceled removes cancelled sequences. It closes their output before the last
+// token, by which readers detect the cancellation.
 func (batch *batch) dropCanceled() {
 	batch.waiting = slices.DeleteFunc(batch.waiting, func(seq *sequence) bool {
 		if seq.canceled {
@@ -123,14 +123,14 @@
 	})
 }
 
-// load returns the tokens still to be worked off.
+// load returns the number of tokens that remain to be prefilled and generated.
 func (batch *batch) load() int {
 	sum := 0
 	for _, seq := range batch.running {
-		sum += seq.prefill + seq.most - len(seq.made)
+		sum += seq.pendingTokens + seq.maxTokens - len(seq.generated)
 	}
 	for _, seq := range batch.waiting {
-		sum += len(seq.prompt) + seq.most
+		sum += len(seq.prompt) + seq.maxTokens
 	}
 	return sum
 }
--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -9,29 +9,29 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// EngineSettings set up a model engine. The zero value of a field means its default.
+// EngineSettings configure a model engine. The zero value of a field means its default.
 type EngineSettings struct {
 	Name  string
 	Clock timekeeper.Clock
-	// Step is the length of one batch step; zero means 4 ms.
+	// Step is the duration of one batch step; zero means 4 ms.
 	Step timekeeper.Span
-	// BatchSize is how many sequences run at once; zero means 8.
+	// BatchSize is the maximum number of running sequences; zero means 8.
 	BatchSize int
-	// PrefillPerStep is how many prompt tokens one step reads; zero means 512.
+	// PrefillPerStep is how many prompt tokens one step prefills; zero means 512.
 	PrefillPerStep int
-	// CacheTokens is the memory of the prefix cache; zero means 65,536.
+	// CacheTokens is the capacity of the prefix cache in tokens; zero means 65,536.
 	CacheTokens int
-	// CancelDelay is how long after the client left the sequence still runs.
+	// CancelDelay is how long a sequence keeps running after its client has disconnected.
 	CancelDelay timekeeper.Span
-	// LoadLag is how old the reported load is; zero means one second.
+	// LoadLag is the age of the reported load; zero means one second.
 	LoadLag timekeeper.Span
-	// EventLag is how late a cache event is told; zero means one second.
+	// EventLag is the delay of cache events; zero means one second.
 	EventLag timekeeper.Span
-	// Poison is a word that crashes the engine when a prompt holds it.
+	// Poison is a text that crashes the engine when a prompt contains it; empty means none.
 	Poison string
-	// RestartTime is how long the engine is away after a crash; zero means one second.
+	// RestartTime is how long the engine is unavailable after a crash; zero means one second.
 	RestartTime timekeeper.Span
-	// ChecksOrders says that the engine refuses an order with an old fencing number.
+	// ChecksOrders makes the engine refuse orders with an outdated fencing number.
 	ChecksOrders bool
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// EngineCounts is what an engine has done since it was made.
+// EngineCounts are the counters of an engine since its creation.
 type EngineCounts struct {
 	Runs     int `json:"runs"`
 	Finished int `json:"finished"`
@@ -63,25 +63,25 @@
 	Cached   int `json:"cached-tokens"`
 }
 
-// Engine imitates a model engine that batches continuously and caches prompt
-// prefixes in limited memory.
+// Engine is a fake model engine with continuous batching and a prefix cache of limited
+// size.
 type Engine struct {
 	settings EngineSettings
 
-	mu    sync.Mutex
-	batch *batch
-	live  map[string]*sequence
-	kept  map[string]*sequence
-	// keptOrder has the ids of kept, oldest first.
-	keptOrder []string
-	counts    EngineCounts
-	crashed   chan struct{}
-	awayTo    timekeeper.Instant
-	reports   []loadReport
-	orders    orderBook
-	events    []CacheEvent
-	eventNo   uint64
-	wake      chan struct{}
+	mu        sync.Mutex
+	batch     *batch
+	active    map[string]*sequence
+	resumable map[string]*sequence
+	// resumableIDs has the keys of resumable, oldest first.
+	resumableIDs  []string
+	counts        EngineCounts
+	crashed       chan struct{}
+	downUntil     timekeeper.Instant
+	reports       []loadReport
+	orders        orderRecord
+	events        []CacheEvent
+	eventSequence uint64
+	wake          chan struct{}
 }
 
 type loadReport struct {
@@ -104,20 +104,20 @@
 
 func (engine *Engine) reset() {
 	cache := newPrefixCache(engine.settings.CacheTokens)
-	engine.batch = &batch{most: engine.settings.BatchSize, prefill: engine.settings.PrefillPerStep, cache: cache}
-	engine.live = map[string]*sequence{}
-	engine.kept, engine.keptOrder = nil, nil
+	engine.batch = &batch{maxRunning: engine.settings.BatchSize, prefillPerStep: engine.settings.PrefillPerStep, cache: cache}
+	engine.active = map[string]*sequence{}
+	engine.resumable, engine.resumableIDs = nil, nil
 	engine.crashed = make(chan struct{})
 }
 
-// Counts returns what the engine has done.
+// Counts returns the counters of the engine.
 func (engine *Engine) Counts() EngineCounts {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	return engine.counts
 }
 
-// run makes a step after each span of settings.Step while there is work.
+// run executes a step every settings.Step while there are sequences.
 func (engine *Engine) run(ctx context.Context) {
 	for {
 		if engine.idle() {
@@ -144,22 +144,22 @@
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.batch.step()
-	engine.noteEvents()
+	engine.collectEvents()
 	engine.reports = append(engine.reports, loadReport{engine.settings.Clock.Now(), engine.batch.load()})
-	const keep = 4096
-	if len(engine.reports) > keep {
-		engine.reports = engine.reports[len(engine.reports)-keep/2:]
+	const maxReports = 4096
+	if len(engine.reports) > maxReports {
+		engine.reports = engine.reports[len(engine.reports)-maxReports/2:]
 	}
 }
 
-// Load returns the load as it was one lag ago.
+// Load returns the load as it was LoadLag ago.
 func (engine *Engine) Load() int {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	seen := engine.settings.Clock.Now().Add(-engine.settings.LoadLag)
+	visible := engine.settings.Clock.Now().Add(-engine.settings.LoadLag)
 	load := 0
 	for _, report := range engine.reports {
-		if report.at > seen {
+		if report.at > visible {
 			break
 		}
 		load = report.load
@@ -167,7 +167,7 @@
 	return load
 }
 
-// Crash ends every sequence without an answer and empties the cache.
+// Crash aborts every sequence and empties the cache.
 func (engine *Engine) Crash() {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -176,21 +176,21 @@
 
 func (engine *Engine) crash() {
 	engine.counts.Crashes++
-	engine.awayTo = engine.settings.Clock.Now().Add(engine.settings.RestartTime)
+	engine.downUntil = engine.settings.Clock.Now().Add(engine.settings.RestartTime)
 	close(engine.crashed)
 	engine.reset()
 }
 
-func (engine *Engine) away() bool {
-	return engine.settings.Clock.Now().Before(engine.awayTo)
+func (engine *Engine) restarting() bool {
+	return engine.settings.Clock.Now().Before(engine.downUntil)
 }
 
-// start puts a sequence into the batch. It returns false when the engine is
-// away or the prompt has crashed it.
+// start adds a sequence to the batch. It returns false when the engine is restarting
+// or the prompt has crashed it.
 func (engine *Engine) start(seq *sequence) (crashed <-chan struct{}, ok bool) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	if engine.away() {
+	if engine.restarting() {
 		return nil, false
 	}
 	engine.counts.Runs++
@@ -199,8 +199,8 @@
 		return nil, false
 	}
 	engine.batch.add(seq)
-	engine.live[seq.id] = seq
-	engine.keep(seq)
+	engine.active[seq.id] = seq
+	engine.keepForResume(seq)
 	select {
 	case engine.wake <- struct{}{}:
 	default:
@@ -212,11 +212,11 @@
 	return engine.settings.Poison != "" && strings.Contains(strings.Join(seq.prompt, " "), engine.settings.Poison)
 }
 
-func (engine *Engine) finish(seq *sequence, whole bool) {
+func (engine *Engine) finish(seq *sequence, finished bool) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	delete(engine.live, seq.id)
-	if !whole {
+	delete(engine.active, seq.id)
+	if !finished {
 		seq.canceled = true
 		engine.counts.Canceled++
 		return
@@ -232,6 +232,6 @@
 	mux.HandleFunc("POST /v1/chat/completions", engine.complete)
 	mux.HandleFunc("GET /v1/streams/{id}", engine.resume)
 	mux.HandleFunc("DELETE /v1/streams/{id}", engine.cancel)
-	engine.addControl(mux)
+	engine.addControlRoutes(mux)
 	return mux
 }
--- a/internal/imitator/engine_control.go
+++ b/internal/imitator/engine_control.go
@@ -10,7 +10,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// CacheEvent says that a block entered or left an engine's prefix cache.
+// CacheEvent reports that a block entered or left an engine's prefix cache.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Block    uint64 `json:"block"`
@@ -18,14 +18,14 @@
 	at       timekeeper.Instant
 }
 
-// Order tells an engine to load something or to change its role.
+// Order instructs an engine to load or unload its subject, or to change its role or version.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	Action  string `json:"action"`
 	Subject string `json:"subject"`
 }
 
-// OrderState is what an engine has been ordered to be.
+// OrderState is the state of an engine that results from its orders.
 type OrderState struct {
 	Fence   uint64   `json:"fence"`
 	Loaded  []string `json:"loaded"`
@@ -34,37 +34,37 @@
 	Orders  []Order  `json:"orders"`
 }
 
-// PrefixBlocks is an exported part of a prefix cache.
+// PrefixBlocks are exported blocks of a prefix cache.
 type PrefixBlocks struct {
 	Chat   string   `json:"chat,omitempty"`
 	Blocks []uint64 `json:"blocks"`
 }
 
-type orderBook struct {
+type orderRecord struct {
 	fence         uint64
 	loaded        []string
 	role, version string
 	log           []Order
 }
 
-// eventGap is how many cache events are lost out of each thousand.
-const eventGap = 20
+// lostPerThousand is how many of each thousand cache events are lost.
+const lostPerThousand = 20
 
-// noteEvents collects evictions as events and loses some, as real engines do.
-func (engine *Engine) noteEvents() {
+// collectEvents turns evictions into events and drops some of them, as real engines do.
+func (engine *Engine) collectEvents() {
 	for _, block := range engine.batch.cache.evicted {
-		engine.eventNo++
-		if engine.eventNo%1000 < eventGap {
+		engine.eventSequence++
+		if engine.eventSequence%1000 < lostPerThousand {
 			continue
 		}
 		engine.events = append(engine.events, CacheEvent{
-			Sequence: engine.eventNo, Block: block, Evicted: true, at: engine.settings.Clock.Now(),
+			Sequence: engine.eventSequence, Block: block, Evicted: true, at: engine.settings.Clock.Now(),
 		})
 	}
 	engine.batch.cache.evicted = nil
 }
 
-func (engine *Engine) addControl(mux *http.ServeMux) {
+func (engine *Engine) addControlRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { engine.health(w) })
 	mux.HandleFunc("GET /load", handler.Show(engine.Load))
 	mux.HandleFunc("GET /counts", handler.Show(engine.Counts))
@@ -78,7 +78,7 @@
 func (engine *Engine) health(w http.ResponseWriter) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	if engine.away() {
+	if engine.restarting() {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(http.StatusOK)
@@ -97,24 +97,24 @@
 	return events
 }
 
-type prefixOrder struct {
+type exportRequest struct {
 	chatRequest
 
-	// Chat names the chat in place of its messages.
+	// Chat is the name of a chat; it replaces the messages.
 	Chat string `json:"chat"`
-	// Release makes the blocks the next to be evicted.
+	// Release marks the blocks as the next to be evicted.
 	Release bool `json:"release"`
 }
 
-// exportPrefix returns the cached blocks of a prompt, given by its messages, or
-// of a chat, given by its name.
-func (engine *Engine) exportPrefix(_ *http.Request, request prefixOrder) (PrefixBlocks, error) {
+// exportPrefix returns the cached blocks of a prompt, given by its messages, or of a
+// chat, given by its name.
+func (engine *Engine) exportPrefix(_ *http.Request, request exportRequest) (PrefixBlocks, error) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	if request.Chat != "" {
 		return engine.exportChat(request)
 	}
-	blocks := chain(tokensOf(request.Messages))
+	blocks := blockHashes(tokensOf(request.Messages))
 	return PrefixBlocks{Blocks: blocks[:engine.batch.cache.match(blocks)]}, nil
 }
 
@@ -122,12 +122,12 @@
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.batch.cache.add(blocks.Blocks)
-	engine.batch.cache.name(blocks.Chat, blocks.Blocks)
+	engine.batch.cache.setChat(blocks.Chat, blocks.Blocks)
 	return PrefixBlocks{}, nil
 }
 
 // exportChat returns the cached blocks of a chat; the lock must be held.
-func (engine *Engine) exportChat(request prefixOrder) (PrefixBlocks, error) {
+func (engine *Engine) exportChat(request exportRequest) (PrefixBlocks, error) {
 	cache := engine.batch.cache
 	blocks := cache.chats[request.Chat]
 	blocks = blocks[:cache.match(blocks)]
@@ -165,16 +165,16 @@
 	return engine.orders.state(), nil
 }
 
-// Orders returns the orders that the engine carried out since it started.
+// Orders returns the state that results from all executed orders, and the orders.
 func (engine *Engine) Orders() OrderState {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	return engine.orders.state()
 }
 
-func (book orderBook) state() OrderState {
+func (record orderRecord) state() OrderState {
 	return OrderState{
-		Fence: book.fence, Loaded: slices.Clone(book.loaded), Role: book.role, Version: book.version,
-		Orders: slices.Clone(book.log),
+		Fence: record.fence, Loaded: slices.Clone(record.loaded), Role: record.role, Version: record.version,
+		Orders: slices.Clone(record.log),
 	}
 }
--- a/internal/imitator/engine_http.go
+++ b/internal/imitator/engine_http.go
@@ -12,10 +12,10 @@
 	"github.com/trefoilseam/trefoilseam/internal/encoder"
 )
 
-// CachedHeader is the engine's header with the prompt tokens found cached.
+// CachedHeader is the response header with the number of cached prompt tokens.
 const CachedHeader = "Engine-Cached-Tokens"
 
-// RequestHeader names the request, so that it can be cancelled.
+// RequestHeader carries the request id, by which a request is cancelled or resumed.
 const RequestHeader = "X-Request-Id"
 
 type chatRequest struct {
@@ -56,7 +56,7 @@
 
 const defaultMaxTokens = 16
 
-// tokensOf returns the prompt's tokens: a role, then the words, for each message.
+// tokensOf returns the prompt's tokens: for each message its role, then its words.
 func tokensOf(messages []chatMessage) []string {
 	tokens := make([]string, 0, 16*len(messages))
 	for _, message := range messages {
@@ -94,8 +94,8 @@
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
-	whole, err := engine.answer(w, r, request, seq, crashed)
-	engine.finish(seq, whole)
+	finished, err := engine.answer(w, r, request, seq, crashed)
+	engine.finish(seq, finished)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -106,7 +106,7 @@
 	errCanceled = eris.New("the sequence was canceled")
 )
 
-// answer writes the answer of one sequence and reports whether it got whole.
+// answer writes the answer of a sequence and reports whether it was written to the end.
 func (engine *Engine) answer(
 	w http.ResponseWriter, r *http.Request, request chatRequest, seq *sequence, crashed <-chan struct{},
 ) (bool, error) {
@@ -138,7 +138,7 @@
 func (engine *Engine) next(r *http.Request, seq *sequence, crashed <-chan struct{}) (string, bool, error) {
 	select {
 	case word, more := <-seq.out:
-		if !more && len(seq.made) < seq.most {
+		if !more && len(seq.generated) < seq.maxTokens {
 			return "", false, errCanceled
 		}
 		return word, more, nil
@@ -146,8 +146,8 @@
 		return "", false, errCrashed
 	case <-r.Context().Done():
 		if engine.settings.CancelDelay > 0 {
-			fired, release := engine.settings.Clock.After(engine.settings.CancelDelay)
-			defer release()
+			fired, stop := engine.settings.Clock.After(engine.settings.CancelDelay)
+			defer stop()
 			<-fired
 		}
 		return "", false, r.Context().Err()
@@ -183,19 +183,19 @@
 	}
 }
 
-// doneEvent ends a whole stream.
+// doneEvent ends a complete stream.
 const doneEvent = "data: [DONE]\n\n"
 
 // writeWord writes one word of an answer as an event and flushes it.
 func writeWord(w http.ResponseWriter, id, model, word string) error {
-	part, err := json.Marshal(chatAnswer{
+	event, err := json.Marshal(chatAnswer{
 		ID: id, Object: "chat.completion.chunk", Model: model,
 		Choices: []chatChoice{{Delta: &chatDelta{Content: word + " "}}},
 	})
 	if err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(w, "data: %s\n\n", part); err != nil {
+	if _, err := fmt.Fprintf(w, "data: %s\n\n", event); err != nil {
 		return err
 	}
 	return http.NewResponseController(w).Flush()
@@ -204,7 +204,7 @@
 func (engine *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	seq, ok := engine.live[r.PathValue("id")]
+	seq, ok := engine.active[r.PathValue("id")]
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
--- a/internal/imitator/engine_resume.go
+++ b/internal/imitator/engine_resume.go
@@ -5,38 +5,38 @@
 	"strconv"
 )
 
-// keptSequences is how many sequences an engine keeps for a resume.
-const keptSequences = 256
+// maxResumable is how many sequences an engine keeps for resuming.
+const maxResumable = 256
 
-// keep remembers a sequence under its id, and forgets the oldest past the
-// limit; the lock must be held.
-func (engine *Engine) keep(seq *sequence) {
+// keepForResume stores a sequence under its id and removes the oldest above the limit;
+// the lock must be held.
+func (engine *Engine) keepForResume(seq *sequence) {
 	if seq.id == "" {
 		return
 	}
-	if engine.kept == nil {
-		engine.kept = map[string]*sequence{}
+	if engine.resumable == nil {
+		engine.resumable = map[string]*sequence{}
 	}
-	engine.kept[seq.id] = seq
-	engine.keptOrder = append(engine.keptOrder, seq.id)
-	if len(engine.keptOrder) > keptSequences {
-		delete(engine.kept, engine.keptOrder[0])
-		engine.keptOrder = engine.keptOrder[1:]
+	engine.resumable[seq.id] = seq
+	engine.resumableIDs = append(engine.resumableIDs, seq.id)
+	if len(engine.resumableIDs) > maxResumable {
+		delete(engine.resumable, engine.resumableIDs[0])
+		engine.resumableIDs = engine.resumableIDs[1:]
 	}
 }
 
-// progress returns the words of a sequence from an index on, and whether it has
-// ended or was cut.
-func (engine *Engine) progress(seq *sequence, after int) (words []string, whole, cut bool) {
+// progress returns the words of a sequence from an index on, and whether it finished or
+// was aborted.
+func (engine *Engine) progress(seq *sequence, after int) (words []string, finished, aborted bool) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	words = append(words, seq.made[min(after, len(seq.made)):]...)
-	whole = len(seq.made) >= seq.most
-	return words, whole, !whole && (seq.canceled || engine.kept[seq.id] != seq)
+	words = append(words, seq.generated[min(after, len(seq.generated)):]...)
+	finished = len(seq.generated) >= seq.maxTokens
+	return words, finished, !finished && (seq.canceled || engine.resumable[seq.id] != seq)
 }
 
-// resume streams a sequence again from behind its first so many words. A
-// sequence that was cut ends without its terminal.
+// resume streams a sequence again after the given number of words. The stream of an
+// aborted sequence ends without doneEvent.
 func (engine *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
 	if err != nil || after < 0 {
@@ -44,7 +44,7 @@
 		return
 	}
 	engine.mu.Lock()
-	seq, ok := engine.kept[r.PathValue("id")]
+	seq, ok := engine.resumable[r.PathValue("id")]
 	engine.mu.Unlock()
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
@@ -52,18 +52,18 @@
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	for {
-		words, whole, cut := engine.progress(seq, after)
+		words, finished, aborted := engine.progress(seq, after)
 		after += len(words)
 		for _, word := range words {
 			if writeWord(w, seq.id, "", word) != nil {
 				return
 			}
 		}
-		if whole {
+		if finished {
 			_, _ = w.Write([]byte(doneEvent))
 			return
 		}
-		if cut || engine.settings.Clock.Sleep(r.Context(), engine.settings.Step) != nil {
+		if aborted || engine.settings.Clock.Sleep(r.Context(), engine.settings.Step) != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/internal/imitator/engine_test.go
+++ b/internal/imitator/engine_test.go
@@ -13,8 +13,8 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// engineCall makes one call to an engine and returns status and body; with a
-// cut it leaves after the first event.
+// engineCall calls an engine and returns status and body; if cut is set, it disconnects
+// after the first bytes of the body.
 func engineCall(t *testing.T, method, address, body string, cut bool) (status int, text string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -34,17 +34,17 @@
 		_, _ = io.ReadFull(response.Body, first)
 		return response.StatusCode, string(first)
 	}
-	whole, _ := io.ReadAll(response.Body)
-	return response.StatusCode, string(whole)
+	content, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(content)
 }
 
-func TestAnEngineResumesAndCancelsStreams(t *testing.T) {
+func TestEngineResumesAndCancelsStreams(t *testing.T) {
 	engine, stop := NewEngine(EngineSettings{Clock: timekeeper.Wall(), CancelDelay: 500 * timekeeper.Millisecond})
 	t.Cleanup(stop)
 	server := httptest.NewServer(engine.Handler())
 	t.Cleanup(server.Close)
 	const turn = `{"model":"planner","stream":true,"max_tokens":12,"messages":[{"role":"user","content":"a b c"}]}`
-	Convey("a stream whose client left is resumed from where it stood", t, func() {
+	Convey("a stream is resumed after its client disconnected", t, func() {
 		_, _ = engineCall(t, "POST", server.URL+"/v1/chat/completions", turn, true)
 		_, rest := engineCall(t, "GET", server.URL+"/v1/streams/r-1?after=2", "", false)
 		So(strings.Count(rest, "data: {"), ShouldEqual, 10)
@@ -56,8 +56,8 @@
 		want               int
 	}{
 		{"an unknown stream", "GET", "/v1/streams/none?after=0", http.StatusNotFound},
-		{"a place that is none", "GET", "/v1/streams/r-1?after=x", http.StatusBadRequest},
-		{"a cancel of an unknown stream", "DELETE", "/v1/streams/none", http.StatusNotFound},
+		{"an offset that is no number", "GET", "/v1/streams/r-1?after=x", http.StatusBadRequest},
+		{"cancelling an unknown stream", "DELETE", "/v1/streams/none", http.StatusNotFound},
 	}
 	for _, test := range tests {
 		Convey(test.name, t, func() {
@@ -67,20 +67,21 @@
 	}
 }
 
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndIncomplete(t *testing.T) {
 	manual := timekeeper.NewManual(0)
 	engine := &Engine{settings: EngineSettings{Clock: manual.Clock(), CacheTokens: 40}.withDefaults()}
 	engine.reset()
-	Convey("nothing is told before its time, and some things never", t, func() {
+	Convey("events appear after EventLag, and some are lost", t, func() {
 		for block := range uint64(2010) {
 			engine.batch.cache.add([]uint64{block})
 		}
-		engine.noteEvents()
+		engine.collectEvents()
 		So(engine.takeEvents(), ShouldBeEmpty)
 		manual.Advance(timekeeper.Second)
-		told := engine.takeEvents()
-		// Twenty of each thousand are lost; the first thousand lacks number 0.
-		So(len(told), ShouldEqual, 2000-2*eventGap)
+		events := engine.takeEvents()
+		// 20 of each thousand events are lost: those whose number modulo 1000 is below 20.
+		// Of the numbers 1 to 2000, number 2000 takes the place of the missing number 0.
+		So(len(events), ShouldEqual, 2000-2*lostPerThousand)
 		So(engine.takeEvents(), ShouldBeEmpty)
 	})
 }
--- a/internal/imitator/platform.go
+++ b/internal/imitator/platform.go
@@ -11,26 +11,26 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// PlatformFaults is what the platform does wrong. The zero value is a healthy platform.
+// PlatformFaults are the faults to inject into the platform. The zero value injects none.
 type PlatformFaults struct {
-	// Down makes every call fail without effect.
+	// Down makes every call fail without taking effect.
 	Down bool `json:"down"`
 	// Slow delays every call.
 	Slow timekeeper.Span `json:"slow"`
-	// LoseAnswers is how many of the next writes take effect and answer nothing.
+	// LoseAnswers is how many of the next writes take effect but get no answer.
 	LoseAnswers int `json:"lose-answers"`
-	// LoseWrites is how many of the next writes are dropped and answer nothing.
+	// LoseWrites is how many of the next writes are dropped and get no answer.
 	LoseWrites int `json:"lose-writes"`
 	// WritesPerSecond and ReadsPerSecond are rate limits; zero means none.
 	WritesPerSecond int `json:"writes-per-second"`
 	ReadsPerSecond  int `json:"reads-per-second"`
-	// ListDown makes only the instance list fail.
+	// ListDown makes every call of the instance list fail, and no other.
 	ListDown bool `json:"list-down"`
-	// ListFrozen keeps the instance list as it was when the fault began.
+	// ListFrozen serves the instance list as it was when the fault began.
 	ListFrozen bool `json:"list-frozen"`
 }
 
-// PlatformCounts is what the platform has done since it started.
+// PlatformCounts are the counters of the platform since its creation.
 type PlatformCounts struct {
 	Reads     int `json:"reads"`
 	Writes    int `json:"writes"`
@@ -38,21 +38,21 @@
 	Refused   int `json:"refused"`
 }
 
-// Platform imitates the platform's services in memory. One lock guards it all.
+// Platform is an in-memory fake of the platform's services. One lock guards all its state.
 type Platform struct {
 	clock timekeeper.Clock
 
-	mu        sync.Mutex
-	faults    PlatformFaults
-	counts    PlatformCounts
-	rows      map[string]storekeeper.Row
-	objects   map[string][]byte
-	version   uint64
-	instances []storekeeper.Instance
-	shown     []storekeeper.Instance
-	second    timekeeper.Instant
-	reads     int
-	writes    int
+	mu              sync.Mutex
+	faults          PlatformFaults
+	counts          PlatformCounts
+	rows            map[string]storekeeper.Row
+	objects         map[string][]byte
+	version         uint64
+	instances       []storekeeper.Instance
+	frozenInstances []storekeeper.Instance
+	windowStart     timekeeper.Instant
+	windowReads     int
+	windowWrites    int
 }
 
 // NewPlatform returns an empty, healthy platform.
@@ -60,7 +60,7 @@
 	return &Platform{clock: clock, rows: map[string]storekeeper.Row{}, objects: map[string][]byte{}}
 }
 
-// InProcess returns the platform as the project's processes see it, without HTTP between.
+// InProcess returns the platform's interface with direct calls in place of HTTP.
 func (platform *Platform) InProcess() storekeeper.Platform {
 	return storekeeper.Platform{
 		Table:     storekeeper.Table{Get: platform.getRow, Scan: platform.scan, Commit: platform.commit},
@@ -69,17 +69,17 @@
 	}
 }
 
-// SetFaults replaces the platform's faults.
+// SetFaults replaces the injected faults.
 func (platform *Platform) SetFaults(faults PlatformFaults) {
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
 	if faults.ListFrozen && !platform.faults.ListFrozen {
-		platform.shown = slices.Clone(platform.instances)
+		platform.frozenInstances = slices.Clone(platform.instances)
 	}
 	platform.faults = faults
 }
 
-// Counts returns what the platform has done.
+// Counts returns the counters of the platform.
 func (platform *Platform) Counts() PlatformCounts {
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
@@ -93,8 +93,8 @@
 	platform.instances = slices.Clone(instances)
 }
 
-// enter applies delay, outage and rate to a call; it returns with the lock
-// held when err is nil.
+// enter applies the delay, outage and rate limit faults to a call. If it returns nil,
+// the lock is held.
 func (platform *Platform) enter(ctx context.Context, write bool) error {
 	platform.mu.Lock()
 	slow := platform.faults.Slow
@@ -119,17 +119,17 @@
 
 func (platform *Platform) withinRate(write bool) bool {
 	now := platform.clock.Now()
-	if now.Since(platform.second) >= timekeeper.Second {
-		platform.second, platform.reads, platform.writes = now, 0, 0
+	if now.Since(platform.windowStart) >= timekeeper.Second {
+		platform.windowStart, platform.windowReads, platform.windowWrites = now, 0, 0
 	}
 	if write {
-		platform.writes++
+		platform.windowWrites++
 		platform.counts.Writes++
-		return platform.faults.WritesPerSecond == 0 || platform.writes <= platform.faults.WritesPerSecond
+		return platform.faults.WritesPerSecond == 0 || platform.windowWrites <= platform.faults.WritesPerSecond
 	}
-	platform.reads++
+	platform.windowReads++
 	platform.counts.Reads++
-	return platform.faults.ReadsPerSecond == 0 || platform.reads <= platform.faults.ReadsPerSecond
+	return platform.faults.ReadsPerSecond == 0 || platform.windowReads <= platform.faults.ReadsPerSecond
 }
 
 func rowKey(table, key string) string {
@@ -168,7 +168,7 @@
 		return err
 	}
 	defer platform.mu.Unlock()
-	if platform.lost(&platform.faults.LoseWrites) {
+	if platform.injectLoss(&platform.faults.LoseWrites) {
 		return storekeeper.ErrUnknown
 	}
 	for _, write := range writes {
@@ -181,19 +181,19 @@
 	for _, write := range writes {
 		platform.apply(write)
 	}
-	if platform.lost(&platform.faults.LoseAnswers) {
+	if platform.injectLoss(&platform.faults.LoseAnswers) {
 		return storekeeper.ErrUnknown
 	}
 	return nil
 }
 
 func (platform *Platform) apply(write storekeeper.Write) {
-	at := rowKey(write.Table, write.Key)
+	key := rowKey(write.Table, write.Key)
 	if write.Delete {
-		delete(platform.rows, at)
+		delete(platform.rows, key)
 		return
 	}
-	platform.rows[at] = storekeeper.Row{
+	platform.rows[key] = storekeeper.Row{
 		Table:   write.Table,
 		Key:     write.Key,
 		Value:   slices.Clone(write.Value),
@@ -201,11 +201,11 @@
 	}
 }
 
-func (platform *Platform) lost(left *int) bool {
-	if *left <= 0 {
+func (platform *Platform) injectLoss(remaining *int) bool {
+	if *remaining <= 0 {
 		return false
 	}
-	*left--
+	*remaining--
 	return true
 }
 
@@ -214,7 +214,7 @@
 		return err
 	}
 	defer platform.mu.Unlock()
-	if platform.lost(&platform.faults.LoseWrites) {
+	if platform.injectLoss(&platform.faults.LoseWrites) {
 		return storekeeper.ErrUnknown
 	}
 	if _, ok := platform.objects[name]; ok {
@@ -222,7 +222,7 @@
 		return storekeeper.ErrConflict
 	}
 	platform.objects[name] = slices.Clone(body)
-	if platform.lost(&platform.faults.LoseAnswers) {
+	if platform.injectLoss(&platform.faults.LoseAnswers) {
 		return storekeeper.ErrUnknown
 	}
 	return nil
@@ -264,7 +264,7 @@
 		return nil, storekeeper.ErrUnknown
 	}
 	if platform.faults.ListFrozen {
-		return slices.Clone(platform.shown), nil
+		return slices.Clone(platform.frozenInstances), nil
 	}
 	return slices.Clone(platform.instances), nil
 }
--- a/internal/imitator/platform_http.go
+++ b/internal/imitator/platform_http.go
@@ -13,21 +13,21 @@
 	"github.com/trefoilseam/trefoilseam/internal/storekeeper"
 )
 
-// Handler serves the platform over HTTP, as storekeeper.Remote expects it, and
-// lets a test set faults with a POST to /faults and the instance list with a
-// POST to /instances.
+// Handler serves the platform over HTTP with the paths that storekeeper.Remote uses.
+// A POST to /faults replaces the injected faults, a POST to /instances the instance
+// list.
 func (platform *Platform) Handler() http.Handler {
-	seams := platform.InProcess()
+	inProcess := platform.InProcess()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /table/row", func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
-		row, err := seams.Table.Get(r.Context(), query.Get("table"), query.Get("key"))
+		row, err := inProcess.Table.Get(r.Context(), query.Get("table"), query.Get("key"))
 		reply(w, row, err)
 	})
 	mux.HandleFunc("GET /table/rows", func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
 		limit, _ := strconv.Atoi(query.Get("limit"))
-		rows, err := seams.Table.Scan(r.Context(), query.Get("table"), query.Get("prefix"), query.Get("after"), limit)
+		rows, err := inProcess.Table.Scan(r.Context(), query.Get("table"), query.Get("prefix"), query.Get("after"), limit)
 		reply(w, rows, err)
 	})
 	mux.HandleFunc("POST /table/commit", func(w http.ResponseWriter, r *http.Request) {
@@ -36,13 +36,13 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		reply(w, struct{}{}, seams.Table.Commit(r.Context(), writes))
+		reply(w, struct{}{}, inProcess.Table.Commit(r.Context(), writes))
 	})
 	mux.HandleFunc("PUT /object", func(w http.ResponseWriter, r *http.Request) {
-		reply(w, struct{}{}, putBody(r, seams.Objects))
+		reply(w, struct{}{}, putBody(r, inProcess.Objects))
 	})
 	mux.HandleFunc("GET /object", func(w http.ResponseWriter, r *http.Request) {
-		body, err := seams.Objects.Get(r.Context(), r.URL.Query().Get("name"))
+		body, err := inProcess.Objects.Get(r.Context(), r.URL.Query().Get("name"))
 		if err != nil {
 			reply(w, struct{}{}, err)
 			return
@@ -52,11 +52,11 @@
 	mux.HandleFunc("GET /objects", func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
 		limit, _ := strconv.Atoi(query.Get("limit"))
-		names, err := seams.Objects.List(r.Context(), query.Get("prefix"), query.Get("after"), limit)
+		names, err := inProcess.Objects.List(r.Context(), query.Get("prefix"), query.Get("after"), limit)
 		reply(w, names, err)
 	})
 	mux.HandleFunc("GET /instances", func(w http.ResponseWriter, r *http.Request) {
-		list, err := seams.Directory.List(r.Context())
+		list, err := inProcess.Directory.List(r.Context())
 		reply(w, list, err)
 	})
 	mux.HandleFunc("GET /counts", handler.Show(platform.Counts))
@@ -79,7 +79,8 @@
 	return objects.Put(context.WithoutCancel(r.Context()), r.URL.Query().Get("name"), body)
 }
 
-// reply writes a result. A lost answer closes the connection without a word.
+// reply writes a result or the status of an error. For an unknown outcome it closes the
+// connection without an answer.
 func reply[Out any](w http.ResponseWriter, out Out, err error) {
 	switch {
 	case err == nil:
--- a/internal/imitator/prefix_cache.go
+++ b/internal/imitator/prefix_cache.go
@@ -9,16 +9,15 @@
 // blockTokens is the number of tokens in one block of the prefix cache.
 const blockTokens = 4
 
-// prefixCache holds hashes of prompt blocks with the least recently used
-// leaving first. A block's hash covers all blocks before it, so a block is of
-// use only together with its whole prefix.
+// prefixCache is an LRU cache of the hashes of prompt blocks. A block's hash covers all
+// blocks before it, so a block is useful only together with its whole prefix.
 type prefixCache struct {
 	capacity int
 	order    *list.List
 	blocks   map[uint64]*list.Element
-	// evicted collects the blocks that left since the last event was taken.
+	// evicted has the blocks evicted since events were last collected.
 	evicted []uint64
-	// chats are the blocks of each chat that was named to the engine.
+	// chats has the blocks of each named chat.
 	chats map[string][]uint64
 }
 
@@ -26,8 +25,8 @@
 	return &prefixCache{capacity: tokens / blockTokens, order: list.New(), blocks: map[uint64]*list.Element{}, chats: map[string][]uint64{}}
 }
 
-// chain returns the hash of each whole block of the tokens.
-func chain(tokens []string) []uint64 {
+// blockHashes returns the hash of each full block of the tokens.
+func blockHashes(tokens []string) []uint64 {
 	blocks := make([]uint64, 0, len(tokens)/blockTokens)
 	digest := xxhash.New()
 	for i, token := range tokens {
@@ -40,7 +39,7 @@
 	return blocks
 }
 
-// match returns how many leading blocks are cached, and touches them.
+// match returns how many leading blocks are cached, and marks them as recently used.
 func (cache *prefixCache) match(blocks []uint64) int {
 	for i, block := range blocks {
 		element, ok := cache.blocks[block]
@@ -52,8 +51,8 @@
 	return len(blocks)
 }
 
-// add caches blocks. It inserts from the last to the first, so that eviction
-// takes the tail of a prefix before its head.
+// add caches blocks. It inserts them from last to first, so that the tail of a prefix
+// is evicted before its head.
 func (cache *prefixCache) add(blocks []uint64) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		if element, ok := cache.blocks[blocks[i]]; ok {
@@ -70,9 +69,9 @@
 	}
 }
 
-// name notes which blocks are a chat's. It forgets all names when there are
-// more than blocks.
-func (cache *prefixCache) name(chat string, blocks []uint64) {
+// setChat records the blocks of a chat. It removes all chats when there are more of them
+// than blocks fit into the cache.
+func (cache *prefixCache) setChat(chat string, blocks []uint64) {
 	if chat == "" {
 		return
 	}
@@ -82,7 +81,7 @@
 	cache.chats[chat] = blocks
 }
 
-// release makes blocks the next to be evicted, their tail first.
+// release marks blocks as the next to be evicted, their tail first.
 func (cache *prefixCache) release(blocks []uint64) {
 	for _, block := range blocks {
 		cache.order.MoveToBack(cache.blocks[block])
--- a/internal/imitator/service.go
+++ b/internal/imitator/service.go
@@ -9,12 +9,12 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Ledger counts what the replicas of a plain service ran. It is shared by all
-// replicas, so that a test can see a request that ran twice anywhere.
+// Ledger counts the requests executed by the replicas of a plain service. All replicas
+// share it, so that a test can detect a request that ran twice on any of them.
 type Ledger struct {
-	mu     sync.Mutex
-	serial int
-	byKey  map[string]int
+	mu    sync.Mutex
+	total int
+	byKey map[string]int
 }
 
 // NewLedger returns an empty ledger.
@@ -22,40 +22,40 @@
 	return &Ledger{byKey: map[string]int{}}
 }
 
-// Runs returns how often a request with the key ran.
+// Runs returns how often requests with the idempotency key ran.
 func (ledger *Ledger) Runs(key string) int {
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
 	return ledger.byKey[key]
 }
 
-// Total returns how many requests ran.
+// Total returns the number of requests that ran.
 func (ledger *Ledger) Total() int {
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
-	return ledger.serial
+	return ledger.total
 }
 
-func (ledger *Ledger) enter(key string) int {
+func (ledger *Ledger) record(key string) int {
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
-	ledger.serial++
+	ledger.total++
 	if key != "" {
 		ledger.byKey[key]++
 	}
-	return ledger.serial
+	return ledger.total
 }
 
-// ServiceSettings set up one replica of a plain service.
+// ServiceSettings configure one replica of a plain service.
 type ServiceSettings struct {
 	Name   string
 	Ledger *Ledger
-	// Work is how long a call takes.
+	// Work is the duration of a call.
 	Work  timekeeper.Span
 	Clock timekeeper.Clock
 }
 
-// ServiceAnswer is what a plain service answers.
+// ServiceAnswer is the JSON answer of a plain service.
 type ServiceAnswer struct {
 	Run     int    `json:"run"`
 	Replica string `json:"replica"`
@@ -63,8 +63,8 @@
 	Echo    string `json:"echo,omitempty"`
 }
 
-// NewService returns one replica of a plain service. It counts a run before it
-// does the work, as a service that commits first and answers later does.
+// NewService returns one replica of a plain service. It counts a run before the work
+// begins, like a service that commits first and answers later.
 func NewService(settings ServiceSettings) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/health" {
@@ -75,7 +75,7 @@
 			http.Error(w, "body cut", http.StatusBadRequest)
 			return
 		}
-		run := settings.Ledger.enter(r.Header.Get("Idempotency-Key"))
+		run := settings.Ledger.record(r.Header.Get("Idempotency-Key"))
 		if settings.Work > 0 {
 			_ = settings.Clock.Sleep(r.Context(), settings.Work)
 		}
