--- a/internal/disturber/doc.go
+++ b/internal/disturber/doc.go
@@ -1,3 +1,4 @@
-// Package disturber is a TCP proxy that injects faults between two processes
-// of a test: delay, stall, cut, cut after a number of bytes, each by direction.
+// Package disturber provides a TCP proxy for tests that injects faults between
+// two processes. Each direction can be delayed, stalled, discarded, or cut after
+// a number of bytes.
 package disturber
--- a/internal/disturber/proxy.go
+++ b/internal/disturber/proxy.go
@@ -10,49 +10,50 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Direction is the way that bytes go through the proxy.
+// Direction is a direction of traffic through the proxy.
 type Direction uint8
 
 // The two directions.
 const (
-	// ToTarget is from the side that dialled to the target.
+	// ToTarget is from the client to the target.
 	ToTarget Direction = iota
-	// FromTarget is from the target to the side that dialled.
+	// FromTarget is from the target to the client.
 	FromTarget
 )
 
-// Fault is what the proxy does to one direction. The zero value passes
-// everything on.
+// Fault is what the proxy does to one direction. The zero value forwards
+// everything unchanged.
 type Fault struct {
-	// Delay holds each part back.
+	// Delay delays each chunk that is forwarded.
 	Delay timekeeper.Span
-	// Stall reads nothing, so that the sender's buffers fill: a half-open peer.
+	// Stall stops reading, so that the sender's buffers fill, as with a half-open connection.
 	Stall bool
-	// Discard reads everything and passes nothing on: a one-way cut.
+	// Discard reads everything and forwards nothing, as in a one-way network partition.
 	Discard bool
-	// CutAfter cuts a connection once it has carried this many bytes more; zero means never.
+	// CutAfter closes a connection after this many bytes were forwarded in this direction since
+	// Set; zero means never.
 	CutAfter int64
-	// Once clears the fault after its first cut, so that what dials again gets through.
+	// Once clears the fault after its first cut, so that a new connection works.
 	Once bool
 }
 
-// Proxy stands between a dialler and one target.
+// Proxy forwards TCP connections to one target and injects faults.
 type Proxy struct {
 	clock    timekeeper.Clock
 	listener net.Listener
 
-	mu      sync.Mutex
-	target  string
-	changed chan struct{}
-	faults  [2]Fault
-	carried [2]int64
-	conns   map[net.Conn]struct{}
-	refuse  bool
-	closed  bool
+	mu        sync.Mutex
+	target    string
+	changed   chan struct{}
+	faults    [2]Fault
+	forwarded [2]int64
+	conns     map[net.Conn]struct{}
+	refuse    bool
+	closed    bool
 }
 
-// New returns a proxy that listens on a free port of loopback, and a function
-// that closes it and all its connections.
+// New returns a proxy that listens on a free loopback port, and a function that
+// closes it and all its connections.
 func New(target string, clock timekeeper.Clock) (*Proxy, func(), error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,30 +67,30 @@
 	return proxy, proxy.close, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (proxy *Proxy) Address() string {
 	return proxy.listener.Addr().String()
 }
 
-// Set replaces the fault of one direction, for connections that are open too.
+// Set replaces the fault of one direction. It also applies to open connections.
 func (proxy *Proxy) Set(direction Direction, fault Fault) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	proxy.faults[direction] = fault
-	proxy.carried[direction] = 0
+	proxy.forwarded[direction] = 0
 	close(proxy.changed)
 	proxy.changed = make(chan struct{})
 }
 
-// Retarget leads new connections to another target, as a balancer does when an
-// instance is replaced. Open ones stay where they are.
+// Retarget sends new connections to another target, as a load balancer does when
+// an instance is replaced. Open connections keep their target.
 func (proxy *Proxy) Retarget(target string) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	proxy.target = target
 }
 
-// Refuse makes the proxy close new connections at once, or accept them again.
+// Refuse sets whether the proxy closes new connections at once.
 func (proxy *Proxy) Refuse(refuse bool) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -106,11 +107,11 @@
 	proxy.conns = map[net.Conn]struct{}{}
 }
 
-// BytesForwarded returns the bytes passed on in one direction since its fault was set.
+// BytesForwarded returns the bytes forwarded in one direction since its fault was set.
 func (proxy *Proxy) BytesForwarded(direction Direction) int64 {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
-	return proxy.carried[direction]
+	return proxy.forwarded[direction]
 }
 
 func (proxy *Proxy) close() {
@@ -123,33 +124,33 @@
 
 func (proxy *Proxy) accept() {
 	for {
-		near, err := proxy.listener.Accept()
+		client, err := proxy.listener.Accept()
 		if err != nil {
 			return
 		}
-		go proxy.join(near)
+		go proxy.connect(client)
 	}
 }
 
-// join connects an accepted connection to the target.
-func (proxy *Proxy) join(near net.Conn) {
+// connect dials the target for an accepted connection and forwards in both directions.
+func (proxy *Proxy) connect(client net.Conn) {
 	var dialer net.Dialer
 	proxy.mu.Lock()
 	target := proxy.target
 	proxy.mu.Unlock()
-	far, err := dialer.DialContext(context.Background(), "tcp", target)
-	if err != nil || !proxy.track(near, far) {
-		_ = near.Close()
-		if far != nil {
-			_ = far.Close()
+	server, err := dialer.DialContext(context.Background(), "tcp", target)
+	if err != nil || !proxy.register(client, server) {
+		_ = client.Close()
+		if server != nil {
+			_ = server.Close()
 		}
 		return
 	}
-	go proxy.copy(ToTarget, near, far)
-	proxy.copy(FromTarget, far, near)
+	go proxy.copy(ToTarget, client, server)
+	proxy.copy(FromTarget, server, client)
 }
 
-func (proxy *Proxy) track(conns ...net.Conn) bool {
+func (proxy *Proxy) register(conns ...net.Conn) bool {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	if proxy.refuse || proxy.closed {
@@ -167,7 +168,7 @@
 	return proxy.faults[direction], proxy.changed
 }
 
-// copy moves bytes one way until either side closes or a fault cuts.
+// copy forwards one direction until either side closes or a fault cuts the connection.
 func (proxy *Proxy) copy(direction Direction, from, to net.Conn) {
 	defer func() {
 		_ = from.Close()
@@ -177,7 +178,7 @@
 	for {
 		proxy.waitWhileStalled(direction)
 		n, err := from.Read(buffer)
-		if n > 0 && !proxy.pass(direction, to, buffer[:n]) {
+		if n > 0 && !proxy.forward(direction, to, buffer[:n]) {
 			return
 		}
 		if err != nil {
@@ -196,8 +197,9 @@
 	}
 }
 
-// pass hands a part on as the fault says; false means that the connection is cut.
-func (proxy *Proxy) pass(direction Direction, to net.Conn, part []byte) bool {
+// forward applies the fault to a chunk and writes it. It returns false when the
+// connection must be closed.
+func (proxy *Proxy) forward(direction Direction, to net.Conn, chunk []byte) bool {
 	fault, _ := proxy.fault(direction)
 	if fault.Discard {
 		return true
@@ -205,25 +207,26 @@
 	if fault.Delay > 0 {
 		_ = proxy.clock.Sleep(context.Background(), fault.Delay)
 	}
-	part, cut := proxy.count(direction, fault, part)
-	if _, err := to.Write(part); err != nil {
+	chunk, cut := proxy.truncate(direction, fault, chunk)
+	if _, err := to.Write(chunk); err != nil {
 		return false
 	}
 	return !cut
 }
 
-// count returns the part that still goes through and whether the cut follows it.
-func (proxy *Proxy) count(direction Direction, fault Fault, part []byte) ([]byte, bool) {
+// truncate returns the bytes of a chunk that are forwarded before the cut, and
+// whether the connection is cut after them.
+func (proxy *Proxy) truncate(direction Direction, fault Fault, chunk []byte) ([]byte, bool) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
-	left := fault.CutAfter - proxy.carried[direction]
-	cut := fault.CutAfter > 0 && int64(len(part)) >= left
+	remaining := fault.CutAfter - proxy.forwarded[direction]
+	cut := fault.CutAfter > 0 && int64(len(chunk)) >= remaining
 	if cut {
-		part = part[:max(0, left)]
+		chunk = chunk[:max(0, remaining)]
 	}
-	proxy.carried[direction] += int64(len(part))
+	proxy.forwarded[direction] += int64(len(chunk))
 	if cut && fault.Once {
 		proxy.faults[direction] = Fault{}
 	}
-	return part, cut
+	return chunk, cut
 }
