--- a/internal/simulator/entry.go
+++ b/internal/simulator/entry.go
@@ -43,6 +43,6 @@
 	run.replaced++
 	run.entries[run.replaced%len(run.entries)] = run.newEntry(uint64(len(run.entries) + run.replaced))
 	if now < run.lastTick() {
-		run.at(now+float64(run.settings.RestartInterval), run.replaceEntry)
+		run.at(now+float64(run.settings.ReplaceInterval), run.replaceEntry)
 	}
 }
--- a/internal/simulator/policy.go
+++ b/internal/simulator/policy.go
@@ -91,9 +91,9 @@
 	// BurstFrom is the start of the burst, BurstFor its duration, Length the duration of
 	// arrivals; a Length of zero means ten seconds.
 	BurstFrom, BurstFor, Length timekeeper.Span
-	// RestartInterval is the time between replacements of an entry; zero means that none
-	// is replaced. It applies only to the policy Fleet.
-	RestartInterval timekeeper.Span
+	// ReplaceInterval is the interval at which one entry is replaced, each time the next one;
+	// zero means that none is replaced. It applies only to the policy Fleet.
+	ReplaceInterval timekeeper.Span
 	// Slow is the factor by which the first engine is slower; zero means one.
 	Slow float64
 	// FailedSource is the number, counted from one, of an engine that transfers nothing to
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -101,8 +101,8 @@
 	for i := range site.Entries {
 		run.entries = append(run.entries, run.newEntry(uint64(i)))
 	}
-	if run.settings.RestartInterval > 0 && run.settings.Policy == Fleet {
-		run.at(float64(run.settings.RestartInterval), run.replaceEntry)
+	if run.settings.ReplaceInterval > 0 && run.settings.Policy == Fleet {
+		run.at(float64(run.settings.ReplaceInterval), run.replaceEntry)
 	}
 	if site.DigestInterval > 0 && run.settings.Policy == Fleet {
 		run.at(float64(site.DigestInterval), run.sendDigests)
--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -131,7 +131,7 @@
 		maxPrefilledAgain float64
 	}{{1, 350_000}, {2, 480_000}}
 	for _, test := range tests {
-		settings := Settings{Site: Kitchen(), Load: test.load, RestartInterval: 500}
+		settings := Settings{Site: Kitchen(), Load: test.load, ReplaceInterval: 500}
 		Convey("few prompts are prefilled by a second engine", t, func() {
 			So(mean(settings, func(report Report) float64 { return float64(report.PrefilledAgain) }), ShouldBeLessThan, test.maxPrefilledAgain)
 			So(mean(settings, worth), ShouldBeGreaterThan, 0.99)
@@ -192,7 +192,7 @@
 		prefilledAgain := func(report Report) float64 { return float64(report.PrefilledAgain) }
 		withTransfers, without := 0.0, 0.0
 		for _, load := range []float64{1, 2, 4} {
-			settings := Settings{Site: FastEngines(), Load: load, RestartInterval: restart}
+			settings := Settings{Site: FastEngines(), Load: load, ReplaceInterval: restart}
 			withTransfers += mean(settings, prefilledAgain)
 			earned := mean(settings, worth)
 			settings.Site = settings.Site.WithTransfers(0, 0)
@@ -257,7 +257,7 @@
 		Convey(test.name, t, func() {
 			stable := Settings{Site: test.site, Load: test.load}
 			restarting := stable
-			restarting.RestartInterval = 500
+			restarting.ReplaceInterval = 500
 			So((mean(stable, Report.Net)+mean(restarting, Report.Net))/2, ShouldBeGreaterThan, test.net)
 			So(mean(stable, worth), ShouldBeGreaterThan, 0.985)
 		})
@@ -283,7 +283,7 @@
 func TestFailedTransferSource(t *testing.T) {
 	// From the middle of the run on one engine transfers nothing. Requests that name it as
 	// their source must have their prompt prefilled instead, and still be on time.
-	settings := Settings{Site: FastEngines(), Load: 2, FailedSource: 1, RestartInterval: 500}
+	settings := Settings{Site: FastEngines(), Load: 2, FailedSource: 1, ReplaceInterval: 500}
 	Convey("nearly all are on time", t, func() {
 		So(mean(settings, worth), ShouldBeGreaterThan, 0.99)
 	})
