--- a/internal/disturber/proxy.go
+++ b/internal/disturber/proxy.go
@@ -30,8 +30,9 @@
 	Stall bool
 	// Discard reads everything and forwards nothing, as in a one-way network partition.
 	Discard bool
-	// CutAfter closes a connection after this many bytes were forwarded in this direction since
-	// Set; zero means never.
+	// CutAfter closes a connection when this many bytes were forwarded in this direction since
+	// Set, summed over all connections. Any other is then closed at its next chunk, unless
+	// Once is set. Zero means never.
 	CutAfter int64
 	// Once clears the fault after its first cut, so that a new connection works.
 	Once bool
@@ -207,16 +208,16 @@
 	if fault.Delay > 0 {
 		_ = proxy.clock.Sleep(context.Background(), fault.Delay)
 	}
-	chunk, cut := proxy.truncate(direction, fault, chunk)
+	chunk, cut := proxy.applyCut(direction, fault, chunk)
 	if _, err := to.Write(chunk); err != nil {
 		return false
 	}
 	return !cut
 }
 
-// truncate returns the bytes of a chunk that are forwarded before the cut, and
-// whether the connection is cut after them.
-func (proxy *Proxy) truncate(direction Direction, fault Fault, chunk []byte) ([]byte, bool) {
+// applyCut shortens a chunk to the bytes that are forwarded before the cut, counts them, and
+// clears a Once fault after its cut. It also returns whether the connection must be closed.
+func (proxy *Proxy) applyCut(direction Direction, fault Fault, chunk []byte) ([]byte, bool) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	remaining := fault.CutAfter - proxy.forwarded[direction]
