--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -31,7 +31,8 @@
 	Poison string
 	// RestartTime is how long the engine is unavailable after a crash; zero means one second.
 	RestartTime timekeeper.Span
-	// ChecksOrders makes the engine refuse orders with an outdated fencing number.
+	// ChecksOrders makes the engine refuse orders with a lower fencing number than the highest
+	// it has received.
 	ChecksOrders bool
 }
 
@@ -73,15 +74,15 @@
 	active    map[string]*sequence
 	resumable map[string]*sequence
 	// resumableIDs has the keys of resumable, oldest first.
-	resumableIDs  []string
-	counts        EngineCounts
-	crashed       chan struct{}
-	downUntil     timekeeper.Instant
-	reports       []loadReport
-	orders        orderRecord
-	events        []CacheEvent
-	eventSequence uint64
-	wake          chan struct{}
+	resumableIDs    []string
+	counts          EngineCounts
+	crashed         chan struct{}
+	downUntil       timekeeper.Instant
+	reports         []loadReport
+	orders          orderRecord
+	events          []CacheEvent
+	lastEventNumber uint64
+	wake            chan struct{}
 }
 
 type loadReport struct {
--- a/internal/imitator/engine_control.go
+++ b/internal/imitator/engine_control.go
@@ -18,7 +18,8 @@
 	at       timekeeper.Instant
 }
 
-// Order instructs an engine to load or unload its subject, or to change its role or version.
+// Order instructs an engine to load or unload Subject, or to take Subject as its new
+// role or version.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	Action  string `json:"action"`
@@ -34,7 +35,7 @@
 	Orders  []Order  `json:"orders"`
 }
 
-// PrefixBlocks are exported blocks of a prefix cache.
+// PrefixBlocks are blocks of a prefix cache that one engine exports and another imports.
 type PrefixBlocks struct {
 	Chat   string   `json:"chat,omitempty"`
 	Blocks []uint64 `json:"blocks"`
@@ -53,12 +54,12 @@
 // collectEvents turns evictions into events and drops some of them, as real engines do.
 func (engine *Engine) collectEvents() {
 	for _, block := range engine.batch.cache.evicted {
-		engine.eventSequence++
-		if engine.eventSequence%1000 < lostPerThousand {
+		engine.lastEventNumber++
+		if engine.lastEventNumber%1000 < lostPerThousand {
 			continue
 		}
 		engine.events = append(engine.events, CacheEvent{
-			Sequence: engine.eventSequence, Block: block, Evicted: true, at: engine.settings.Clock.Now(),
+			Sequence: engine.lastEventNumber, Block: block, Evicted: true, at: engine.settings.Clock.Now(),
 		})
 	}
 	engine.batch.cache.evicted = nil
@@ -165,7 +166,8 @@
 	return engine.orders.state(), nil
 }
 
-// Orders returns the state that results from all executed orders, and the orders.
+// Orders returns the engine's state and all orders that weren't refused for their fencing
+// number.
 func (engine *Engine) Orders() OrderState {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
--- a/internal/imitator/engine_resume.go
+++ b/internal/imitator/engine_resume.go
@@ -35,7 +35,7 @@
 	return words, finished, !finished && (seq.canceled || engine.resumable[seq.id] != seq)
 }
 
-// resume streams a sequence again after the given number of words. The stream of an
+// resume streams the rest of a sequence, without its first `after` words. The stream of an
 // aborted sequence ends without doneEvent.
 func (engine *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
--- a/internal/imitator/engine_test.go
+++ b/internal/imitator/engine_test.go
@@ -44,7 +44,7 @@
 	server := httptest.NewServer(engine.Handler())
 	t.Cleanup(server.Close)
 	const turn = `{"model":"planner","stream":true,"max_tokens":12,"messages":[{"role":"user","content":"a b c"}]}`
-	Convey("a stream is resumed after its client disconnected", t, func() {
+	Convey("a stream is resumed from an offset after its client disconnected", t, func() {
 		_, _ = engineCall(t, "POST", server.URL+"/v1/chat/completions", turn, true)
 		_, rest := engineCall(t, "GET", server.URL+"/v1/streams/r-1?after=2", "", false)
 		So(strings.Count(rest, "data: {"), ShouldEqual, 10)
--- a/internal/imitator/platform.go
+++ b/internal/imitator/platform.go
@@ -60,7 +60,7 @@
 	return &Platform{clock: clock, rows: map[string]storekeeper.Row{}, objects: map[string][]byte{}}
 }
 
-// InProcess returns the platform's interface with direct calls in place of HTTP.
+// InProcess returns a storekeeper.Platform that calls the fake directly, without HTTP.
 func (platform *Platform) InProcess() storekeeper.Platform {
 	return storekeeper.Platform{
 		Table:     storekeeper.Table{Get: platform.getRow, Scan: platform.scan, Commit: platform.commit},
--- a/internal/imitator/platform_http.go
+++ b/internal/imitator/platform_http.go
@@ -79,8 +79,8 @@
 	return objects.Put(context.WithoutCancel(r.Context()), r.URL.Query().Get("name"), body)
 }
 
-// reply writes a result or the status of an error. For an unknown outcome it closes the
-// connection without an answer.
+// reply writes a result or the status of an error. For any other error, such as an unknown
+// outcome, it closes the connection without an answer.
 func reply[Out any](w http.ResponseWriter, out Out, err error) {
 	switch {
 	case err == nil:
