--- a/internal/simulator/engine.go
+++ b/internal/simulator/engine.go
@@ -56,8 +56,8 @@
 	prefilled, fetched int
 	// linkFreeAt is when the link has finished all transfers requested so far.
 	linkFreeAt float64
-	// failedSource means that the engine transfers nothing to others.
-	failedSource bool
+	// transfersFail means that other engines can't fetch from this one.
+	transfersFail bool
 }
 
 type cachedPart struct {
@@ -88,7 +88,7 @@
 	engine.removeAbandoned()
 	for len(engine.running) < engine.settings.Slots && len(engine.waiting) > 0 {
 		job := engine.waiting[0]
-		if !engine.admit(job, now) && len(engine.running) > 0 {
+		if !engine.reserve(job, now) && len(engine.running) > 0 {
 			break
 		}
 		engine.waiting = engine.waiting[1:]
@@ -109,9 +109,10 @@
 	engine.busy, engine.stepEnd = true, now+duration
 }
 
-// admit reserves memory for a request, evicts unused parts, and computes its pending
-// tokens. It returns false if the memory does not suffice.
-func (engine *engine) admit(job *job, now float64) bool {
+// reserve reserves memory for a request, evicts the least recently used parts, and computes
+// the request's pending tokens. It returns false if the memory still does not suffice; the
+// reservation stays.
+func (engine *engine) reserve(job *job, now float64) bool {
 	pending, prefixCached := 0, true
 	last := len(job.parts) - 1
 	for i, part := range job.parts {
@@ -140,8 +141,8 @@
 	return engine.used <= engine.settings.Memory
 }
 
-// evict removes the least recently used part and returns false if none was last used
-// before now.
+// evict removes the least recently used part. It returns false if there is none but those
+// in use now, by the request being admitted or by a transfer.
 func (engine *engine) evict(now float64) bool {
 	var oldest uint64
 	var part *cachedPart
--- a/internal/simulator/entry.go
+++ b/internal/simulator/entry.go
@@ -7,8 +7,8 @@
 	fleet       *balancer.Fleet
 	outstanding []int
 	waiting     map[*balancer.Waiter]*request
-	// unsentPrompts are the placed prompts that no digest has reported yet.
-	unsentPrompts []placedPrompt
+	// unreported has the prompts that were placed since the last digest.
+	unreported []placedPrompt
 }
 
 type placedPrompt struct {
@@ -16,8 +16,8 @@
 	parts  []balancer.Part
 }
 
-// thousand is the number of tokens that PrefillPrice refers to.
-const thousand = 1000
+// tokensPerPrefillPrice is the number of tokens that PrefillPrice refers to.
+const tokensPerPrefillPrice = 1000
 
 // newEntry returns an entry that knows the engines but not what they have cached.
 func (run *run) newEntry(number uint64) *entry {
@@ -27,7 +27,7 @@
 		KnownParts: run.settings.KnownParts,
 	}
 	if site.PrefillPrice > 0 {
-		settings.MovePrice = thousand * site.MovePrice / site.PrefillPrice
+		settings.MovePrice = tokensPerPrefillPrice * site.MovePrice / site.PrefillPrice
 	}
 	fleet := balancer.New(settings)
 	fleet.SetEngine("planner", balancer.Engine{
@@ -38,7 +38,8 @@
 }
 
 // replaceEntry replaces the next entry in rotation with a new one. Requests in flight
-// at engines continue; callers that wait at the old entry leave.
+// at engines continue. Callers that wait at the old entry are sent or refused only when one
+// of these requests ends; the others are lost and count only as arrived.
 func (run *run) replaceEntry(now float64) {
 	run.replaced++
 	run.entries[run.replaced%len(run.entries)] = run.newEntry(uint64(len(run.entries) + run.replaced))
--- a/internal/simulator/policy.go
+++ b/internal/simulator/policy.go
@@ -18,7 +18,8 @@
 	Fleet Policy = "fleet"
 	// Random chooses an engine at random.
 	Random Policy = "random"
-	// LeastOutstanding chooses the engine with the fewest requests of this entry.
+	// LeastOutstanding chooses the engine with the fewest requests of the entry
+	// that places the request.
 	LeastOutstanding Policy = "least-outstanding"
 	// Rendezvous chooses by a rendezvous hash of the deepest shared prompt part alone.
 	Rendezvous Policy = "rendezvous"
@@ -61,7 +62,8 @@
 	return least
 }
 
-// topTwo returns the two engines with the highest rendezvous hash for a prompt.
+// topTwo returns the two engines with the highest rendezvous hashes for the deepest shared
+// part of a prompt.
 func topTwo(parts []balancer.Part, engines int) (first, second int) {
 	shared := parts[max(0, len(parts)-2)].ID
 	weights := make([]uint64, engines)
--- a/internal/simulator/report.go
+++ b/internal/simulator/report.go
@@ -19,6 +19,7 @@
 // OnTimeShare returns the share of callers whose answer began on time.
 func (tally Tally) OnTimeShare() float64 { return ratio(tally.OnTime, tally.Arrived) }
 
+// ratio returns part / whole, and 1 if whole is zero.
 func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 1
@@ -44,8 +45,8 @@
 	Prefilled, Cached int
 	// Skew is the ratio of the busiest engine's requests to the mean, averaged over time.
 	Skew float64
-	// Overfull is the share of requests sent to an engine that held more than LoadFactor
-	// times the mean plus three.
+	// Overfull is the share of requests sent to an engine that already had more in flight
+	// than LoadFactor times the mean plus three.
 	Overfull float64
 }
 
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -20,8 +20,9 @@
 	// epoch is the start of virtual time; it keeps instants away from zero, which means
 	// "never" in package balancer.
 	epoch = 1_000_000
-	// retryDelay and retryJitter are the minimum and the spread of a refused caller's
-	// backoff, in milliseconds, on top of the wait that the entry estimates.
+	// retryDelay and retryJitter are the fixed part and the maximum random part of a refused
+	// caller's backoff, in milliseconds. The wait that the entry estimates is added; refuse
+	// limits the sum.
 	retryDelay, retryJitter = 250.0, 500.0
 	// maxWaitTargets and maxWaitShare limit the wait at an entry, as a multiple of the target
 	// and a share of the timeout. Real entries use the same limits.
@@ -44,20 +45,24 @@
 
 // run is the state of one simulation.
 type run struct {
-	settings   Settings
-	rng        *rand.Rand
-	events     events
+	settings Settings
+	rng      *rand.Rand
+	events   events
+	// lastNumber is the last number given to an event or a job; numbers break ties in order
+	// of creation.
 	lastNumber int
 	engines    []*engine
 	replicas   []balancer.Replica
 	entries    []*entry
 	replaced   int
 	report     Report
-	// prefilledOn has the engines that have prefilled each shared part.
+	// prefilledOn has, by shared part, the engines to which a request was sent that needs its
+	// prefill.
 	prefilledOn map[uint64]map[int]bool
 	skewSamples int
 	skewSum     float64
-	// placed counts the requests sent to engines, overfull those above the load bound.
+	// placed counts the requests sent to engines, overfull those sent to an engine above its
+	// load bound.
 	placed   int
 	overfull int
 }
@@ -112,18 +117,18 @@
 	}
 	run.at(tick, run.sampleSkew)
 	if failedSource := run.settings.FailedSource; failedSource > 0 {
-		run.at(float64(run.settings.Length)/2, func(float64) { run.engines[failedSource-1].failedSource = true })
+		run.at(float64(run.settings.Length)/2, func(float64) { run.engines[failedSource-1].transfersFail = true })
 	}
 }
 
-// lastTick is when recurring events stop.
+// lastTick is when recurring events stop: five seconds after arrivals end.
 func (run *run) lastTick() float64 { return float64(run.settings.Length) + 5000 }
 
 // sendDigests sends each entry's requests in flight and new placements to its peers.
 func (run *run) sendDigests(now float64) {
 	for i, from := range run.entries {
-		inFlight, unsentPrompts := from.fleet.InFlight(), from.unsentPrompts
-		from.unsentPrompts = nil
+		inFlight, placements := from.fleet.InFlight(), from.unreported
+		from.unreported = nil
 		for j, to := range run.entries {
 			if i == j {
 				continue
@@ -131,7 +136,7 @@
 			name := fmt.Sprintf("entry-%d", i)
 			run.at(now+networkLatency, func(now float64) {
 				to.fleet.SetPeerInFlight(name, inFlight, timekeeper.Second, instant(now))
-				for _, prompt := range unsentPrompts {
+				for _, prompt := range placements {
 					to.fleet.RecordCached(balancer.KeyOf(run.engines[prompt.engine].id), prompt.parts, instant(now))
 				}
 			})
@@ -282,7 +287,7 @@
 	engine, entry := run.engines[chosen], request.entry
 	entry.outstanding[chosen]++
 	if placement != nil {
-		entry.unsentPrompts = append(entry.unsentPrompts, placedPrompt{engine: chosen, parts: request.parts})
+		entry.unreported = append(entry.unreported, placedPrompt{engine: chosen, parts: request.parts})
 	}
 	run.recordPlacement(request, chosen, placement)
 	run.lastNumber++
@@ -332,7 +337,7 @@
 	}
 	transferable := 0
 	if placement != nil && placement.Source != "" && run.settings.Site.Engine.LinkRate > 0 {
-		transferable = run.engines[run.indexOf(placement.Source)].cachedPrefix(request.parts)
+		transferable = run.engines[run.indexOf(placement.Source)].transferablePrefix(request.parts)
 	}
 	for i, part := range request.parts[:len(request.parts)-1] {
 		if _, cached := run.engines[chosen].cached[part.ID]; cached {
@@ -391,7 +396,7 @@
 	}
 	run.report.Worth = earned / math.Max(possible, 1)
 	site := run.settings.Site
-	prefillCost := site.PrefillPrice * float64(run.report.PrefilledAgain) / thousand
+	prefillCost := site.PrefillPrice * float64(run.report.PrefilledAgain) / tokensPerPrefillPrice
 	transferCost := site.MovePrice * float64(run.report.Fetched) * site.Engine.TokenBytes / gigabyte
 	run.report.Price = (prefillCost + transferCost) / math.Max(possible, 1)
 	run.report.Skew = run.skewSum / math.Max(float64(run.skewSamples), 1)
--- a/internal/simulator/run_test.go
+++ b/internal/simulator/run_test.go
@@ -156,9 +156,9 @@
 func TestHotContextAcrossManyEntries(t *testing.T) {
 	// Three requests in ten use one hot context, spread over 31 entries. Each entry
 	// receives only one or two of them between digests, and all know the one engine that
-	// has it cached. Entries that don't allow for their peers' requests put a share of
-	// 0.14 and more of all requests above the bound; those that remain fall into the
-	// first second.
+	// has it cached. If entries didn't allow for their peers' requests,
+	// 0.14 and more of all requests would exceed the bound. Those that still exceed it
+	// arrive in the first second.
 	for _, load := range []float64{1, 2} {
 		settings := Settings{Site: Halls(), Load: load, Hot: 0.3, Length: 6 * timekeeper.Second}
 		Convey("several engines serve the hot context", t, func() {
@@ -188,18 +188,18 @@
 	// and with one entry replaced every half second. With transfers, an engine that takes
 	// over a catalogue must fetch it from the full engine. Without them it prefills the
 	// catalogue, which makes the least urgent callers late.
-	for _, restart := range []timekeeper.Span{0, 500} {
+	for _, interval := range []timekeeper.Span{0, 500} {
 		prefilledAgain := func(report Report) float64 { return float64(report.PrefilledAgain) }
-		withTransfers, without := 0.0, 0.0
+		withTransfers, withoutTransfers := 0.0, 0.0
 		for _, load := range []float64{1, 2, 4} {
-			settings := Settings{Site: FastEngines(), Load: load, ReplaceInterval: restart}
+			settings := Settings{Site: FastEngines(), Load: load, ReplaceInterval: interval}
 			withTransfers += mean(settings, prefilledAgain)
 			earned := mean(settings, worth)
 			settings.Site = settings.Site.WithTransfers(0, 0)
-			without += mean(settings, prefilledAgain)
-			Convey("transfers cost no worth", t, func() { So(earned, ShouldBeGreaterThan, mean(settings, worth)-0.002) })
+			withoutTransfers += mean(settings, prefilledAgain)
+			Convey("transfers do not lower the worth", t, func() { So(earned, ShouldBeGreaterThan, mean(settings, worth)-0.002) })
 		}
-		Convey("transfers avoid most repeated prefill", t, func() { So(withTransfers, ShouldBeLessThan, without/5) })
+		Convey("transfers avoid most repeated prefill", t, func() { So(withTransfers, ShouldBeLessThan, withoutTransfers/5) })
 	}
 }
 
@@ -239,7 +239,7 @@
 	// Engines are half idle, so answers are on time whether a prompt stays where it is
 	// cached, is transferred or is prefilled again; only the operators' cost differs. If a
 	// millisecond of an idle engine weighed as much as that cost, prompts would leave their
-	// engines to save waits that no caller notices: 0.83 of the worth would remain on
+	// engines to save waits that no caller notices: the net would be 0.83 on
 	// CostlyTransfers, 0.967 and 0.965 on the other sites.
 	kitchen := Kitchen().WithTransfers(163840, 1.375e8).WithPrices(0.52, 0.64)
 	tests := []struct {
@@ -256,18 +256,18 @@
 	for _, test := range tests {
 		Convey(test.name, t, func() {
 			stable := Settings{Site: test.site, Load: test.load}
-			restarting := stable
-			restarting.ReplaceInterval = 500
-			So((mean(stable, Report.Net)+mean(restarting, Report.Net))/2, ShouldBeGreaterThan, test.net)
+			replacing := stable
+			replacing.ReplaceInterval = 500
+			So((mean(stable, Report.Net)+mean(replacing, Report.Net))/2, ShouldBeGreaterThan, test.net)
 			So(mean(stable, worth), ShouldBeGreaterThan, 0.985)
 		})
 	}
 }
 
 func TestReuseWithFewKnownParts(t *testing.T) {
-	// With 3,100 engines an entry remembers only the 84 last used prompt parts of each.
-	// Callers return with prompts that it has forgotten; the preference order, which needs
-	// no memory, must find their engine.
+	// The default KnownParts leaves an entry the 84 last used prompt parts of each of 3,100
+	// engines; here it remembers as few of each engine. Callers return with prompts that it
+	// has forgotten; the preference order, which needs no memory, must find their engine.
 	const partsPerEngine = 84
 	for _, load := range []float64{1, 2} {
 		settings := Settings{Site: Halls(), Load: load, Length: 6 * timekeeper.Second}
@@ -284,7 +284,7 @@
 	// From the middle of the run on one engine transfers nothing. Requests that name it as
 	// their source must have their prompt prefilled instead, and still be on time.
 	settings := Settings{Site: FastEngines(), Load: 2, FailedSource: 1, ReplaceInterval: 500}
-	Convey("nearly all are on time", t, func() {
+	Convey("nearly all answers are on time", t, func() {
 		So(mean(settings, worth), ShouldBeGreaterThan, 0.99)
 	})
 }
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -6,7 +6,7 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// Class is a class of requests.
+// Class describes requests with the same arrival rate, priority, targets and prompt sizes.
 type Class struct {
 	Name string
 	// PerSecond is the arrival rate at a load of one.
@@ -28,7 +28,7 @@
 	Worth float64
 }
 
-// Site is the simulated fleet and its load.
+// Site is the simulated fleet and its traffic at a load of one.
 type Site struct {
 	Entries int
 	Engines int
@@ -71,8 +71,8 @@
 }
 
 // Halls returns a site of the next planned size: 31 entries in front of 56 engines,
-// six times as many callers, and the longest interval between digests, while all
-// prompts are new.
+// six times as many callers, and the digest interval that real entries have while all
+// prompts are new, which is their longest.
 func Halls() Site {
 	site := Kitchen()
 	site.Entries, site.Engines, site.DigestInterval = 31, 56, 600
--- a/internal/simulator/transfer.go
+++ b/internal/simulator/transfer.go
@@ -9,9 +9,10 @@
 // transferSetup is the fixed time of a transfer, in milliseconds.
 const transferSetup = 2.0
 
-// cachedPrefix returns how many leading shared parts of a prompt the engine can transfer.
-func (engine *engine) cachedPrefix(parts []balancer.Part) int {
-	if engine.failedSource {
+// transferablePrefix returns how many leading shared parts of a prompt the engine can
+// transfer to another: those that are cached, or none if its transfers fail.
+func (engine *engine) transferablePrefix(parts []balancer.Part) int {
+	if engine.transfersFail {
 		return 0
 	}
 	for i, part := range balancer.SharedParts(parts) {
@@ -29,7 +30,7 @@
 func (engine *engine) fetch(parts []balancer.Part, source *engine, now float64) float64 {
 	tokens := 0
 	var missing []balancer.Part
-	for _, part := range parts[:source.cachedPrefix(parts)] {
+	for _, part := range parts[:source.transferablePrefix(parts)] {
 		if _, found := engine.cached[part.ID]; !found {
 			tokens += part.Tokens
 			missing = append(missing, part)
