--- a/internal/claimer/faults_test.go
+++ b/internal/claimer/faults_test.go
@@ -81,7 +81,7 @@
 	simulation.agents[i] = &node{
 		name: name, incarnation: simulation.incarnations,
 		book:       NewBook(Settings{Name: name, Incarnation: simulation.incarnations}),
-		committer:  NewCommitter(simulation.platform.Seams().Table, simulation.clock.Now),
+		committer:  NewCommitter(simulation.platform.InProcess().Table, simulation.clock.Now),
 		mint:       minter.New(name, simulation.incarnations, 0),
 		tombstones: map[string]bool{}, answers: map[string]string{},
 	}
--- a/internal/publisher/propose_test.go
+++ b/internal/publisher/propose_test.go
@@ -119,7 +119,7 @@
 		for step := 1; step <= steps; step++ {
 			Convey(fmt.Sprintf("%s at step %d", test.name, step), t, func() {
 				platform := imitator.NewPlatform(instantClock())
-				seams := platform.Seams()
+				seams := platform.InProcess()
 				_, err := Accept(t.Context(), seams, bundleOf(0), 0, "first")
 				So(err, ShouldBeNil)
 				proposal := Proposal{Bundle: bundleOf(1), BaseRevision: 1, Operator: "almaz"}
@@ -153,7 +153,7 @@
 	// operator must still see "accepted", since the change is in the history.
 	Convey("the change is found by its id", t, func() {
 		platform := imitator.NewPlatform(instantClock())
-		seams := platform.Seams()
+		seams := platform.InProcess()
 		_, _ = Accept(t.Context(), seams, bundleOf(0), 0, "first")
 		faulty := intercept(seams, func(call int) error {
 			switch call {
@@ -176,7 +176,7 @@
 
 func TestConflictListsChanges(t *testing.T) {
 	Convey("a conflict lists the changes since the base revision and their differences", t, func() {
-		seams := imitator.NewPlatform(instantClock()).Seams()
+		seams := imitator.NewPlatform(instantClock()).InProcess()
 		_, _ = Accept(t.Context(), seams, bundleOf(0), 0, "first")
 		proposer := Proposer{Platform: seams, Clock: instantClock()}
 		_, err := proposer.Propose(t.Context(), Proposal{Bundle: bundleOf(1), BaseRevision: 1, Operator: "almaz", Comment: "more slots"})
@@ -199,7 +199,7 @@
 	// are in the history, and the history must have each of them once, in order.
 	const wanted = 1000
 	platform := imitator.NewPlatform(instantClock())
-	seams := platform.Seams()
+	seams := platform.InProcess()
 	var operators sync.WaitGroup
 	var mu sync.Mutex
 	accepted := map[uint64]string{}
@@ -250,7 +250,7 @@
 	// Guards against a record that shows an old revision as accepted after a later one,
 	// because an operator runs an old command again after the later change.
 	Convey("the event has the time of the change", t, func() {
-		seams := imitator.NewPlatform(instantClock()).Seams()
+		seams := imitator.NewPlatform(instantClock()).InProcess()
 		var events []recorder.Event
 		run := func(number int, at timekeeper.Instant) {
 			clock := instantClock()
--- a/internal/striker/poison_test.go
+++ b/internal/striker/poison_test.go
@@ -46,7 +46,7 @@
 func newSimulation(policy policy, seed uint64) *simulation {
 	created := &simulation{policy: policy, random: rand.New(rand.NewPCG(seed, 3)), clock: timekeeper.NewManual(1), refused: map[uint64]bool{}}
 	created.platform = imitator.NewPlatform(created.clock.Clock())
-	created.book = NewBook(created.platform.Seams().Table, created.clock.Now)
+	created.book = NewBook(created.platform.InProcess().Table, created.clock.Now)
 	for i := range engineCount {
 		created.ledgers = append(created.ledgers, NewLedger(fmt.Sprint("engine-", i), 0))
 	}
@@ -236,7 +236,7 @@
 	// if the answer to its write is lost.
 	clock := timekeeper.NewManual(1)
 	platform := imitator.NewPlatform(clock.Clock())
-	book := NewBook(platform.Seams().Table, clock.Now)
+	book := NewBook(platform.InProcess().Table, clock.Now)
 	ctx := context.Background()
 	first := Strike{Fingerprint: 9}.WithCrash("crashed", clock.Now().Add(DefaultLifetime))
 	if err := book.Add(ctx, Strike{Fingerprint: 9, Expires: first.Expires}, "crashed"); err != nil {
--- a/test/integration/apply_test.go
+++ b/test/integration/apply_test.go
@@ -78,7 +78,7 @@
 	operators.Wait()
 	for i, test := range tests {
 		revisions := func() int {
-			changes, err := publisher.History(t.Context(), rigs[i].platform.Seams(), 0, 100)
+			changes, err := publisher.History(t.Context(), rigs[i].platform.InProcess(), 0, 100)
 			So(err, ShouldBeNil)
 			return len(changes)
 		}
--- a/test/integration/members_test.go
+++ b/test/integration/members_test.go
@@ -190,13 +190,13 @@
 	entry := rig.startFleet(4)
 	Convey("at most half is marked dead, and all return", t, func() {
 		for _, name := range []string{"orders-1", "orders-2", "orders-3"} {
-			rig.proxies[name].Set(disturber.Back, disturber.Fault{Swallow: true})
+			rig.proxies[name].Set(disturber.FromTarget, disturber.Fault{Discard: true})
 		}
 		rig.eventually("some are marked dead", func() bool { return rig.liveCount(entry) < 4 })
 		So(rig.liveCount(entry), ShouldBeGreaterThanOrEqualTo, 2)
 		for _, name := range []string{"orders-1", "orders-2", "orders-3"} {
 			rig.proxies[name].Cut()
-			rig.proxies[name].Set(disturber.Back, disturber.Fault{})
+			rig.proxies[name].Set(disturber.FromTarget, disturber.Fault{})
 		}
 		rig.eventually("all are live again", func() bool { return rig.liveCount(entry) == 4 })
 	})
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -44,13 +44,13 @@
 	rig := newRig(t, siteConfig())
 	rig.addOrders("orders-1", 0)
 	entry := rig.addEntry("entry-1")
-	for _, direction := range []disturber.Direction{disturber.Forth, disturber.Back} {
+	for _, direction := range []disturber.Direction{disturber.ToTarget, disturber.FromTarget} {
 		rig.proxies["orders-1"].Cut()
 		rig.proxies["orders-1"].Set(direction, disturber.Fault{})
 		if got := entry.order(t.Context(), "clean-"+strconv.Itoa(int(direction)), "{}"); got.status != 200 {
 			t.Fatal(got)
 		}
-		total := rig.proxies["orders-1"].Carried(direction)
+		total := rig.proxies["orders-1"].BytesForwarded(direction)
 		Convey("cut after each of "+strconv.FormatInt(total, 10)+" bytes", t, func() {
 			answered := 0
 			const step = 1
--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -64,7 +64,7 @@
 	})
 	// The fault is set only now, so that no digest uses up the 600 bytes before the call.
 	rig.eventually("the engine runs", func() bool { return rig.engines["planner-1"].Counts().Runs == 1 })
-	rig.proxies["planner-1"].Set(disturber.Back, disturber.Fault{CutAfter: 600})
+	rig.proxies["planner-1"].Set(disturber.FromTarget, disturber.Fault{CutAfter: 600})
 	caller.Wait()
 	Convey("the caller gets an error and no end of the stream", t, func() {
 		So(got.err, ShouldNotBeNil)
--- a/test/integration/record_test.go
+++ b/test/integration/record_test.go
@@ -105,7 +105,7 @@
 // tamperedPlatform returns the URL of a platform that holds the rig's record with one
 // bit of one segment flipped.
 func (rig *rig) tamperedPlatform() string {
-	objects, err := verifier.Fetch(rig.t.Context(), rig.platform.Seams().Objects, rig.clock)
+	objects, err := verifier.Fetch(rig.t.Context(), rig.platform.InProcess().Objects, rig.clock)
 	if err != nil {
 		rig.t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 		if i == len(objects)/2 {
 			object.Body[len(object.Body)/2] ^= 1
 		}
-		if err := platform.Seams().Objects.Put(rig.t.Context(), object.Name, object.Body); err != nil {
+		if err := platform.InProcess().Objects.Put(rig.t.Context(), object.Name, object.Body); err != nil {
 			rig.t.Fatal(err)
 		}
 	}
--- a/test/integration/streams_test.go
+++ b/test/integration/streams_test.go
@@ -33,7 +33,7 @@
 	// frame boundary too, in each direction. The entry dials again, looks the
 	// request up from the last byte that the caller has, and continues; a request
 	// that had not arrived gets a tombstone before the caller gets "not run".
-	for _, direction := range []disturber.Direction{disturber.Forth, disturber.Back} {
+	for _, direction := range []disturber.Direction{disturber.ToTarget, disturber.FromTarget} {
 		t.Run(strconv.Itoa(int(direction)), func(t *testing.T) {
 			t.Parallel()
 			cutStreams(t, direction)
@@ -51,7 +51,7 @@
 	clean := entry.call(t.Context(), "POST", "/v1/chat/completions", body)
 	// Ids get longer, and the frame that closes a stream comes after the answer.
 	const extraBytes = 48
-	total := proxy.Carried(direction) + extraBytes
+	total := proxy.BytesForwarded(direction) + extraBytes
 	Convey("cut after each of "+strconv.FormatInt(total, 10)+" bytes", t, func() {
 		So(clean.body, ShouldEndWith, streamEnd)
 		completed := int64(0)
@@ -100,10 +100,10 @@
 		})
 		return withoutIDs(got.String()), err
 	}
-	for _, direction := range []disturber.Direction{disturber.Forth, disturber.Back} {
+	for _, direction := range []disturber.Direction{disturber.ToTarget, disturber.FromTarget} {
 		proxy.Set(direction, disturber.Fault{})
 		clean, err := stream()
-		total := proxy.Carried(direction)
+		total := proxy.BytesForwarded(direction)
 		Convey("direction "+strconv.Itoa(int(direction))+", "+strconv.FormatInt(total, 10)+" bytes", t, func() {
 			So(err, ShouldBeNil)
 			const step = 7
--- a/test/integration/twofaults_test.go
+++ b/test/integration/twofaults_test.go
@@ -144,11 +144,11 @@
 func agentPausedAndConnectionCut(site *faultSite) reply {
 	proxy := site.rig.proxies["orders-1"]
 	site.entries[0].order(site.rig.t.Context(), "warm", "{}")
-	proxy.Set(disturber.Back, disturber.Fault{Swallow: true})
+	proxy.Set(disturber.FromTarget, disturber.Fault{Discard: true})
 	site.send()
 	site.rig.eventually("the offer has arrived", func() bool { return len(site.agent.logged("admission")) > 1 })
 	site.agent.signal(syscall.SIGSTOP)
-	proxy.Set(disturber.Back, disturber.Fault{})
+	proxy.Set(disturber.FromTarget, disturber.Fault{})
 	proxy.Cut()
 	site.checkTruthful(<-site.first)
 	const pastRunWait = 5500 * timekeeper.Millisecond
--- a/test/integration/views_test.go
+++ b/test/integration/views_test.go
@@ -67,7 +67,7 @@
 // proxy for each agent, and these proxies by replica name.
 func (rig *rig) separateProxies() (string, map[string]*disturber.Proxy) {
 	platform, proxies := imitator.NewPlatform(rig.clock), map[string]*disturber.Proxy{}
-	if _, err := publisher.Accept(rig.t.Context(), platform.Seams(), siteConfig(), 0, "rig"); err != nil {
+	if _, err := publisher.Accept(rig.t.Context(), platform.InProcess(), siteConfig(), 0, "rig"); err != nil {
 		rig.t.Fatal(err)
 	}
 	listed := slices.Clone(rig.instances)
