--- a/internal/assembler/direct_evacuations_test.go
+++ b/internal/assembler/direct_evacuations_test.go
@@ -30,7 +30,7 @@
 	direct.peers.applyDigest(gossiper.Digest{Address: "127.0.0.1:7300", Evacuations: &received})
 	Convey("the evacuation ends once the table has been read", t, func() {
 		So(direct.evacuated(), ShouldResemble, []string{"bole"})
-		store.TakeBack("bole")
+		store.EndEvacuation("bole")
 		direct.operatorTable.Step(t.Context())
 		So(direct.evacuated(), ShouldBeEmpty)
 	})
