--- a/internal/assembler/direct_stop_test.go
+++ b/internal/assembler/direct_stop_test.go
@@ -99,14 +99,14 @@
 	// cutting off those in flight.
 	entry := newStoppingEntry(t, closeMargin+exitMargin+300)
 	entry.serve()
-	long, err := entry.call(t, emulator.Head(http.MethodPost, host, "/news/long", "long", 2)+"{")
+	long, err := entry.call(t, emulator.RequestHead(http.MethodPost, host, "/news/long", "long", 2)+"{")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for entry.frontend.Active() == 0 {
 		_ = entry.clock.Sleep(t.Context(), 1)
 	}
-	idle, err := entry.call(t, emulator.Head(http.MethodGet, host, unknownPath, "lost", 0))
+	idle, err := entry.call(t, emulator.RequestHead(http.MethodGet, host, unknownPath, "lost", 0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	// machine a caller has connected and sent a request, but the stopping entry has not
 	// accepted the connection, so the close would reset it.
 	entry := newStoppingEntry(t, testTimeout)
-	conn, err := entry.call(t, emulator.Head(http.MethodGet, host, unknownPath, "lost", 0))
+	conn, err := entry.call(t, emulator.RequestHead(http.MethodGet, host, unknownPath, "lost", 0))
 	if err != nil {
 		t.Fatal(err)
 	}
