--- a/cmd/trefoilseam/dev_direct.go
+++ b/cmd/trefoilseam/dev_direct.go
@@ -49,7 +49,7 @@
 	defer release()
 	fmt.Fprintln(os.Stdout, "store     ", site.Address())
 	fmt.Fprintln(os.Stdout, "entry     ", direct.Address())
-	fmt.Fprint(os.Stdout, site.Calls(direct.Address()))
+	fmt.Fprint(os.Stdout, site.ExampleCalls(direct.Address()))
 	var group run.Group
 	direct.AddTo(&group)
 	return runGroup(&group)
