--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -23,7 +23,7 @@
 	// 1 and 0.
 	ColdRateFactor, ColdSlack float64
 	// TransferPrice is how many prefilled prompt tokens cost as much as the transfer of a gigabyte
-	// between engines; zero means 2,300. See DefaultMovePrice.
+	// between engines; zero means 2,300. See DefaultTransferPrice.
 	TransferPrice float64
 	// PrefillRate is how many prompt tokens an engine prefills in a millisecond; zero means 40.
 	// See DefaultPrefillRate.
--- a/internal/forwarder/recover.go
+++ b/internal/forwarder/recover.go
@@ -125,7 +125,8 @@
 // It guards against a lost grant: the caller is told "not run" and resends at once,
 // but its key counts as in progress until the agent notices that the first
 // connection is gone. One look-up is enough, since nothing depends on it: if it
-// fails, the agent frees the key by itself, RunWait after the grant at the latest.
+// fails, the agent frees the key by itself, at the latest RunTimeout (of
+// runner.Settings) after the grant.
 func (entry *Entry) leaveTombstone(ctx context.Context, call call, dest destination, failure classifier.Failure) {
 	if call.idempotent || call.key == "" || failure.Kind != classifier.Unreachable {
 		return
--- a/internal/replayer/answer.go
+++ b/internal/replayer/answer.go
@@ -193,9 +193,10 @@
 // Drain lets the upstream continue to write without a reader.
 //
 // The caller of an order may leave while its run must not be ended. If the answer
-// exceeded Window, the upstream would block and occupy its slot until
-// LongestCall ends the run. With Drain, the run ends as soon as the upstream does. The last
-// MaxRetained bytes stay available for a look-up; a look-up of earlier bytes fails.
+// exceeded Window, the upstream would block and occupy its slot until the
+// service's CallTimeout (the setting longest-call) ends the run. With Drain, the run ends as
+// soon as the upstream does. The last MaxRetained bytes stay available for a look-up; a
+// look-up of earlier bytes fails.
 func (answer *Answer) Drain() {
 	answer.mu.Lock()
 	defer answer.mu.Unlock()
--- a/internal/runner/orders.go
+++ b/internal/runner/orders.go
@@ -60,8 +60,8 @@
 // this agent, is paused and resumes after another holder has taken over. The fence is
 // checked when the order arrives, so that a later holder is known at once, and again
 // immediately before the order is sent. An order times out after the service's
-// LongestOrder, and its fencing token is sent along for engines that check it. For engines
-// that don't, a new holder waits for LongestOrder and the clock skew past the old lease
+// OrderTimeout, and its fencing token is sent along for engines that check it. For engines
+// that don't, a new holder waits for OrderTimeout and the clock skew past the old lease
 // before its first order.
 func (agent *Agent) executeOrder(ctx context.Context, order *encoder.EngineOrder) *encoder.EngineOrderDone {
 	done := &encoder.EngineOrderDone{OrderId: order.GetOrderId()}
--- a/internal/runner/resume.go
+++ b/internal/runner/resume.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// cancelRun cancels an idempotent run; any other goes on to its end, or to LongestCall.
+// cancelRun cancels an idempotent run; any other goes on to its end, or to CallTimeout.
 func (agent *Agent) cancelRun(run *run, reason string) {
 	if !run.idempotent {
 		return
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -11,11 +11,9 @@
 )
 
 const (
-	// networkLatency is the time from an entry to an engine, and between entries, in
-	// milliseconds.
+	// networkLatency is, in milliseconds, the time from an entry to an engine or another entry.
 	networkLatency = 1.0
-	// tick is the interval of dispatches from the queues of entries and of skew samples, in
-	// milliseconds.
+	// tick is the interval of dispatches from entry queues and of skew samples, in milliseconds.
 	tick = 20.0
 	// epoch is the start of virtual time; it keeps instants away from zero, which means
 	// "never" in package balancer.
@@ -48,21 +46,18 @@
 	settings Settings
 	rng      *rand.Rand
 	events   events
-	// lastNumber is the last number given to an event or a job; numbers break ties in order
-	// of creation.
+	// lastNumber is the last event's or job's number; numbers break ties in order of creation.
 	lastNumber int
 	engines    []*engine
 	replicas   []balancer.Replica
 	entries    []*entry
 	replaced   int
 	report     Report
-	// prefilledOn has, by shared part, the engines to which a request was sent that needs its
-	// prefill.
+	// prefilledOn has, by shared part, the engines that were sent a request needing its prefill.
 	prefilledOn map[uint64]map[int]bool
 	skewSamples int
 	skewSum     float64
-	// placed counts the requests sent to engines, overfull those sent to an engine above its
-	// load bound.
+	// placed counts requests sent to engines, overfull those sent to one above its load bound.
 	placed   int
 	overfull int
 }
