--- a/internal/assembler/agent.go
+++ b/internal/assembler/agent.go
@@ -119,7 +119,7 @@
 	group.Add(func() error {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		// Keep writes claims, so it must run until the drain is over. If it ended
+		// Maintain writes claims, so it must run until the drain is over. If it ended
 		// with the stop, granted calls that still claim would wait for it and the
 		// drain would never end; rows that were being written would name an agent
 		// that has left.
--- a/internal/assembler/control.go
+++ b/internal/assembler/control.go
@@ -84,17 +84,17 @@
 	addLoop(group, func(ctx context.Context) { ctrl.view.Run(ctx, ctrl.env.Clock) })
 	addLoop(group, func(ctx context.Context) { ctrl.exchanger.Run(ctx) })
 	addLoop(group, func(ctx context.Context) {
-		ctrl.env.Clock.Every(ctx, func() timekeeper.Span { return probeInterval }, func(context.Context) {
-			bytes := ctrl.pool.ProbeRate() * float64(probeInterval) / float64(timekeeper.Second)
+		ctrl.env.Clock.Every(ctx, func() timekeeper.Span { return probeCountInterval }, func(context.Context) {
+			bytes := ctrl.pool.ProbeRate() * float64(probeCountInterval) / float64(timekeeper.Second)
 			ctrl.budget.Spend(ctrl.env.Clock.Now(), budgeter.Probe, int64(bytes))
 			ctrl.pool.CloseIdle()
 		})
 	})
 }
 
-// probeInterval is how often the probes of idle sessions are counted. Yamux sends
+// probeCountInterval is how often the probes of idle sessions are counted. Yamux sends
 // them by itself, so their bytes are computed from their rate and size.
-const probeInterval = 5 * timekeeper.Second
+const probeCountInterval = 5 * timekeeper.Second
 
 // status returns the process's control traffic.
 func (ctrl *control) status() budgeter.Status {
--- a/internal/assembler/direct_peers.go
+++ b/internal/assembler/direct_peers.go
@@ -87,7 +87,7 @@
 	return max(direct.replicas.LastAnswered(), direct.operatorTable.LastAnswered())
 }
 
-// storeFailing reports whether the store did not answer the last call of a follower.
+// storeFailing reports whether the last call of either follower to the store failed.
 func (direct *Direct) storeFailing() bool {
 	return direct.replicas.Failing() || direct.operatorTable.Failing()
 }
@@ -183,8 +183,8 @@
 	}
 }
 
-// applyLeaves marks replicas as leaving: those that a peer read as leaving in the list of
-// replicas, and those that announced it to the peer.
+// applyLeaves marks replicas as leaving: those that a peer read as leaving, or found
+// removed, in the list of replicas, and those that announced it to the peer.
 func (peers *peers) applyLeaves(digest gossiper.Digest, now timekeeper.Instant) {
 	var leaves []gossiper.Leave
 	var announced []string
--- a/internal/assembler/direct_readers.go
+++ b/internal/assembler/direct_readers.go
@@ -97,10 +97,10 @@
 	return count
 }
 
-// readersSharing returns among how many readers the reads of the store are shared. It is 1
-// if there are no more than storeReaders entries: each then reads as often as a single one
+// activeReaders returns the number of readers that share the reads of the store. It is 1
+// for up to storeReaders entries, since each of them then reads as often as a single one
 // would.
-func (peers *peers) readersSharing() (count int) {
+func (peers *peers) activeReaders() (count int) {
 	peers.elect(func(election *election) {
 		count = 1
 		if election.members > storeReaders {
--- a/internal/assembler/direct_stats.go
+++ b/internal/assembler/direct_stats.go
@@ -64,7 +64,7 @@
 // reportReaders writes gauges of the reader election, and logs when this entry starts
 // or stops reading the store.
 func (direct *Direct) reportReaders() {
-	isReader, readers := direct.peers.isReader(), direct.peers.readersSharing()
+	isReader, readers := direct.peers.isReader(), direct.peers.activeReaders()
 	direct.scope.Gauge("store-reads").Update(map[bool]float64{true: 1}[isReader])
 	direct.scope.Gauge("store-readers").Update(float64(readers))
 	if was := direct.wasReader.Swap(isReader); was != isReader {
--- a/internal/assembler/direct_store.go
+++ b/internal/assembler/direct_store.go
@@ -47,7 +47,7 @@
 	direct.operatorTable = follower.New(follower.Settings[platform.OperatorRow]{
 		Name: "configuration", Clock: direct.clock, Log: direct.log, Source: platform.OperatorRows(store), Seed: newIncarnation(),
 		ReadInterval: follower.FixedInterval(configurationInterval), Wait: configurationWait,
-		Readers: peers.readersSharing, Processes: peers.recentEntries, IsReader: peers.readsConfiguration,
+		Readers: peers.activeReaders, Processes: peers.recentEntries, IsReader: peers.readsConfiguration,
 		Apply: direct.applyOperatorTable, Confirm: direct.confirmOperatorTable,
 		// Peers offer newer versions of the configuration in their digests, so there is
 		// no need to read the table only because no update has come for a while.
@@ -56,7 +56,7 @@
 	direct.replicas = follower.New(follower.Settings[balancer.Replica]{
 		Name: "replicas", Clock: direct.clock, Log: direct.log, Source: platform.Replicas(store, direct.clock), Seed: newIncarnation(),
 		ReadInterval: replicaInterval, Wait: replicaWait, Lapse: replicaLapse,
-		Readers: peers.readersSharing, Processes: peers.recentEntries, IsReader: peers.isReader, FailingElsewhere: peers.failingElsewhere,
+		Readers: peers.activeReaders, Processes: peers.recentEntries, IsReader: peers.isReader, FailingElsewhere: peers.failingElsewhere,
 		Apply: direct.applyReplicaList, Confirm: direct.confirmReplicaList, Sum: gossiper.ReplicaChecksum, Publish: direct.publishListChanges,
 		ServingOthersSince: peers.servedSince, FetchCopy: peers.fetchReplicaList,
 	})
@@ -152,8 +152,9 @@
 	}
 }
 
-// maxPublishedChanges bounds the changes of one read that are published one by one, at
-// some 60 bytes each. If there are more, peers fetch the list.
+// maxPublishedChanges bounds the changes in a published update, at some 60 bytes each. A
+// longer update is not published: peers fetch the list. Removals and leaves are sent one
+// by one in any case.
 const maxPublishedChanges = 32
 
 // publishListChanges sends peers the changes of the list of replicas that this entry has
--- a/internal/assembler/process.go
+++ b/internal/assembler/process.go
@@ -61,7 +61,7 @@
 // addServer adds an HTTP server. When it stops, it waits for calls in flight, at most
 // for drainTimeout.
 func addServer(group *run.Group, listener net.Listener, handler http.Handler, drainTimeout time.Duration) {
-	// No balancer asks for this server's readiness, so it stops without delay.
+	// No load balancer checks this server's readiness, so it stops without delay.
 	new(readiness).addFrontend(group, listener, handler, timekeeper.SinceBoot(), 0, timekeeper.Span(drainTimeout/time.Millisecond))
 }
 
--- a/internal/assembler/readiness.go
+++ b/internal/assembler/readiness.go
@@ -31,7 +31,7 @@
 //
 // The delay is there because a load balancer checks readiness only every few seconds: if
 // the listener closed at once, callers sent meanwhile would be rejected by a planned stop.
-// With a delay longer than the check interval, the balancer sends them elsewhere first.
+// With a delay longer than the check interval, the load balancer sends them elsewhere first.
 func (ready *readiness) addFrontend(
 	group *run.Group, listener net.Listener, handler http.Handler, clock timekeeper.Clock, delay, drainTimeout timekeeper.Span,
 ) {
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -13,8 +13,8 @@
 	Address string
 	// DataCentre is a hash of the name of the member's data centre.
 	DataCentre uint32
-	// Failing reports whether the table did not answer the member's last call, and
-	// Stopping whether the member is about to stop.
+	// Failing reports whether the member's last call to the table failed, and Stopping
+	// whether the member is about to stop.
 	Failing, Stopping bool
 }
 
--- a/internal/follower/update.go
+++ b/internal/follower/update.go
@@ -32,9 +32,9 @@
 	// reads for itself. Readers read within 450 ms of each other and send a summary once a
 	// second, so only the loss of several in a row triggers a read.
 	staleAfter = 3 * timekeeper.Second
-	// fetchDelay is how long another process's copy must have been newer before it is
+	// behindTimeout is how long another process's copy must have been newer before it is
 	// fetched: mostly the update itself is in the same digest, or in the next one.
-	fetchDelay = 400 * timekeeper.Millisecond
+	behindTimeout = 400 * timekeeper.Millisecond
 )
 
 // action is what a process has to do next for its copy.
@@ -76,10 +76,10 @@
 	return idle
 }
 
-// isBehind reports whether another process has had a newer copy for fetchDelay; copyLock
+// isBehind reports whether another process has had a newer copy for behindTimeout; copyLock
 // must be held.
 func (follower *Follower[T]) isBehind(now timekeeper.Instant) bool {
-	return follower.behindSince != 0 && now.Since(follower.behindSince) >= fetchDelay
+	return follower.behindSince != 0 && now.Since(follower.behindSince) >= behindTimeout
 }
 
 // LastConfirmed returns when the copy last matched the table; zero means never.
--- a/internal/gossiper/outbox.go
+++ b/internal/gossiper/outbox.go
@@ -101,10 +101,10 @@
 	return due
 }
 
-// outbox holds the content of the next digest. Only a prompt that a replica prefills for
-// the first time is an update: if all prompts were, digests would be ten times as long and
-// as rare. The others are reminders, for entries that have started since; they fill the
-// remaining space.
+// outbox holds the content of the next digest. Of the placements, only one that a replica
+// prefills for the first time is an update: if all were, digests would be ten times as long
+// and as rare. The other placements are reminders, for entries that have started since;
+// they fill the remaining space.
 type outbox struct {
 	placements     queue[placement]
 	reminders      []placement
--- a/internal/gossiper/replicas.go
+++ b/internal/gossiper/replicas.go
@@ -75,8 +75,8 @@
 	return replica
 }
 
-// ReplicaChecksum returns the checksum of a row of the list. It covers all fields but the
-// end of the cold start, which differs by reader and with each heartbeat.
+// ReplicaChecksum returns the checksum of a row of the list. It covers all fields but
+// WarmAt, the end of the warm-up, which differs by reader and with each heartbeat.
 func ReplicaChecksum(id string, replica balancer.Replica) uint64 {
 	text := fmt.Sprintf("%q %d %q %q %q %d %t", id, replica.StartedAt, replica.Service, replica.Address,
 		replica.DataCentre, replica.Slots, replica.Leaving)
