--- a/internal/admitter/controller.go
+++ b/internal/admitter/controller.go
@@ -16,8 +16,8 @@
 	Class  uint8
 	// Work is the estimated work of the call, in tokens.
 	Work int64
-	// PrefixMiss is true if the replica caches no prefix of the call, so that the
-	// call runs as well on another replica.
+	// PrefixMiss is true if the replica caches no prefix of the call and the call
+	// may still be offered to another one, so that it runs as well there.
 	PrefixMiss bool
 	// LastAttempt is true if the call isn't offered to another replica after a
 	// refusal by this one.
@@ -168,7 +168,9 @@
 	return Decision{Outcome: Queued, EstimatedWait: expectedWait, Displaced: displaced}
 }
 
-// exemptFromBound reports whether the bound doesn't apply to the ticket.
+// exemptFromBound reports whether the bound doesn't apply to the ticket. It doesn't
+// apply below Limits.FreeCalls, nor, if the mean has an age and no ticket waits, to
+// a last attempt that finds a free slot.
 //
 // When load has grown since the mean was computed, every candidate holds more
 // than the outdated mean allows, and callers would be refused while slots are
--- a/internal/claimer/committer.go
+++ b/internal/claimer/committer.go
@@ -14,9 +14,10 @@
 
 // The outcomes.
 const (
-	// Won means that the row is in the table and names the claim's request.
+	// Won means that the row is in the table and names the claim's owner.
 	Won Outcome = iota + 1
-	// Lost means that the row names another request.
+	// Lost means that the row names another owner: another request, incarnation or
+	// agent.
 	Lost
 	// Unknown means that the store confirmed neither.
 	Unknown
--- a/internal/forwarder/key_claim.go
+++ b/internal/forwarder/key_claim.go
@@ -18,7 +18,8 @@
 
 // checkKeyClaim returns KeyInProgress in place of err if err is a "not run" refusal
 // with RetryElsewhere and an earlier request has claimed the call's key. Otherwise
-// it returns err.
+// it returns err. Idempotent calls need no claim, and minted keys have no row, so
+// both get err.
 //
 // It guards against a false "not run": an order ran and its answer was lost, the
 // caller resends it under its key, and no replica that knows the first request can
--- a/internal/forwarder/recover.go
+++ b/internal/forwarder/recover.go
@@ -60,8 +60,8 @@
 // It guards against a connection that breaks after the Run frame was sent: the
 // caller would be told "not run" for a call that runs, or would send an order
 // again. The agent's own record decides. A run that is done or running leads to the
-// answer; a call never seen gets a tombstone and is reported as not run; in any
-// other state the outcome is unknown.
+// answer; a call never seen gets a tombstone and, if provesNotRun holds, is reported
+// as not run; in any other case the outcome is unknown.
 func (entry *Entry) recoverAnswer(ctx context.Context, answer *relayedAnswer, dest destination) (classifier.Failure, bool) {
 	unknown := classifier.New(classifier.OutcomeUnknown, "the connection to "+dest.replica.Name+" was lost and it can't be asked")
 	delays := lookUpDelays[:]
--- a/internal/forwarder/route.go
+++ b/internal/forwarder/route.go
@@ -59,20 +59,20 @@
 	return failure
 }
 
-// pointerTimeout bounds the time to connect to all holders of one chat's pointer.
+// pointerTimeout bounds the time to connect to all replicas that get one chat's pointer.
 const pointerTimeout = 2 * timekeeper.Second
 
-// updatePointers sends the holders of a chat's pointer the replica that served the
-// chat, so that the next turn finds it. A lost message costs only a cold prefix, so
-// each is sent once and no answer is awaited.
-func (entry *Entry) updatePointers(ctx context.Context, call call, holders []placer.Replica, server placer.Replica) {
+// updatePointers sends the targets a pointer to the replica that served the chat, so
+// that the next turn finds it. A lost message costs only a full prefill of the
+// prompt, so each is sent once and no answer is awaited.
+func (entry *Entry) updatePointers(ctx context.Context, call call, targets []placer.Replica, server placer.Replica) {
 	if call.chat == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, pointerTimeout.Duration())
 	defer cancel()
-	for _, holder := range holders {
-		conn, err := entry.settings.Pool.Open(ctx, holder.Address)
+	for _, target := range targets {
+		conn, err := entry.settings.Pool.Open(ctx, target.Address)
 		if err != nil {
 			continue
 		}
@@ -131,8 +131,8 @@
 	return &unreachableReplicas{until: map[string]timekeeper.Instant{}}
 }
 
-// recordFailure marks the replica as unreachable if the failure means that the
-// entry could not reach it.
+// recordFailure marks the replica as unreachable after Unreachable or
+// OutcomeUnknown. The latter may also come from a replica that answered.
 func (unreachable *unreachableReplicas) recordFailure(replica placer.Replica, failure classifier.Failure, now timekeeper.Instant) {
 	if failure.Kind != classifier.Unreachable && failure.Kind != classifier.OutcomeUnknown {
 		return
--- a/internal/forwarder/strikes.go
+++ b/internal/forwarder/strikes.go
@@ -13,7 +13,7 @@
 	// lifts may be passed on for that much longer.
 	strikeTTL = 30 * timekeeper.Second
 	// maxStrikeRecords bounds the cache. A site with more than a thousand requests
-	// that crash engines within ten minutes has another problem.
+	// that crash engines within strikeTTL has another problem.
 	maxStrikeRecords = 1024
 )
 
--- a/internal/placer/directory.go
+++ b/internal/placer/directory.go
@@ -7,7 +7,7 @@
 
 // Directory records where chats last ran: the replica's own chats, and those
 // whose home it is and that ran on another replica. It is soft state: a lost or
-// wrong pointer costs one hop or one prefill of a prompt.
+// wrong pointer costs one hop or a full prefill of the prompt.
 //
 // Its memory is bounded: local and remote chats have half of Size each, and
 // beyond that the chat that was recorded longest ago is evicted. It keeps no more
@@ -151,12 +151,13 @@
 // FetchSource returns the replica from which to fetch the prefix of an accepted
 // offer, or "" if there is none.
 //
-// The replica asks the known holder first. Without one there are two cases. A
-// replica that joins would stay empty while the former home keeps its chats and
-// evicts others for lack of memory, so it asks the runner-up. And a chat that its
+// The source is the known holder. If none is known there are two cases. A replica
+// that joins would stay empty while the former home keeps its chats and evicts
+// others for lack of memory, so its source is the runner-up. And a chat that its
 // home refused at the bound would prefill a long prompt on the replica that takes
-// it, though the home caches the prefix, so that replica asks the home. Only one
-// replica is asked, once; if it doesn't have the prefix, the cost is one message.
+// it, though the home caches the prefix, so that replica's source is the home. The
+// replica asks only this source, and the holder that the source names, if any; a
+// source that neither has the prefix nor names a holder costs one message.
 func (directory *Directory) FetchSource(offer ChatOffer) string {
 	const minRanked = 2
 	if !offer.CanFetch || offer.Chat == 0 || len(offer.Ranked) < minRanked {
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -77,8 +77,8 @@
 	if plan.ranked[0].Name == served.Name {
 		return nil
 	}
-	holders := slices.Clone(plan.ranked[:min(2, len(plan.ranked))])
-	return slices.DeleteFunc(holders, func(holder Replica) bool { return holder.Name == served.Name })
+	targets := slices.Clone(plan.ranked[:min(2, len(plan.ranked))])
+	return slices.DeleteFunc(targets, func(target Replica) bool { return target.Name == served.Name })
 }
 
 // Attempted reports whether the call was offered to the replica.
--- a/internal/runner/adapters.go
+++ b/internal/runner/adapters.go
@@ -9,9 +9,9 @@
 	"github.com/trefoilseam/trefoilseam/pkg/timekeeper"
 )
 
-// adapters counts the calls for each adapter and keeps what the engine has loaded.
-// Agent.mu guards it. It holds only calls that the controller has accepted, so slots plus
-// queue length bound its size whatever adapter names callers send.
+// adapters records the adapter of each accepted call and the adapters that the engine has
+// loaded. Agent.mu guards it. It holds only calls that the controller has accepted, so
+// slots plus queue length bound its size whatever adapter names callers send.
 type adapters struct {
 	// calls maps the ids of running and waiting requests to their adapters.
 	calls map[string]string
@@ -32,7 +32,8 @@
 	return classifier.New(classifier.NotReady, "the upstream does not hold the adapter").WithRetryAfter(timekeeper.Second)
 }
 
-// trackAdapter counts a call that the controller has accepted; Agent.mu must be held.
+// trackAdapter records the adapter of a call that the controller has accepted, if it is one
+// of the configured adapters; Agent.mu must be held.
 func (agent *Agent) trackAdapter(offer *encoder.Offer, decision admitter.Decision) {
 	if decision.Outcome == admitter.Refused || !slices.Contains(agent.service.Adapters, offer.GetAdapter()) {
 		return
@@ -43,9 +44,9 @@
 	agent.adapters.calls[offer.GetRequestId()] = offer.GetAdapter()
 }
 
-// demands returns the number of calls for each configured adapter. When ok is set, it also
-// stores the adapters that the engine reported as loaded.
-func (agent *Agent) demands(state engineState, ok bool) []*encoder.Demand {
+// callsByAdapter returns the number of calls for each configured adapter. When ok is set,
+// it also stores the adapters that the engine reported as loaded.
+func (agent *Agent) callsByAdapter(state engineState, ok bool) []*encoder.Demand {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	if ok {
--- a/internal/runner/agent.go
+++ b/internal/runner/agent.go
@@ -34,20 +34,20 @@
 	Scope    tally.Scope
 	// Config returns the configuration in force.
 	Config func() resolver.Config
-	// OnRevision receives the configuration revision in a peer's message; nil ignores it.
+	// OnRevision receives the configuration revision in a message of an entry or agent; nil
+	// ignores it.
 	OnRevision func(revision uint64)
-	// AnswerConfig answers a peer's request for the configuration; nil means an empty
-	// answer.
+	// AnswerConfig answers a request for the configuration; nil means an empty answer.
 	AnswerConfig func(ask *encoder.ConfigAsk) *encoder.ConfigBody
 	// Mean returns the estimated load of the whole service; nil means unknown.
 	Mean func() admitter.Mean
 	// Record takes events for the fleet's record; nil means they are dropped.
 	Record func(event recorder.Event)
-	// Digests answers a peer's query about the service; nil means that the agent answers
-	// with its own digest only.
+	// Digests answers a request for digests of the service; nil means that the agent
+	// answers with its own digest only.
 	Digests func(ask *encoder.DigestAsk) *encoder.Digests
-	// Alternative names a replica of the service with free capacity, which refusals at the
-	// load bound suggest to the caller; nil means that none is known.
+	// Alternative names a replica of the service with free capacity, which a refusal at the
+	// load bound names to the entry; nil means that none is known.
 	Alternative func() string
 	// AllowDigest charges a digest that is about to be sent with an answer to the
 	// control-traffic budget, and returns false when the budget is used up; nil means no
--- a/internal/runner/chats.go
+++ b/internal/runner/chats.go
@@ -36,22 +36,22 @@
 // hints returns the replicas that the entry should try after a refusal: the one that last
 // ran the chat and, for a refusal at the load bound, one with free capacity. Each may be
 // empty.
-func (agent *Agent) hints(offer *encoder.Offer, failure classifier.Failure) (holder, alternative string) {
+func (agent *Agent) hints(offer *encoder.Offer, failure classifier.Failure) (lastReplica, alternative string) {
 	if !classifier.AnswerOf(failure.Kind).RetryElsewhere {
 		return "", ""
 	}
 	agent.mu.Lock()
-	holder = agent.directory.Locate(offer.GetChat())
+	lastReplica = agent.directory.Locate(offer.GetChat())
 	agent.mu.Unlock()
-	if holder == agent.settings.Name {
-		holder = ""
+	if lastReplica == agent.settings.Name {
+		lastReplica = ""
 	}
 	// Only a refusal at the load bound names an alternative: then some replica must be
 	// below the mean. A full queue may be one of many.
 	if failure.Kind != classifier.AtBound {
-		return holder, ""
+		return lastReplica, ""
 	}
-	return holder, agent.settings.Alternative()
+	return lastReplica, agent.settings.Alternative()
 }
 
 // recordChat records that a chat runs on this replica.
--- a/internal/runner/config.go
+++ b/internal/runner/config.go
@@ -87,7 +87,7 @@
 	return list
 }
 
-// recordRevision records the configuration revision in a peer's message.
+// recordRevision records the configuration revision in a message of an entry or agent.
 func (agent *Agent) recordRevision(name string, revision uint64) {
 	if name == "" || revision == 0 {
 		return
--- a/internal/runner/fetch.go
+++ b/internal/runner/fetch.go
@@ -18,7 +18,7 @@
 }
 
 // fetchDivisor limits a fetch to 1/fetchDivisor of the call's time to first byte, which
-// leaves time for a full prefill after a failed fetch.
+// leaves time for a full prefill of the prompt after a failed fetch.
 const fetchDivisor = 4
 
 // fetch gets the prefix of an admitted offer from another replica while the offer waits
@@ -26,7 +26,8 @@
 // there is no source or maxTransfers are in progress. A fetch serves chats that come to a
 // replica that has just joined, or that spill because their home is at its bound: without
 // it, a long prompt is computed again although another replica has it cached. A failed
-// fetch costs at most the timeout and a cold prefill, and never fails the call.
+// fetch costs at most the timeout and a full prefill of the prompt, and never fails the
+// call.
 func (agent *Agent) fetch(ctx context.Context, offer *encoder.Offer, arrived timekeeper.Instant) <-chan struct{} {
 	done := make(chan struct{})
 	agent.mu.Lock()
--- a/internal/runner/handover.go
+++ b/internal/runner/handover.go
@@ -14,11 +14,13 @@
 )
 
 const (
-	// handOverWorkers is how many chats a leaving replica hands over at once.
+	// handOverWorkers is how many chats a leaving replica hands over at once: few, since each
+	// worker holds an exported prefix of up to maxPrefixBytes in memory. Receivers don't count
+	// hand-overs against maxTransfers.
 	handOverWorkers = maxTransfers / 2
-	// handOverTimeout bounds a hand-over independently of the longest drain. A chat that
-	// is not handed over by then costs a cold prefill, while platforms kill processes that
-	// take too long to leave.
+	// handOverTimeout bounds a hand-over independently of the service's DrainTimeout. A
+	// chat that is not handed over by then costs a full prefill of the prompt, while
+	// platforms kill processes that take too long to leave.
 	handOverTimeout = 20 * timekeeper.Second
 )
 
--- a/internal/runner/keys.go
+++ b/internal/runner/keys.go
@@ -39,20 +39,19 @@
 	return offer.GetKey() != "" && !offer.GetIdempotent()
 }
 
-// claimAsk returns the request for a claim of the offer's key, or a failure when the key is
-// invalid.
-func (keys *keys) claimAsk(offer *encoder.Offer) (claimer.Claim, classifier.Failure, bool) {
-	ask := claimer.Claim{
+// newClaim returns the claim of a keyed offer, or a failure when its key is invalid.
+func (keys *keys) newClaim(offer *encoder.Offer) (claimer.Claim, classifier.Failure, bool) {
+	claim := claimer.Claim{
 		Key:         claimer.RowKey(offer.GetTeam(), offer.GetService(), offer.GetKey()),
 		Request:     offer.GetRequestId(),
 		Fingerprint: offer.GetFingerprint(),
 	}
 	if len(offer.GetKey()) < len(minter.Prefix) || offer.GetKey()[:len(minter.Prefix)] != minter.Prefix {
-		return ask, classifier.Failure{}, true
+		return claim, classifier.Failure{}, true
 	}
 	expires, failure, ok := keys.mint.Check(offer.GetTeam(), offer.GetService(), offer.GetKey())
-	ask.Minted, ask.Expires = true, expires
-	return ask, failure, ok
+	claim.Minted, claim.Expires = true, expires
+	return claim, failure, ok
 }
 
 // checkKey refuses an offer whose key is already bound, before it waits for a slot;
@@ -61,15 +60,15 @@
 	if !keyed(offer) {
 		return classifier.Failure{}, false
 	}
-	ask, failure, ok := agent.keys.claimAsk(offer)
+	claim, failure, ok := agent.keys.newClaim(offer)
 	if !ok {
 		return failure, true
 	}
-	verdict, refused := agent.keys.book.Check(ask)
+	verdict, refused := agent.keys.book.Check(claim)
 	if !refused {
 		return classifier.Failure{}, false
 	}
-	agent.recordOwner(ask.Request, verdict)
+	agent.recordOwner(claim.Request, verdict)
 	return verdict.Failure, true
 }
 
@@ -86,14 +85,14 @@
 	if !keyed(offer) {
 		return classifier.Failure{}, true
 	}
-	ask, failure, ok := agent.keys.claimAsk(offer)
+	claim, failure, ok := agent.keys.newClaim(offer)
 	if !ok {
 		return failure, false
 	}
-	verdict := agent.decideClaim(ask)
+	verdict := agent.decideClaim(claim)
 	if verdict.Step == claimer.Insert {
 		result := agent.keys.committer.Claim(ctx, verdict.Row)
-		verdict = agent.resolveClaim(ask, result)
+		verdict = agent.resolveClaim(claim, result)
 	}
 	if verdict.Step != claimer.Proceed {
 		return verdict.Failure, false
@@ -102,29 +101,30 @@
 	return classifier.Failure{}, true
 }
 
-func (agent *Agent) decideClaim(ask claimer.Claim) claimer.Verdict {
+func (agent *Agent) decideClaim(claim claimer.Claim) claimer.Verdict {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	now := agent.settings.Clock.Now()
-	if ask.Minted && !now.Before(ask.Expires) {
+	if claim.Minted && !now.Before(claim.Expires) {
 		// The book may have dropped the key, so whether it has run is unknown here.
 		return claimer.Verdict{Step: claimer.Refuse, Failure: classifier.New(classifier.KeyExpired, "")}
 	}
-	verdict := agent.keys.book.Claim(ask, now)
-	agent.recordOwner(ask.Request, verdict)
+	verdict := agent.keys.book.Claim(claim, now)
+	agent.recordOwner(claim.Request, verdict)
 	return verdict
 }
 
-func (agent *Agent) resolveClaim(ask claimer.Claim, result claimer.Result) claimer.Verdict {
+func (agent *Agent) resolveClaim(claim claimer.Claim, result claimer.Result) claimer.Verdict {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	verdict := agent.keys.book.Resolve(ask, result)
-	agent.recordOwner(ask.Request, verdict)
+	verdict := agent.keys.book.Resolve(claim, result)
+	agent.recordOwner(claim.Request, verdict)
 	return verdict
 }
 
 // mayStart reports whether a committed call may go to the upstream; Agent.mu must be held.
-// It returns true only once for each key.
+// For a keyed call it returns true at most once for each key, unless RevertStart undoes the
+// start; for any other call it always returns true.
 func (agent *Agent) mayStart(offer *encoder.Offer) bool {
 	return !keyed(offer) || agent.keys.book.Start(offer.GetRequestId(), agent.settings.Clock.Now())
 }
--- a/internal/runner/offer.go
+++ b/internal/runner/offer.go
@@ -180,7 +180,7 @@
 }
 
 func (agent *Agent) refusal(offer *encoder.Offer, failure classifier.Failure) *encoder.Refused {
-	holder, alternative := agent.hints(offer, failure)
+	lastReplica, alternative := agent.hints(offer, failure)
 	// A redirected offer may come back and run here, so it isn't recorded as refused.
 	if failure.Kind != classifier.Moved {
 		agent.recordRefusal(offer, failure)
@@ -190,7 +190,7 @@
 	digest.Strikes = agent.strikesFor(offer.GetFingerprint())
 	agent.mu.Unlock()
 	return agent.addOwner(&encoder.Refused{
-		Where:       holder,
+		Where:       lastReplica,
 		Room:        alternative,
 		RequestId:   offer.GetRequestId(),
 		Kind:        failure.Kind.String(),
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -178,7 +178,7 @@
 }
 
 func TestRequestWithStrikeRunsAlone(t *testing.T) {
-	// Guards against a second crash that strikes innocent requests. A request with a
+	// Guards against a second crash that strikes harmless requests. A request with a
 	// strike waits until the engine is empty, and later requests wait for it, so only that
 	// request can be to blame. All get their answers.
 	harness := newHarness(t)
--- a/internal/runner/orders.go
+++ b/internal/runner/orders.go
@@ -70,7 +70,7 @@
 		done.Kind, done.Detail = failure.Kind.String(), failure.Detail
 	}
 	done.Loaded, done.Role, done.Version = state.Loaded, state.Role, state.Version
-	done.Demands = agent.demands(state, ok)
+	done.Demands = agent.callsByAdapter(state, ok)
 	agent.orders.mu.Lock()
 	done.HighestFence = agent.orders.gate.Highest
 	agent.orders.mu.Unlock()
--- a/internal/runner/prefix.go
+++ b/internal/runner/prefix.go
@@ -86,8 +86,8 @@
 }
 
 // maxTransfers is how many prefixes an agent fetches or serves at once; hand-overs are not
-// counted. Each takes a frame of memory; in a larger burst, a cold prefill is better than a
-// late answer.
+// counted. Each takes a frame of memory; in a larger burst, a full prefill of the prompt is
+// better than a late answer.
 const maxTransfers = 8
 
 // acquireTransfer reserves one of maxTransfers transfers and returns a function that
--- a/internal/runner/record.go
+++ b/internal/runner/record.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// admission is the load and bound by which the controller accepted an offer.
+// admission is the load and bound by which the controller decided about an offer.
 type admission struct {
 	at     timekeeper.Instant
 	load   int64
@@ -33,8 +33,8 @@
 	factor float64
 }
 
-// recordAdmission records the load and bound by which the controller accepted an offer;
-// Agent.mu must be held. The slot may be granted later, from the queue, when both have
+// recordAdmission records the load and bound by which the controller decided about an
+// offer; Agent.mu must be held. The slot may be granted later, from the queue, when both have
 // changed.
 func (agent *Agent) recordAdmission(offer *encoder.Offer, decision admitter.Decision) {
 	agent.admissions[offer.GetRequestId()] = admission{
--- a/internal/runner/reported.go
+++ b/internal/runner/reported.go
@@ -9,8 +9,8 @@
 	// reportInterval is how often an answer carries the agent's digest although the load
 	// has hardly changed: as often as a membership round.
 	reportInterval = timekeeper.Second
-	// reportDivisor is the inverse of the relative change of the load that makes an answer
-	// carry a digest sooner: a quarter.
+	// reportDivisor sets when an answer carries a digest sooner: if the load has changed by
+	// at least 1/reportDivisor since the last report.
 	reportDivisor = 4
 )
 
--- a/internal/runner/run.go
+++ b/internal/runner/run.go
@@ -40,7 +40,7 @@
 // startRun registers the run and calls the upstream in the background.
 func (agent *Agent) startRun(offer *encoder.Offer, commit *encoder.Run) (*run, classifier.Failure, bool) {
 	// The run outlives its stream: a caller whose connection broke finds it by look-up.
-	// The longest call bounds it.
+	// CallTimeout bounds it.
 	ctx, cancel := context.WithTimeout(context.Background(), agent.currentService().CallTimeout.Duration())
 	started := &run{
 		id:         offer.GetRequestId(),
--- a/internal/runner/strikes.go
+++ b/internal/runner/strikes.go
@@ -18,7 +18,7 @@
 
 const (
 	// gateTimeout bounds the wait until the engine is empty, or until a request that runs
-	// alone has ended. After it, the caller is better served by another replica.
+	// in isolation has ended. After it, the caller is better served by another replica.
 	gateTimeout = 10 * timekeeper.Second
 	// probeInterval is the time between two probes of an engine that is down, and
 	// probeTimeout bounds each.
@@ -35,7 +35,8 @@
 	gate        striker.Gate
 	book        striker.Book
 	gateChanged chan struct{}
-	// entered holds the requests that the gate has let in; true if the request runs alone.
+	// entered holds the requests that the gate has let in; true if the request runs in
+	// isolation.
 	entered map[string]bool
 	// raised holds requests whose second strike is written and that have not started, with
 	// their fingerprints.
@@ -52,8 +53,8 @@
 	}
 }
 
-// enterGate lets an offer that holds a slot onto the engine, alone if it has a strike. It
-// returns false when the offer must not run here.
+// enterGate lets an offer that holds a slot onto the engine, in isolation if it has a
+// strike. It returns false when the offer must not run here.
 func (agent *Agent) enterGate(ctx context.Context, offer *encoder.Offer) (classifier.Failure, bool) {
 	agent.mu.Lock()
 	down := agent.strikes.ledger.Down()
@@ -106,7 +107,7 @@
 }
 
 // isolate waits until the engine is empty and writes the second strike before the request
-// runs alone. So the strike remains even if the agent is lost together with its engine.
+// runs in isolation. So the strike remains even if the agent is lost together with its engine.
 func (agent *Agent) isolate(ctx context.Context, offer *encoder.Offer, strike striker.Strike) (classifier.Failure, bool) {
 	id := offer.GetRequestId()
 	if failure, ok := agent.waitAtGate(ctx, id, true); !ok {
@@ -131,10 +132,10 @@
 	return classifier.New(classifier.StoreDown, "the strike could not be written").WithRetryAfter(2 * timekeeper.Second), false
 }
 
-// waitAtGate waits until the gate lets the request in, alone or beside others. It returns
-// false, with a failure, when the engine is down, gateTimeout passes, ctx ends, or the
-// request must run alone while another one does or waits to.
-func (agent *Agent) waitAtGate(ctx context.Context, id string, alone bool) (classifier.Failure, bool) {
+// waitAtGate waits until the gate lets the request in, in isolation or beside others. It
+// returns false, with a failure, when the engine is down, gateTimeout passes, ctx ends, or
+// the request must be isolated while another one is or waits to be.
+func (agent *Agent) waitAtGate(ctx context.Context, id string, isolated bool) (classifier.Failure, bool) {
 	expired, stop := agent.settings.Clock.After(gateTimeout)
 	defer stop()
 	for {
@@ -144,11 +145,11 @@
 			agent.mu.Unlock()
 			return agent.engineDown(), false
 		}
-		entered := agent.strikes.gate.Enter(id, alone)
+		entered := agent.strikes.gate.Enter(id, isolated)
 		if entered {
-			agent.strikes.entered[id] = alone
+			agent.strikes.entered[id] = isolated
 		}
-		busy := alone && agent.strikes.gate.Busy(id)
+		busy := isolated && agent.strikes.gate.Busy(id)
 		gateChanged := agent.strikes.gateChanged
 		agent.mu.Unlock()
 		if entered {
@@ -169,7 +170,7 @@
 }
 
 // refuseAtGate removes a waiting request from the gate and returns the failure for its
-// caller: another request runs alone.
+// caller: another request runs in isolation.
 func (agent *Agent) refuseAtGate(id string) classifier.Failure {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -233,8 +234,8 @@
 
 // writeBeforeAnswer updates the table of strikes before the caller learns how its request
 // ended. Otherwise the caller could resend at once, through any entry, before the table is
-// up to date: a request that crashes engines would share its second engine with others,
-// which are then struck twice and refused, or a harmless request would still be barred.
+// up to date: a poison request would share its second engine with others, which are then
+// struck twice and refused, or a harmless request would still be refused.
 // Only requests with strikes get here, so no other answer is delayed.
 func (agent *Agent) writeBeforeAnswer(write func()) {
 	done := make(chan struct{})
