--- a/internal/assembler/direct.go
+++ b/internal/assembler/direct.go
@@ -178,7 +178,7 @@
 		RetryBudget: relayer.RetryBudget{
 			Window: direct.settings.Retry.Window, Ratio: direct.settings.Retry.Ratio, Extra: direct.settings.Retry.Extra,
 		},
-		Entries:          func() int { return max(minRetryShares, retrySharesPerEntry*direct.peers.liveEntries()) },
+		Shares:           func() int { return max(minRetryShares, retrySharesPerEntry*direct.peers.liveEntries()) },
 		OnPlacement:      direct.peers.gossiper.SendPlacement,
 		OnUnreachable:    direct.peers.gossiper.SendUnreachable,
 		OnLeaveAnnounced: direct.peers.gossiper.SendLeaveAnnounced,
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -115,7 +115,7 @@
 	if !found || service.Connections <= 0 {
 		return 0
 	}
-	return max(1, service.Connections/max(minSharingEntries, task.entry.settings.Entries()))
+	return max(1, service.Connections/max(minSharingEntries, task.entry.settings.Shares()))
 }
 
 // minSharingEntries is the least number of entries among which the connections of a
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -41,9 +41,9 @@
 	// Config returns the configuration in force, or nil while none is known.
 	Config      func() *router.Configuration
 	RetryBudget RetryBudget
-	// Entries returns the number of entries that share the retry budget and the
+	// Shares returns the number of entries that share the retry budget and the
 	// connections of a replica.
-	Entries func() int
+	Shares func() int
 	// TooManyConnections reports whether callers' connections should be closed after
 	// their answer, to make room for other callers.
 	TooManyConnections func() bool
@@ -268,7 +268,7 @@
 
 // spendRetry takes one retry from the budget of a service, and reports whether one was left.
 func (entry *Entry) spendRetry(service string) bool {
-	entries := entry.settings.Entries()
+	entries := entry.settings.Shares()
 	allowed := false
 	entry.withBudget(service, func(window *retrier.Window, now timekeeper.Instant) { allowed = window.Spend(entries, now) })
 	entry.meters.countRetry(service, allowed)
@@ -277,7 +277,7 @@
 
 // RetriesRemaining returns the number of retries that this entry has left, by service.
 func (entry *Entry) RetriesRemaining() map[string]float64 {
-	entries, now := entry.settings.Entries(), entry.settings.Clock.Now()
+	entries, now := entry.settings.Shares(), entry.settings.Clock.Now()
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
 	remaining := make(map[string]float64, len(entry.budgets))
--- a/internal/relayer/task_test.go
+++ b/internal/relayer/task_test.go
@@ -49,7 +49,7 @@
 		Convey(test.name, t, func() {
 			entry := New(Settings{
 				Scope: tally.NoopScope,
-				Clock: timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour)).Clock(), Entries: func() int { return 1 },
+				Clock: timekeeper.NewManual(timekeeper.Instant(timekeeper.Hour)).Clock(), Shares: func() int { return 1 },
 				RetryBudget: RetryBudget{Window: timekeeper.Minute, Extra: retries},
 			})
 			retryAllowed := 0
