--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -98,7 +98,7 @@
 	limited []estimate
 	// Each count includes only replicas that passed the checks before it: notEvacuated ones
 	// are in no evacuated data centre, untried ones haven't had the request, notBackingOff
-	// ones are in no backoff, and reachable ones accept connections.
+	// ones are in no backoff, and the health breaker of reachable ones admits a request.
 	notLeaving, notEvacuated, untried, notBackingOff, reachable int
 	loadTotal                                                   loadTotal
 }
--- a/internal/balancer/cold.go
+++ b/internal/balancer/cold.go
@@ -67,7 +67,7 @@
 const warmAtTolerance = timekeeper.Second
 
 // markCold records that a replica is cold at least until the given time, and reports whether
-// that changed the known end of the cold period.
+// the end of its cold period moved by more than warmAtTolerance.
 func (member *replica) markCold(until timekeeper.Instant) bool {
 	changed := until > member.cold.until.Add(warmAtTolerance)
 	member.cold.until = max(member.cold.until, until)
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -32,7 +32,8 @@
 	Evacuated Cause = "evacuated"
 	// BackingOff means that the replica refused a request and asked this entry to back off.
 	BackingOff Cause = "backing-off"
-	// NoConnection means that the replica accepted no connection.
+	// NoConnection means that the replica accepted no connection and gets no requests for a
+	// pause, or only the trial request that is running.
 	NoConnection Cause = "unreachable"
 	// Cold means that the replica has just started, or may have.
 	Cold Cause = "cold"
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -241,10 +241,12 @@
 	ListVersion uint64
 	// FirstPrefill reports whether the replica is expected to prefill a shared part for the
 	// first time.
-	FirstPrefill  bool
-	chosenAt      timekeeper.Instant
-	priority      int
-	answerStarted bool
+	FirstPrefill bool
+	chosenAt     timekeeper.Instant
+	priority     int
+	// prefillEnded reports whether the placement was removed from the pending tokens of its
+	// replica: its answer started or the request ended.
+	prefillEnded bool
 	// source is the replica that Fetched tokens are fetched from.
 	source *replica
 }
@@ -267,10 +269,10 @@
 // endPrefill removes the placement from the pending tokens of its replica. It reports false if
 // that was done before.
 func (fleet *Fleet) endPrefill(placement *Placement) bool {
-	if placement.answerStarted {
+	if placement.prefillEnded {
 		return false
 	}
-	placement.answerStarted = true
+	placement.prefillEnded = true
 	if member, found := fleet.replicaOf(placement); found {
 		member.pendingTokens[placement.priority] -= placement.Uncached
 		delete(member.unanswered, placement)
@@ -310,7 +312,7 @@
 
 // End records how a request ended.
 func (fleet *Fleet) End(placement *Placement, outcome Outcome, now timekeeper.Instant) {
-	wasOverdue := !placement.answerStarted && placement.isOverdue(now)
+	wasOverdue := !placement.prefillEnded && placement.isOverdue(now)
 	fleet.endPrefill(placement)
 	member, found := fleet.replicaOf(placement)
 	if !found {
--- a/internal/balancer/replica.go
+++ b/internal/balancer/replica.go
@@ -22,7 +22,8 @@
 	// Leaving replicas get no new work.
 	Leaving bool
 	// WarmAt is when the replica's cold period ends, by the clock of the process that reads the
-	// row; zero means that the row doesn't say. Rows that differ only in WarmAt are equal.
+	// row; zero means that the row doesn't say. A row that differs only in WarmAt doesn't count
+	// as changed.
 	WarmAt timekeeper.Instant
 }
 
--- a/internal/connector/pool.go
+++ b/internal/connector/pool.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// reserve returns the idle connection that was used last. Without one, it counts a new
-// connection and reports whether the limit allows to open it.
+// reserve returns the idle connection that was used last. Without one, it reserves a new
+// connection unless the limit is reached, and reports whether it did.
 func (pool *Pool) reserve(target Target) (conn *connection, reserved bool) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -148,7 +148,7 @@
 	pool.settings.OnOpen()
 	raw, err := pool.dialer.DialContext(ctx, "tcp", target.Address)
 	if err != nil {
-		pool.releaseSlot(target)
+		pool.release(target)
 		return nil, eris.Wrap(ErrUnreachable, err.Error())
 	}
 	return &connection{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize), idleTimeout: defaultIdleTimeout}, nil
@@ -168,11 +168,11 @@
 // discard closes a connection and no longer counts it.
 func (pool *Pool) discard(target Target, conn *connection) {
 	_ = conn.Close()
-	pool.releaseSlot(target)
+	pool.release(target)
 }
 
-// releaseSlot no longer counts a connection that was closed or not opened.
-func (pool *Pool) releaseSlot(target Target) {
+// release no longer counts a connection that was closed or not opened.
+func (pool *Pool) release(target Target) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	replica := pool.replica(target.Key)
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -115,12 +115,12 @@
 	if !found || service.Connections <= 0 {
 		return 0
 	}
-	return max(1, service.Connections/max(minSharingEntries, task.entry.settings.Shares()))
+	return max(1, service.Connections/max(minConnectionShares, task.entry.settings.Shares()))
 }
 
-// minSharingEntries is the least number of entries among which the connections of a
-// replica are divided.
-const minSharingEntries = 6
+// minConnectionShares is the least number of shares into which the connections of a replica
+// are divided.
+const minConnectionShares = 6
 
 // request returns the request that is sent to the replica.
 func (task *task) request(placement *balancer.Placement) connector.Request {
@@ -211,7 +211,7 @@
 	if task.route.Kind == router.Stream && status < http.StatusMultipleChoices && isStream(answer.Header) {
 		return task.relayStream(ctx, result, answer)
 	}
-	if task.answerStarted {
+	if task.headCopied {
 		result.verdict, result.cause, result.replicaFailed = broken, errNotStream, true
 		return result
 	}
@@ -220,7 +220,7 @@
 
 // canFailOver reports whether the request continues at another replica if this one fails.
 func (task *task) canFailOver() bool {
-	return task.answerStarted || (task.route.Idempotent() && task.runs+1 < task.route.MaxReplicas)
+	return task.headCopied || (task.route.Idempotent() && task.runs+1 < task.route.MaxReplicas)
 }
 
 // claimsNotRun reports whether a status implies that the request has not run.
@@ -253,7 +253,7 @@
 	}
 	now := task.entry.settings.Clock.Now()
 	task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { fleet.End(placement, outcome, now) })
-	task.entry.queue.slotFreed()
+	task.entry.queue.placeFreed()
 	task.entry.meters.countAttempt(task.service, result)
 	if result.verdict == answered && !result.replicaFailed {
 		task.entry.strikes.clear(task.fingerprint)
@@ -266,8 +266,9 @@
 	task.probeReplica(result)
 }
 
-// probeReplica checks at once whether a replica that failed a request is down, so
-// that the next requests need not fail to find out.
+// probeReplica checks at once whether a replica that failed a request is down, so that the
+// next requests need not fail to find out. If it is, and the request may have run there, the
+// request gets a strike.
 func (task *task) probeReplica(result attemptResult) {
 	if result.verdict == unsent && eris.Is(result.cause, connector.ErrUnreachable) {
 		task.entry.markUnreachable(result.replica, result.causeText())
--- a/internal/relayer/dialect.go
+++ b/internal/relayer/dialect.go
@@ -27,7 +27,7 @@
 	Call Call
 	// Remaining is how long the replica may take.
 	Remaining timekeeper.Span
-	// Replica is the intended incarnation; any other refuses the request.
+	// Replica is the ID of the intended replica; any other replica refuses the request.
 	Replica string
 	// Team is the caller's team, or "" on public routes.
 	Team string
@@ -46,7 +46,8 @@
 type Head struct {
 	// ID is the request ID that the replica echoes, or "".
 	ID string
-	// Signed reports whether the answer has the replica's signature.
+	// Signed reports whether the replica vouches for the answer: the signature header is
+	// present. Its value isn't checked.
 	Signed bool
 	// NotRun reports whether the replica states that it did not run the request.
 	NotRun bool
--- a/internal/relayer/entry.go
+++ b/internal/relayer/entry.go
@@ -41,8 +41,9 @@
 	// Config returns the configuration in force, or nil while none is known.
 	Config      func() *router.Configuration
 	RetryBudget RetryBudget
-	// Shares returns the number of entries that share the retry budget and the
-	// connections of a replica.
+	// Shares returns the number of shares into which the extra retries of the budget and
+	// the connections of a replica are divided; each entry uses one. It may exceed the
+	// number of entries: see retrier.Window.
 	Shares func() int
 	// TooManyConnections reports whether callers' connections should be closed after
 	// their answer, to make room for other callers.
@@ -50,15 +51,16 @@
 	// BodyMemory bounds the total size of the request bodies in memory, in bytes.
 	BodyMemory int64
 	// OnPlacement is called for each attempt of a request with prompt parts; first
-	// reports whether the replica is estimated to process one of them for the first
-	// time.
+	// reports whether the replica is expected to prefill a shared part for the first
+	// time (balancer.Placement.FirstPrefill).
 	OnPlacement func(replica balancer.Key, parts []balancer.Part, first bool)
 	// OnUnreachable is called for a replica that accepts no connections.
 	OnUnreachable func(replica string)
 	// OnStrike is called for a request that was in flight at a replica when it crashed.
-	OnStrike func(request uint64, replica string)
+	OnStrike func(request uint64, incarnation string)
 	// OnLeaveAnnounced is called when an answer announces that an incarnation of a
-	// replica leaves, unless that is already known.
+	// replica leaves, unless this entry has received that announcement before, also
+	// through a peer.
 	OnLeaveAnnounced func(incarnation string)
 	// Seed seeds the draws of traffic splits, load shedding and Retry-After delays.
 	Seed uint64
@@ -132,11 +134,11 @@
 
 // RecordStrike records that an incarnation of a replica crashed while the request was in
 // flight there, as seen by this entry or a peer.
-func (entry *Entry) RecordStrike(request uint64, replica string) {
-	if entry.strikes.add(request, replica, entry.settings.Clock.Now()) {
+func (entry *Entry) RecordStrike(request uint64, incarnation string) {
+	if entry.strikes.add(request, incarnation, entry.settings.Clock.Now()) {
 		entry.meters.countStrike()
 		entry.settings.Log.WithFields(logrus.Fields{
-			"fingerprint": strconv.FormatUint(request, 16), labelReplica: balancer.IDOf(replica), "incarnation": replica,
+			"fingerprint": strconv.FormatUint(request, 16), labelReplica: balancer.IDOf(incarnation), "incarnation": incarnation,
 		}).Warn("request struck")
 	}
 }
@@ -151,7 +153,7 @@
 	arrived := entry.settings.Clock.Now()
 	call, err := entry.settings.Dialect.ReadCall(r)
 	if err != nil {
-		entry.refuseUnrouted(w, r, call, classifier.New(classifier.BadRequest, err.Error()))
+		entry.refuseEarly(w, r, call, classifier.New(classifier.BadRequest, err.Error()))
 		return
 	}
 	if entry.shedder.sheds(entry.draw()) {
@@ -161,21 +163,21 @@
 	config := entry.settings.Config()
 	if config == nil {
 		failure := classifier.New(classifier.NotReady, "no configuration is known yet")
-		entry.refuseUnrouted(w, r, call, failure.WithRetryAfter(timekeeper.Second))
+		entry.refuseEarly(w, r, call, failure.WithRetryAfter(timekeeper.Second))
 		return
 	}
 	if limit := config.Limits().HeaderBytes; limit > 0 && headBytes(r) > limit {
-		entry.refuseUnrouted(w, r, call, classifier.New(classifier.HeadersTooLarge, ""))
+		entry.refuseEarly(w, r, call, classifier.New(classifier.HeadersTooLarge, ""))
 		return
 	}
 	route, found := config.Route(r.Host, r.URL.Path)
 	if !found {
-		entry.refuseUnrouted(w, r, call, classifier.New(classifier.NotFound, "version "+formatVersion(config.Version())))
+		entry.refuseEarly(w, r, call, classifier.New(classifier.NotFound, "version "+formatVersion(config.Version())))
 		return
 	}
 	access := config.Access(route, call.Key)
 	if !access.Allowed {
-		entry.refuseUnrouted(w, r, call, classifier.New(classifier.Unauthorized, "version "+formatVersion(config.Version())))
+		entry.refuseEarly(w, r, call, classifier.New(classifier.Unauthorized, "version "+formatVersion(config.Version())))
 		return
 	}
 	task := &task{
@@ -217,7 +219,7 @@
 	failure := classifier.New(classifier.Overloaded, "the entry is behind")
 	failure = failure.WithRetryAfter(shedRetryAfter + timekeeper.Span(draw*shedRetrySpread))
 	if draw < shedLogShare {
-		entry.refuseUnrouted(w, r, call, failure)
+		entry.refuseEarly(w, r, call, failure)
 		return
 	}
 	entry.meters.countRefusal(failure.Kind)
@@ -230,8 +232,10 @@
 	drainRequest(w, r)
 }
 
-// refuseUnrouted refuses, counts and logs a request that was assigned no route.
-func (entry *Entry) refuseUnrouted(w http.ResponseWriter, r *http.Request, call Call, failure classifier.Failure) {
+// refuseEarly refuses, counts and logs a request before a task exists for it: one with an
+// invalid head, without a route or access, or one that is shed or arrives before the first
+// configuration.
+func (entry *Entry) refuseEarly(w http.ResponseWriter, r *http.Request, call Call, failure classifier.Failure) {
 	entry.meters.countRefusal(failure.Kind)
 	entry.settings.Log.WithFields(logrus.Fields{
 		"request-id": call.ID, "kind": failure.Kind.String(), "detail": failure.Detail,
@@ -268,21 +272,21 @@
 
 // spendRetry takes one retry from the budget of a service, and reports whether one was left.
 func (entry *Entry) spendRetry(service string) bool {
-	entries := entry.settings.Shares()
+	shares := entry.settings.Shares()
 	allowed := false
-	entry.withBudget(service, func(window *retrier.Window, now timekeeper.Instant) { allowed = window.Spend(entries, now) })
+	entry.withBudget(service, func(window *retrier.Window, now timekeeper.Instant) { allowed = window.Spend(shares, now) })
 	entry.meters.countRetry(service, allowed)
 	return allowed
 }
 
 // RetriesRemaining returns the number of retries that this entry has left, by service.
 func (entry *Entry) RetriesRemaining() map[string]float64 {
-	entries, now := entry.settings.Shares(), entry.settings.Clock.Now()
+	shares, now := entry.settings.Shares(), entry.settings.Clock.Now()
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
 	remaining := make(map[string]float64, len(entry.budgets))
 	for service, window := range entry.budgets {
-		remaining[service] = window.Remaining(entries, now)
+		remaining[service] = window.Remaining(shares, now)
 	}
 	return remaining
 }
--- a/internal/relayer/meters.go
+++ b/internal/relayer/meters.go
@@ -57,12 +57,12 @@
 	return name
 }
 
-// countRefusal counts a request that was refused before it got a route.
+// countRefusal counts a request that was refused before it became a task.
 func (meters *meters) countRefusal(kind classifier.Kind) {
 	meters.scope.Tagged(map[string]string{"kind": kind.String()}).Counter("refused").Inc(1)
 }
 
-// countStrike counts a request that was in flight at a replica that crashed.
+// countStrike counts a strike: a request that was in flight at a replica when it crashed.
 func (meters *meters) countStrike() {
 	meters.scope.Counter("strikes").Inc(1)
 }
--- a/internal/relayer/queue.go
+++ b/internal/relayer/queue.go
@@ -32,7 +32,7 @@
 
 	mu sync.Mutex
 	// waiters holds, for each waiting request, the channel that is closed once it is
-	// placed or rejected.
+	// placed or refused.
 	waiters map[*balancer.Waiter]chan struct{}
 }
 
@@ -104,15 +104,15 @@
 	delete(queue.waiters, waiter)
 }
 
-// slotFreed dispatches after a request has ended, at most once in minDispatchInterval.
-func (queue *queue) slotFreed() {
+// placeFreed dispatches after a request has ended, at most once in minDispatchInterval.
+func (queue *queue) placeFreed() {
 	now := queue.clock.Now()
 	if queue.hasWaiters() && now.Since(timekeeper.Instant(queue.lastDispatch.Load())) >= minDispatchInterval {
 		queue.dispatch()
 	}
 }
 
-// dispatch places waiting requests and wakes those that were placed or rejected.
+// dispatch places waiting requests and wakes those that were placed or refused.
 func (queue *queue) dispatch() {
 	queue.lastDispatch.Store(int64(queue.clock.Now()))
 	var decided []*balancer.Waiter
--- a/internal/relayer/relay.go
+++ b/internal/relayer/relay.go
@@ -47,7 +47,7 @@
 	if answer.StatusCode >= http.StatusInternalServerError {
 		result.cause, result.replicaFailed = errServer, true
 	}
-	task.startAnswer(answer)
+	task.copyHead(answer)
 	if len(buffered) < maxBufferedAnswer {
 		answer.Finish(true)
 		task.w.Header().Set("Content-Length", strconv.Itoa(len(buffered)))
@@ -70,11 +70,11 @@
 	return result
 }
 
-// startAnswer copies the head of the answer. From then on the request can't get another
+// copyHead copies the head of the answer. From then on the request can't get another
 // answer.
-func (task *task) startAnswer(answer *connector.Answer) {
+func (task *task) copyHead(answer *connector.Answer) {
 	task.entry.settings.Dialect.CopyAnswer(task.w.Header(), answer.Header)
-	task.answerStarted = true
+	task.headCopied = true
 }
 
 // markFirstPart records that the first part of the answer has arrived from the replica of
@@ -153,8 +153,8 @@
 		result.cause = errPartialEvent
 		return result
 	}
-	if !task.answerStarted {
-		task.startAnswer(answer)
+	if !task.headCopied {
+		task.copyHead(answer)
 		task.w.WriteHeader(answer.StatusCode)
 	}
 	answer.Finish(true)
@@ -164,8 +164,8 @@
 
 // forward writes whole events to the caller and flushes them.
 func (task *task) forward(control *http.ResponseController, answer *connector.Answer, events []byte) error {
-	if !task.answerStarted {
-		task.startAnswer(answer)
+	if !task.headCopied {
+		task.copyHead(answer)
 		task.w.WriteHeader(answer.StatusCode)
 	}
 	if _, err := task.w.Write(events); err != nil {
--- a/internal/relayer/strikes.go
+++ b/internal/relayer/strikes.go
@@ -31,8 +31,8 @@
 // strike holds the incarnations of replicas that crashed with a request in flight, and the
 // instant of the last crash.
 type strike struct {
-	replicas []string
-	at       timekeeper.Instant
+	incarnations []string
+	at           timekeeper.Instant
 }
 
 func newStrikes() *strikes {
@@ -50,21 +50,21 @@
 	return digest.Sum64()
 }
 
-// add records that a replica crashed with the request in flight, and reports whether that
+// add records that an incarnation crashed with the request in flight, and reports whether that
 // is a change.
-func (strikes *strikes) add(request uint64, replica string, now timekeeper.Instant) bool {
+func (strikes *strikes) add(request uint64, incarnation string, now timekeeper.Instant) bool {
 	strikes.mu.Lock()
 	defer strikes.mu.Unlock()
 	if len(strikes.known) >= maxStruckRequests {
 		strikes.forget(now)
 	}
 	known := strikes.known[request]
-	for _, id := range known.replicas {
-		if id == replica {
+	for _, id := range known.incarnations {
+		if id == incarnation {
 			return false
 		}
 	}
-	strikes.known[request] = strike{replicas: append(known.replicas, replica), at: now}
+	strikes.known[request] = strike{incarnations: append(known.incarnations, incarnation), at: now}
 	return true
 }
 
@@ -92,5 +92,5 @@
 	strikes.mu.Lock()
 	defer strikes.mu.Unlock()
 	known, found := strikes.known[request]
-	return found && len(known.replicas) >= strikeLimit && now.Since(known.at) <= strikeLifetime
+	return found && len(known.incarnations) >= strikeLimit && now.Since(known.at) <= strikeLifetime
 }
--- a/internal/relayer/task.go
+++ b/internal/relayer/task.go
@@ -68,9 +68,9 @@
 	// fingerprint is equal for retries of the request by its caller.
 	fingerprint uint64
 
-	// answerStarted reports whether the header of an answer was copied. The request can
-	// then only continue this answer or be aborted.
-	answerStarted bool
+	// headCopied reports whether the head of an answer was copied to the caller's answer.
+	// The request can then only continue that answer or be aborted.
+	headCopied bool
 	// lastEvent is the ID of the last event that was sent to the caller.
 	lastEvent string
 	// firstPartAt is when the first part of the first answer arrived, or zero.
@@ -223,7 +223,7 @@
 	return span
 }
 
-// place waits until the request has a replica, is rejected, or ctx ends.
+// place waits until the request has a replica, is refused, or ctx ends.
 func (task *task) place(ctx context.Context) *balancer.Waiter {
 	waiter := &balancer.Waiter{
 		Request: balancer.Request{
@@ -281,8 +281,8 @@
 	return classifier.New(kind, reason).WithRetryAfter(task.retryAfter() + max(waiter.Wait, task.backoffRemaining()))
 }
 
-// backoffRemaining returns how long all replicas of the service back off; zero when one takes
-// requests.
+// backoffRemaining returns the time until the backoff of the first replica of the service
+// ends; zero unless all replicas that may get work back off (Fleet.BackoffRemaining).
 func (task *task) backoffRemaining() (remaining timekeeper.Span) {
 	now := task.entry.settings.Clock.Now()
 	task.entry.settings.Fleet.With(func(fleet *balancer.Fleet) { remaining = fleet.BackoffRemaining(task.service, now) })
@@ -322,7 +322,7 @@
 	if failure.Kind == 0 {
 		return
 	}
-	if task.answerStarted || failure.Kind == classifier.CallerGone {
+	if task.headCopied || failure.Kind == classifier.CallerGone {
 		// Abort the connection, so that the caller does not mistake a truncated answer
 		// for a complete one.
 		panic(http.ErrAbortHandler)
